--- a/cobaltpond/decisions/judging.py
+++ b/cobaltpond/decisions/judging.py
@@ -3,6 +3,7 @@
 A part of `rules.Gateway`, which has the state. The design's figures; those marked open are found by measuring
 (docs/design.md says how).
 """
+
 from collections import Counter, deque
 from heapq import nlargest
 from math import inf
@@ -12,12 +13,12 @@
 from cobaltpond.decisions.records import Sample
 from cobaltpond.decisions.told import Told
 
-MARGIN, LEAST = 1.8, 8       # new median over old; outcomes a build and path group before they rank (open)
-ALONE = 2.0, 4 * LEAST       # both, once the earlier build is gone (open)
-YOUNG, HOLD_Z = 2 * SECOND, 2.0        # no sample of a younger one; under a clock: hold above this z
-REFERENCE, LEAST_ERRORED = 15, 3       # times LEAST kept of a build that is gone; errors that say anything
-LOOK_EVERY, JUDGES = SECOND // 5, 2    # looks at evidence; gateways that judge for all where they may tell
-EVIDENCE_COLD_TIMES = 2.5    # longest warm-ups: how long evidence is kept
+MARGIN, LEAST = 1.8, 8  # new median over old; outcomes a build and path group before they rank (open)
+ALONE = 2.0, 4 * LEAST  # both, once the earlier build is gone (open)
+YOUNG, HOLD_Z = 2 * SECOND, 2.0  # no sample of a younger one; under a clock: hold above this z
+REFERENCE, LEAST_ERRORED = 15, 3  # times LEAST kept of a build that is gone; errors that say anything
+LOOK_EVERY, JUDGES = SECOND // 5, 2  # looks at evidence; gateways that judge for all where they may tell
+EVIDENCE_COLD_TIMES = 2.5  # longest warm-ups: how long evidence is kept
 
 UNANSWERED = ("timeout", "unreachable", "reset", "cancelled")
 
@@ -30,8 +31,15 @@
         silent = ending in UNANSWERED and instance.heard_at < forward.sent
         if silent or ending in ("full", "moot") or instance.age(forward.sent) < YOUNG:
             return
-        sample = Sample(now, took if ending == "ok" else group.timeout, ending == "error", instance,
-                        forward.sent // self.stretch, instance.warmth(forward.sent), forward.crowd)
+        sample = Sample(
+            now,
+            took if ending == "ok" else group.timeout,
+            ending == "error",
+            instance,
+            forward.sent // self.stretch,
+            instance.warmth(forward.sent),
+            forward.crowd,
+        )
         self.enter_sample(group, sample, now)
         self.tell_judges(group, sample)
 
@@ -82,19 +90,26 @@
     def on_peer(self, now, peer, data):
         mark, index, errored, latency, crowd, age = Told.unpack(data)
         instance, at = self.tagged().get(mark), now - age
-        sent = at if errored else at - latency         # an error counts as a time-out and came much sooner
+        sent = at if errored else at - latency  # an error counts as a time-out and came much sooner
         # the tag is the same over a restart: what tells of its former life is no evidence of this one
         if instance and index < len(self.groups) and instance.age(sent) >= 0:
-            self.enter_sample(list(self.groups.values())[index], Sample(
-                at, latency, errored, instance, sent // self.stretch, instance.warmth(sent), crowd), now)
+            self.enter_sample(
+                list(self.groups.values())[index],
+                Sample(at, latency, errored, instance, sent // self.stretch, instance.warmth(sent), crowd),
+                now,
+            )
 
     def enter_sample(self, group, sample, now):
         """Keeps it; one on trial, against the newest build or while that is suspect calls for a look."""
         build = sample.instance.build
         build.enter(group.name, sample)
-        self.window(build, group, now)                 # trimmed unjudged too: against weeks without a release
-        against = sample.errored or self.said != "fine" or self.phase == "trial" or (
-            sample.latency > MARGIN * group.usual)
+        self.window(build, group, now)  # trimmed unjudged too: against weeks without a release
+        against = (
+            sample.errored
+            or self.said != "fine"
+            or self.phase == "trial"
+            or (sample.latency > MARGIN * group.usual)
+        )
         if build is self.newest and against and not self.fresh:
             self.fresh = True
             self.wake_by(max(now, self.looked + LOOK_EVERY), now)
@@ -104,7 +119,7 @@
         oldest = now - (EVIDENCE_COLD_TIMES * self.cold_time or 10 * SECOND)
         while len(samples) > 4 * least or len(samples) > least and samples[0].at < oldest:
             samples.popleft()
-        return samples                                 # the last ones of a build stay as its reference
+        return samples  # the last ones of a build stay as its reference
 
     def without_worst(self, samples, most=inf):
         """No single instance or place carries the verdict: the worst third is left out, of two the worse."""
@@ -116,9 +131,10 @@
     def look(self, build, now):
         """Fail, suspect or fine; a fail in any path group, or in all together, as one may be too thin."""
         self.settled = self.phase == "released" and (
-            now - self.stage_began >= EVIDENCE_COLD_TIMES * self.cold_time)
+            now - self.stage_began >= EVIDENCE_COLD_TIMES * self.cold_time
+        )
         cases, says, cells = [], [], Counter((i.zone, i.cell) for i in self.fleet.up if i.build is build)
-        place = max(cells.values(), default=1)         # of errors no more: a third of many has all of the few
+        place = max(cells.values(), default=1)  # of errors no more: a third of many has all of the few
         for group in self.groups.values():
             every, old = self.window(build, group, now), self.window(build.earlier, group, now)
             new, most = self.without_worst(every), self.without_worst(every, place)
@@ -128,10 +144,12 @@
         counts, *lists = zip(*cases, strict=True)
         cases.append(([sum(row) for row in zip(*counts, strict=True)], *(sum(rows, []) for rows in lists)))
         for name, (counts, new, old, pairs, alone) in zip([*self.groups, "all"], cases, strict=True):
-            says += [self.errors_say(build, name, counts, self.level, new, old),
-                     self.latencies_say(build, name, pairs, MARGIN, self.least, self.level),
-                     self.latencies_say(build, name, alone, *ALONE, self.strict)]
-        if sum(errored for errored, _ in build.errored.values()) >= 2:    # it counts silent and full ones too
+            says += [
+                self.errors_say(build, name, counts, self.level, new, old),
+                self.latencies_say(build, name, pairs, MARGIN, self.least, self.level),
+                self.latencies_say(build, name, alone, *ALONE, self.strict),
+            ]
+        if sum(errored for errored, _ in build.errored.values()) >= 2:  # it counts silent and full ones too
             counts = build.tallied + build.earlier.tallied
             says.append(self.errors_say(build, "platform", counts, self.strict))
         return "fail" if "fail" in says else "suspect" if "suspect" in says else "fine"
@@ -141,8 +159,12 @@
         times = [x / max(1, median(ref)) for some, ref in strata for x in some]
         if min(len(times), sum(len(ref) for _, ref in strata)) < least or median(times) <= margin:
             return "fine"
-        return self.weigh(rank_z(strata), level, f"build {build.number} {name}: {median(times):.2f} times "
-                          f"the earlier median, {len(times)} hits in {len(strata)} strata")
+        return self.weigh(
+            rank_z(strata),
+            level,
+            f"build {build.number} {name}: {median(times):.2f} times "
+            f"the earlier median, {len(times)} hits in {len(strata)} strata",
+        )
 
     def weigh(self, z, level, words):
         if z > level:
@@ -153,17 +175,21 @@
         """The exact rank test of errors, against the earlier build's whole record: none ranks as a quick
         success. If that one fails too, failing instances are counted first: against a failing place."""
         errored, hits, old_errored, old_hits = counts
-        old_hits = old_hits or (hits if self.settled and new else 0)     # no record: a judge that restarted
+        old_hits = old_hits or (hits if self.settled and new else 0)  # no record: a judge that restarted
         if hits < self.least or errored < LEAST_ERRORED or errored * old_hits <= 2 * old_errored * hits:
             return "fine"
         shares = [mean_by(samples, "instance", "errored").values() for samples in (new, old)]
         bad, old_bad = ((sum(x >= errored / hits / 2 for x in row), len(row)) for row in shares)
         alike = old_bad[0] and draw_chance(*bad, *old_bad) > 1 - NormalDist().cdf(HOLD_Z)
         if alike or self.settled and new and 2 * bad[0] <= bad[1]:
-            return "fine"                              # long after a release some instances are not the build
+            return "fine"  # long after a release some instances are not the build
         z = NormalDist().inv_cdf(1 - max(1e-12, draw_chance(errored, hits, old_errored, old_hits)))
-        return self.weigh(z, level, f"build {build.number} {name}: errored {errored} of {hits}, "
-                                    f"earlier {old_errored} of {old_hits}")
+        return self.weigh(
+            z,
+            level,
+            f"build {build.number} {name}: errored {errored} of {hits}, "
+            f"earlier {old_errored} of {old_hits}",
+        )
 
     def alike(self, new, old, now):
         """Like with like, as pairs (new, old): latencies by stretch of time, less what cold and crowding
@@ -200,5 +226,5 @@
     def on_wrong(self, now, id, group, age):
         """A wrong answer passed for a quick success: it counts as an errored hit of its build."""
         instance, group = self.fleet.by_id.get(id), self.groups.get(group)
-        if instance and group and instance.age(now - age) >= 0:      # as above: maybe it was another build
+        if instance and group and instance.age(now - age) >= 0:  # as above: maybe it was another build
             self.enter_sample(group, Sample(now, group.timeout, True, instance, -1, 0, 0), now)
--- a/cobaltpond/decisions/records.py
+++ b/cobaltpond/decisions/records.py
@@ -1,4 +1,5 @@
 """What the rules keep of a path group, a build, an instance, a hit and a forward. State, no decisions."""
+
 from bisect import bisect_left, bisect_right
 from collections import deque, namedtuple
 from itertools import chain
@@ -28,8 +29,8 @@
     def enter(self, name, now):
         times = self.times.setdefault(name, [])
         times.append(now)
-        if times[0] < now - 4 * self.window:           # now and then, by half: an entry costs no copy
-            del times[:bisect_left(times, now - 2 * self.window)]
+        if times[0] < now - 4 * self.window:  # now and then, by half: an entry costs no copy
+            del times[: bisect_left(times, now - 2 * self.window)]
 
     def since(self, name, at):
         times = self.times.get(name, ())
@@ -39,9 +40,15 @@
 class State:
     TAKEN, HELD, OUT = "taken", "held", "out"
     DELIVERED, BOUNCED, ERRORED, GONE = "delivered", "bounced", "errored", "gone"
-    NEXT = {TAKEN: {HELD, OUT, BOUNCED, ERRORED, GONE}, HELD: {HELD, OUT, BOUNCED, ERRORED, GONE},
-            OUT: {HELD, DELIVERED, BOUNCED, ERRORED, GONE},
-            DELIVERED: {DELIVERED}, BOUNCED: {BOUNCED}, ERRORED: {ERRORED}, GONE: {GONE}}
+    NEXT = {
+        TAKEN: {HELD, OUT, BOUNCED, ERRORED, GONE},
+        HELD: {HELD, OUT, BOUNCED, ERRORED, GONE},
+        OUT: {HELD, DELIVERED, BOUNCED, ERRORED, GONE},
+        DELIVERED: {DELIVERED},
+        BOUNCED: {BOUNCED},
+        ERRORED: {ERRORED},
+        GONE: {GONE},
+    }
 
 
 class PathGroup:
@@ -52,8 +59,8 @@
         self.benefit, self.late_benefit = row.get("benefit", 1), row.get("late_benefit", 0)
         self.ledger = self.name if runsheet.get("exposure_by") == "path group" else "all"
         self.by_work = runsheet.get("benefit_by") == "work"
-        self.usual = 0.0                               # running mean of latencies, all instances
-        self.owed = 0                                  # samples of the earlier build still to be told
+        self.usual = 0.0  # running mean of latencies, all instances
+        self.owed = 0  # samples of the earlier build still to be told
 
     def worth(self):
         """Benefit for the work that a hit makes."""
@@ -65,13 +72,13 @@
 
     def __init__(self, number, earlier, window):
         self.number, self.earlier = number, earlier
-        self.sent = Ledgers(window)                    # forwards to it
-        self.counted_from = -FOREVER                     # when the exposure count last started anew
-        self.samples = {}                              # path group name -> recent samples
-        self.errored = {}                              # path group name -> [errored, hits] so far
-        self.tallied = 0, 0                            # the same as the platform counts it, all path groups
+        self.sent = Ledgers(window)  # forwards to it
+        self.counted_from = -FOREVER  # when the exposure count last started anew
+        self.samples = {}  # path group name -> recent samples
+        self.errored = {}  # path group name -> [errored, hits] so far
+        self.tallied = 0, 0  # the same as the platform counts it, all path groups
         self.condemned = False
-        self.places = 0                                # instances listed when the build was first seen
+        self.places = 0  # instances listed when the build was first seen
 
     def enter(self, group, sample):
         self.samples.setdefault(group, deque()).append(sample)
@@ -87,11 +94,11 @@
         self.fleet, self.build = fleet, fleet.build(row["build"])
         self.started, self.state = row["started"], row["state"]
         self.out, self.limit, self.cut_at = 0, limit, 0
-        self.others = 0.0                              # hits of other gateways that it last reported
-        self.pace, self.lag = 1.0, 0.0                 # latency against the usual, and against the target
-        self.faults = 0.0                              # share of its late outcomes that failed
+        self.others = 0.0  # hits of other gateways that it last reported
+        self.pace, self.lag = 1.0, 0.0  # latency against the usual, and against the target
+        self.faults = 0.0  # share of its late outcomes that failed
         self.heard_at, self.benched_until, self.bench_time = 0, 0, 0
-        self.tokens = tokens                            # what may be sent to it while it is cold
+        self.tokens = tokens  # what may be sent to it while it is cold
 
     def drops_with(self, other, scope):
         """Do the two drop each other's repeats of a tagged hit?"""
@@ -169,8 +176,8 @@
         self.id, self.group, self.customer, self.key, self.again = id, group, customer, key, again
         self.arrived, self.deadline = now, now + left
         self.state, self.forwards, self.open = state, [], 0
-        self.asked, self.free = [], []                 # instances probed for it, and those that answered
-        self.risky = None                              # the first forward that may have run
+        self.asked, self.free = [], []  # instances probed for it, and those that answered
+        self.risky = None  # the first forward that may have run
 
     def send(self, instance, now):
         self.forwards.append(Forward(instance, now))
@@ -197,5 +204,5 @@
 class Forward:
     def __init__(self, instance, now):
         self.instance, self.sent, self.settled, self.dropped = instance, now, False, False
-        self.asked = None                              # when the instance was asked whether it is there
-        self.crowd = instance.out + instance.others            # hits it found there, as far as we know
+        self.asked = None  # when the instance was asked whether it is there
+        self.crowd = instance.out + instance.others  # hits it found there, as far as we know
--- a/cobaltpond/decisions/rules.py
+++ b/cobaltpond/decisions/rules.py
@@ -4,6 +4,7 @@
 answers by calling the host (`interface.py`). What is kept stands in `records.py`. Times are microseconds.
 Here: the list, and a hit from its taking to its final answer; the rest is in choosing, judging and voting.
 """
+
 from collections import Counter, deque
 from math import ceil, inf, sqrt
 from statistics import NormalDist
@@ -14,14 +15,14 @@
 from cobaltpond.decisions.records import Chance, Fleet, Hit, Instance, Ledgers, PathGroup, State
 from cobaltpond.decisions.voting import Voting
 
-LEVEL, ALIKE = 0.0001, 1 / 3     # by the number of gateways; votes that may err alike from one cause (open)
-THIN, LIMIT_FIRST = 10, 4    # gateways past which own counts show little; limit in flight at the start
+LEVEL, ALIKE = 0.0001, 1 / 3  # by the number of gateways; votes that may err alike from one cause (open)
+THIN, LIMIT_FIRST = 10, 4  # gateways past which own counts show little; limit in flight at the start
 # Ratios to figures of the runsheet: to the longest warm-up, to the target latency.
-ALIKE_COLD_TIMES = 0.5       # a stretch of like samples
-TICK_SHARE, HELD_SHARE = 0.05, 0.15    # how often held hits look for room, and how long
-QUIET_SHARE = 0.8            # silent is who owes an answer so long
-DOUBT_SHARE = 0.5            # where probes are allowed: asked after so long, silent if it says nothing then
-SPARED = 1 / 3               # of late hits, by choosing the better of two (measured: a third to a half)
+ALIKE_COLD_TIMES = 0.5  # a stretch of like samples
+TICK_SHARE, HELD_SHARE = 0.05, 0.15  # how often held hits look for room, and how long
+QUIET_SHARE = 0.8  # silent is who owes an answer so long
+DOUBT_SHARE = 0.5  # where probes are allowed: asked after so long, silent if it says nothing then
+SPARED = 1 / 3  # of late hits, by choosing the better of two (measured: a third to a half)
 
 NEVER_RAN = ("full", "unreachable", "moot")
 
@@ -35,12 +36,12 @@
         self.newest, self.stage, self.phase, self.cap, self.stage_began = None, 0, "released", 1.0, now
         self.cast, self.cast_at, self.cast_answer, self.held_time, self.looked = None, 0, "ok", 0, now
         self.began, self.given_up, self.load = now, Counter(), {}  # hits given up, by why; load, by zone
-        self.said, self.fresh, self.trusted, self.settled = "fine", False, False, False    # last verdict
-        self.turn, self.due, self.kept_keys = "", inf, {}    # last id chosen; next wake-up; key -> build
-        self.living, self.own, self.shut = None, deque(maxlen=REFERENCE * LEAST), None   # by membership
-        self.admitted, self.shy, self.blame = 1.0, 0.0, {}       # shares: hits let in; no answers; errors
-        self.admitted_cut, self.late = now, 0.0        # when last cut; share of answers that came late
-        self.list_heard, self.list_asked, self.list_wait = now, now - 1, 1    # ask at once
+        self.said, self.fresh, self.trusted, self.settled = "fine", False, False, False  # last verdict
+        self.turn, self.due, self.kept_keys = "", inf, {}  # last id chosen; next wake-up; key -> build
+        self.living, self.own, self.shut = None, deque(maxlen=REFERENCE * LEAST), None  # by membership
+        self.admitted, self.shy, self.blame = 1.0, 0.0, {}  # shares: hits let in; no answers; errors
+        self.admitted_cut, self.late = now, 0.0  # when last cut; share of answers that came late
+        self.list_heard, self.list_asked, self.list_wait = now, now - 1, 1  # ask at once
         self.cold_time = runsheet.get("cold_time", 0)
         self.shortest = min(g.target for g in self.groups.values())
         self.tick = max(int(TICK_SHARE * self.shortest), runsheet.get("tick", 1))
@@ -48,11 +49,11 @@
         self.thin = self.gateways > THIN
         self.probes = self.thin and runsheet.get("may_probe")
         self.patience = DOUBT_SHARE if self.probes else QUIET_SHARE
-        self.stretch = (2 if self.thin else 1) * int(ALIKE_COLD_TIMES * self.cold_time) or SECOND   # few hits
+        self.stretch = (2 if self.thin else 1) * int(ALIKE_COLD_TIMES * self.cold_time) or SECOND  # few hits
         self.level = NormalDist().inv_cdf(1 - bearable(ceil(votes * (1 - ALIKE)), LEVEL) / self.gateways)
-        self.strict = NormalDist().inv_cdf(1 - LEVEL / self.gateways)    # where all gateways would err alike
-        self.least = max(LEAST_ERRORED, round(LEAST / sqrt(votes)))      # no gateway decides alone
-        self.wake_by(now + 1 + self.chance.below(LOOK_EVERY), now)       # not all gateways at once
+        self.strict = NormalDist().inv_cdf(1 - LEVEL / self.gateways)  # where all gateways would err alike
+        self.least = max(LEAST_ERRORED, round(LEAST / sqrt(votes)))  # no gateway decides alone
+        self.wake_by(now + 1 + self.chance.below(LOOK_EVERY), now)  # not all gateways at once
         self.follow_list(now)
 
     def wake_by(self, at, now):
@@ -66,7 +67,7 @@
         heard = self.list_asked if self.list_wait else max(self.list_asked, self.list_heard)
         wait = self.list_wait or self.sheet.get("ask_within", 10 * SECOND) // 3
         if now - heard >= wait:
-            self.list_asked = heard = now              # well before we count as told
+            self.list_asked = heard = now  # well before we count as told
             self.host.watch_list()
         self.wake_by(heard + wait, now)
 
@@ -76,9 +77,12 @@
 
     def on_list(self, now, whole, rows):
         self.list_heard, self.list_wait = now, 0
-        self.fleet.update(whole, rows, lambda row: Instance(
-            row, self.fleet, LIMIT_FIRST, self.chance.below(SECOND) / SECOND))
-        if not self.turn and self.fleet.ids:           # gateways must not go round in step
+        self.fleet.update(
+            whole,
+            rows,
+            lambda row: Instance(row, self.fleet, LIMIT_FIRST, self.chance.below(SECOND) / SECOND),
+        )
+        if not self.turn and self.fleet.ids:  # gateways must not go round in step
             self.turn = self.fleet.ids[self.chance.below(len(self.fleet.ids))]
         self.place_held(now)
 
@@ -150,7 +154,7 @@
         """A thin gateway's limit in flight: a share of its hits is bounced at once, clients' repeats and the
         least benefit first. Guards against a jam that hundreds of gateways keep up together."""
         power = 1.5 if hit.again or hit.group is min(self.groups.values(), key=PathGroup.worth) else 0.75
-        return not self.thin or self.chance.below(1000) < 1000 * self.admitted ** power
+        return not self.thin or self.chance.below(1000) < 1000 * self.admitted**power
 
     def place(self, hit, now):
         why = self.barred(hit, now)
@@ -161,7 +165,7 @@
         if self.asks(hit, now):
             return
         free, hit.asked, hit.free = [i for i in hit.free if self.fits(hit, i, now)], [], []
-        free += [self.pick(hit, now)] if len(free) < 2 else []         # two to compare
+        free += [self.pick(hit, now)] if len(free) < 2 else []  # two to compare
         instance = min(filter(None, free), key=lambda i: self.crowding(i, now), default=None)
         self.move(hit, State.HELD)
         if instance is None:
@@ -185,8 +189,10 @@
         harmless = hit.risky is None or kind == "repeatable" or kind == "tagged" and scope == "all"
         self.move(hit, State.BOUNCED if harmless else State.ERRORED)
         if harmless:
-            self.host.bounce(hit.id, min(self.sheet.get("may_advise") and self.sheet.get("most_advice") or 0,
-                                         hit.group.target))
+            self.host.bounce(
+                hit.id,
+                min(self.sheet.get("may_advise") and self.sheet.get("most_advice") or 0, hit.group.target),
+            )
         else:
             self.host.error(hit.id)
 
@@ -204,8 +210,11 @@
         self.learn(forward.instance, hit.group, "moot" if spared else ending, took, report, now)
         if ending == "ok" and self.sheet.get("keys_stay") and hit.key is not None:
             # never lowered: a forward to the earlier build that was out meanwhile may be answered last
-            self.kept_keys[hit.key] = max(self.kept_keys.get(hit.key, forward.instance.build),
-                                          forward.instance.build, key=lambda build: build.number)
+            self.kept_keys[hit.key] = max(
+                self.kept_keys.get(hit.key, forward.instance.build),
+                forward.instance.build,
+                key=lambda build: build.number,
+            )
         if ran and hit.risky is None:
             hit.risky = forward
         if hit.ended:
@@ -236,7 +245,7 @@
                 due = last.asked + 2 * self.tick
             if now < due:
                 self.wake_by(due, now)
-            elif instance.heard_at >= last.sent:       # it lives and is slow: no need to wait for the answer
+            elif instance.heard_at >= last.sent:  # it lives and is slow: no need to wait for the answer
                 late = last.sent + int(USEFUL_SHARE * hit.group.target) + 1
                 self.jammed(last.sent, now) if now >= late else self.wake_by(late, now)
             else:
@@ -249,9 +258,9 @@
 
     def on_wake(self, now, token):
         if now < self.due:
-            return                                     # a timer that an earlier one has replaced
+            return  # a timer that an earlier one has replaced
         stood_still, self.due = now - self.due > self.tick, inf
-        self.wake_by(now + self.tick, now) if stood_still else self.watch_silent(now)   # no sign of silence
+        self.wake_by(now + self.tick, now) if stood_still else self.watch_silent(now)  # no sign of silence
         self.place_held(now)
         self.follow_list(now)
         if now - self.looked >= LOOK_EVERY:
--- a/cobaltpond/decisions/told.py
+++ b/cobaltpond/decisions/told.py
@@ -1,10 +1,13 @@
 """A sample as one gateway tells it to another: a few bytes, nothing decided."""
+
 from struct import calcsize, pack, unpack
 from zlib import crc32
 
 
 class Told:
-    """Tag of instance and build, path group and errored, milliseconds, crowd; of an older one how old, in 10 ms."""
+    """Tag of instance and build, path group and errored, milliseconds, crowd; of an older one how old, in 10
+    ms."""
+
     FORM, OLDER = ">IBHB", ">IBHBH"
 
     @staticmethod
@@ -17,13 +20,20 @@
 
     @classmethod
     def pack(cls, sample, group, age=0):
-        fields = (cls.tag(sample.instance), group << 1 | sample.errored,
-                  min(65535, sample.latency // 1000), min(255, int(sample.crowd)))
-        return pack(cls.OLDER, *fields, min(65535, age // 10_000)) if age >= 10_000 else pack(cls.FORM, *fields)
+        fields = (
+            cls.tag(sample.instance),
+            group << 1 | sample.errored,
+            min(65535, sample.latency // 1000),
+            min(255, int(sample.crowd)),
+        )
+        return (
+            pack(cls.OLDER, *fields, min(65535, age // 10_000)) if age >= 10_000 else pack(cls.FORM, *fields)
+        )
 
     @classmethod
     def unpack(cls, data):
-        """Instance's tag, path group's place, errored, latency, crowd, age; no tag where it is no such message."""
+        """Instance's tag, path group's place, errored, latency, crowd, age; no tag where it is no such
+        message."""
         if len(data) not in (calcsize(cls.FORM), calcsize(cls.OLDER)):
             return None, 0, False, 0, 0, 0
         older = len(data) == calcsize(cls.OLDER)
--- a/cobaltpond/decisions/voting.py
+++ b/cobaltpond/decisions/voting.py
@@ -2,10 +2,11 @@
 
 A part of `rules.Gateway`, which has the state.
 """
+
 from cobaltpond.decisions.figures import SECOND
 from cobaltpond.decisions.judging import LEAST, LOOK_EVERY
 
-PATIENCE, HOLD_MOST = 16 * SECOND // 5, 3 * SECOND     # "on" so long after a start; so long a stage is held
+PATIENCE, HOLD_MOST = 16 * SECOND // 5, 3 * SECOND  # "on" so long after a start; so long a stage is held
 
 
 class Voting:
@@ -46,7 +47,7 @@
         self.said = self.look(build, now) if fresh else self.said
         build.condemned = build.condemned or self.said == "fail"
         seen, beside = sum(map(len, build.samples.values())), self.sheet.get("layout") == "beside"
-        self.trusted = beside and self.said == "fine" and seen >= 5 * LEAST    # in place, no room to gain
+        self.trusted = beside and self.said == "fine" and seen >= 5 * LEAST  # in place, no room to gain
         clock, want = self.sheet.get("gate") == "clock", "none"
         if build.condemned:
             want = "back"
--- a/cobaltpond/desk/comeback.py
+++ b/cobaltpond/desk/comeback.py
@@ -1,7 +1,10 @@
-"""The running desk's part of coming back: collects what gateways and hosts have seen, then lets the desk go on.
+"""The running desk's part of coming back: collects what gateways and hosts have seen, then lets the desk go
+on.
 
-What is decided stands in `recovery/lost.py`. While it collects or waits the desk takes no vote and gives no order.
+What is decided stands in `recovery/lost.py`. While it collects or waits the desk takes no vote and gives no
+order.
 """
+
 import json
 
 from cobaltpond.calls import Refusal
@@ -9,23 +12,30 @@
 from cobaltpond.loop import Sleep
 from cobaltpond.recovery.lost import COLLECTING, RESUMED, WAITING, Returning, word_of
 
-BOUND = 1_500_000                                      # so long gateways are waited for; their first tries come sooner
+BOUND = 1_500_000  # so long gateways are waited for; their first tries come sooner
 LOOK = 20_000
-SEEN_MOST = 2048                                       # bytes of a gateway's word
+SEEN_MOST = 2048  # bytes of a gateway's word
 
 
 class Comeback:
-    """`desk`: the service. `kept`: the journal's last record, or None. Without a journal nothing is known of what was
-    told: all that can be heard is asked for."""
+    """`desk`: the service. `kept`: the journal's last record, or None. Without a journal nothing is known of
+    what was told: all that can be heard is asked for."""
 
     def __init__(self, desk, kept: dict | None):
         self.desk, self.loop, self.log = desk, desk.loop, desk.log
         told = (kept or {}).get("told")
-        self.known = list((kept or {}).get("known", ()))       # gateways that this line of the journal has spoken to
+        self.known = list(
+            (kept or {}).get("known", ())
+        )  # gateways that this line of the journal has spoken to
         gateways = self.known if kept is not None else range(len(desk.sheet.gateways))
         expected = [*(("gateway", n) for n in gateways), *(("host", h.place) for h in desk.sheet.hosts)]
-        self.returning = Returning(tuple(told) if told else None, tuple(expected), tuple(desk.sheet.release.caps),
-                                   self.loop.now(), max(BOUND, desk.sheet.release.start_within if desk.hosts else 0))
+        self.returning = Returning(
+            tuple(told) if told else None,
+            tuple(expected),
+            tuple(desk.sheet.release.caps),
+            self.loop.now(),
+            max(BOUND, desk.sheet.release.start_within if desk.hosts else 0),
+        )
         self.bare = kept is None
 
     @property
@@ -41,7 +51,7 @@
         """No vote, no order."""
         return self.collecting or self.waiting
 
-    # --- what is heard -----------------------------------------------------------------------------------------
+    # --- what is heard --------------------------------------------------------------------------------------
 
     def gateway(self, number: int, seen: str | None) -> None:
         """A gateway asks for news, and says what it has seen. Raises Refusal."""
@@ -75,24 +85,36 @@
         elif said == WAITING:
             self.wait_for_operator()
 
-    # --- collecting --------------------------------------------------------------------------------------------
+    # --- collecting -----------------------------------------------------------------------------------------
 
     def collect(self, running):
         """A task: until enough have spoken. `running()`: builds that hosts say they run."""
         hosts = self.desk.hosts
         while not self.returning.due(self.loop.now()) and not self.desk.stop_asked:
-            if hosts and self.bare and not running() and self.returning.newer() == {} and not any(
-                    who[0] == "host" for who in self.returning.missing()):
-                break                                  # all hosts have spoken, nothing runs: a fleet that begins
+            if (
+                hosts
+                and self.bare
+                and not running()
+                and self.returning.newer() == {}
+                and not any(who[0] == "host" for who in self.returning.missing())
+            ):
+                break  # all hosts have spoken, nothing runs: a fleet that begins
             yield Sleep(LOOK)
         state = self.returning.conclude(tuple(running()))
         self.known = sorted({*self.known, *(who[1] for who in self.returning.words if who[0] == "gateway")})
         self.desk.epoch = max(self.desk.epoch, self.returning.floor() + 1)
-        self.log.info("collected", state=state, why=self.returning.why, spoke=len(self.returning.words),
-                      missing=[list(who) for who in self.returning.missing()][:20])
+        self.log.info(
+            "collected",
+            state=state,
+            why=self.returning.why,
+            spoke=len(self.returning.words),
+            missing=[list(who) for who in self.returning.missing()][:20],
+        )
         if state == RESUMED:
             try:
-                self.desk.stages.resume(self.loop.now(), self.returning.plan, f"after a loss: {self.returning.why}")
+                self.desk.stages.resume(
+                    self.loop.now(), self.returning.plan, f"after a loss: {self.returning.why}"
+                )
             except Refused as no:
                 self.returning.settle(WAITING, self.returning.plan, str(no))
         if self.waiting:
--- a/cobaltpond/desk/service.py
+++ b/cobaltpond/desk/service.py
@@ -1,4 +1,5 @@
 """The running release desk: calls from gateways and operators, the platform's instances, news to all."""
+
 import base64
 import binascii
 import json
@@ -34,7 +35,9 @@
     def run(self):
         listener = self.loop.kernel.listen(split_address(self.sheet.desk.address))
         if self.sheet.hosts:
-            self.stages = Stages(self.sheet.release, [h.place for h in self.sheet.hosts], NOTHING, self.loop.now())
+            self.stages = Stages(
+                self.sheet.release, [h.place for h in self.sheet.hosts], NOTHING, self.loop.now()
+            )
             self.carry_on()
             self.hosts = Hosts([h.place for h in self.sheet.hosts], self.sheet.builds.changes, self.epoch)
             self.comeback = Comeback(self, self.recalled())
@@ -94,7 +97,9 @@
         for place, streams in self.order_streams.items():
             order = self.hosts.order(place, keep)
             if order["wishes"] != self.sent.get(place, {}).get("wishes") and place in self.sent:
-                self.hosts.hosts[place].generation = max(order["generation"], self.sent[place]["generation"] + 1)
+                self.hosts.hosts[place].generation = max(
+                    order["generation"], self.sent[place]["generation"] + 1
+                )
                 order = self.hosts.order(place, keep)
             order["seen"] = seen
             if again or self.sent.get(place) != order:
@@ -111,7 +116,9 @@
                 up = [m for m in machines["machines"] if m["state"] in ("up", "starting")]
                 if up:
                     places = sorted({m["place"] for m in machines["machines"]})
-                    self.stages = Stages(self.sheet.release, places, max(m["build"] for m in up), self.loop.now())
+                    self.stages = Stages(
+                        self.sheet.release, places, max(m["build"] for m in up), self.loop.now()
+                    )
                     self.update(machines)
                     self.carry_on()
                     return
@@ -129,7 +136,9 @@
             self.epoch = max(self.epoch, kept.get("epoch", 0) + 1)
             self.history = kept.get("history", [])
             self.rings = kept.get("rings", [])
-            self.log.info("carried on", build=self.stages.build, stage=self.stages.stage, phase=self.stages.phase)
+            self.log.info(
+                "carried on", build=self.stages.build, stage=self.stages.stage, phase=self.stages.phase
+            )
 
     def recalled(self) -> dict | None:
         """The journal's last record."""
@@ -140,22 +149,36 @@
     def word(self) -> dict:
         """The state that others may act by, with its mark: what they say they have seen."""
         news = self.comeback.limited(self.stages.news(self.loop.now()))
-        return {"mark": [self.epoch, self.stages.turns], "build": news["build"], "stage": news["stage"],
-                "phase": news["phase"], "cap": news["cap"], "stable": self.stages.stable,
-                "gone": list(self.stages.condemned)}
+        return {
+            "mark": [self.epoch, self.stages.turns],
+            "build": news["build"],
+            "stage": news["stage"],
+            "phase": news["phase"],
+            "cap": news["cap"],
+            "stable": self.stages.stable,
+            "gone": list(self.stages.condemned),
+        }
 
     def news(self) -> dict:
         word = self.word()
-        return {**{name: word[name] for name in ("build", "stage", "phase", "cap", "mark", "stable", "gone")},
-                "age_us": self.stages.news(self.loop.now())["age_us"]}
+        return {
+            **{name: word[name] for name in ("build", "stage", "phase", "cap", "mark", "stable", "gone")},
+            "age_us": self.stages.news(self.loop.now())["age_us"],
+        }
 
     def keep(self):
-        """What has changed is on disk before anybody is told of it, or ordered by it. A journal that fails ends
-        the desk: guards against telling what a restart would forget."""
+        """What has changed is on disk before anybody is told of it, or ordered by it. A journal that fails
+        ends the desk: guards against telling what a restart would forget."""
         if self.journal is None or self.comeback is None or self.comeback.collecting:
             return
-        state = {**self.stages.dump(), "epoch": self.epoch, "history": self.history,
-                 "rings": self.rings, "told": [self.epoch, self.stages.turns], "known": self.comeback.known}
+        state = {
+            **self.stages.dump(),
+            "epoch": self.epoch,
+            "history": self.history,
+            "rings": self.rings,
+            "told": [self.epoch, self.stages.turns],
+            "known": self.comeback.known,
+        }
         mark = {name: value for name, value in state.items() if name not in ("at", "held")}
         if mark != self.kept:
             if self.journal.long:
@@ -167,8 +190,14 @@
 
     def ask(self, method, target, body=None):
         with Deadline(self.loop, CALL_TIME):
-            status, text = yield from call(self.loop, self.platform, method, target,
-                                           json.dumps(body).encode() if body is not None else b"", CALL_TIME)
+            status, text = yield from call(
+                self.loop,
+                self.platform,
+                method,
+                target,
+                json.dumps(body).encode() if body is not None else b"",
+                CALL_TIME,
+            )
         if status >= 300:
             raise ValueError(f"{method} {target}: status {status}")
         return json.loads(text)
@@ -206,8 +235,16 @@
         while stages.story:
             _, build, stage, phase, why = stages.story.pop(0)
             self.log.info("release", build=build, stage=stage, phase=phase, why=why)
-            self.history = [*self.history[-99:], {"at": self.loop.kernel.wall() // 1000, "build": build,
-                                                  "stage": stage, "phase": phase, "why": why}]
+            self.history = [
+                *self.history[-99:],
+                {
+                    "at": self.loop.kernel.wall() // 1000,
+                    "build": build,
+                    "stage": stage,
+                    "phase": phase,
+                    "why": why,
+                },
+            ]
         state = self.news()
         mark = {k: v for k, v in state.items() if k != "age_us"}
         due = now - self.told_at >= self.sheet.release.news_period
@@ -236,7 +273,7 @@
             if stream.over or not stream.put(one):
                 self.streams[number].remove(stream)
 
-    # --- calls -----------------------------------------------------------------------------------------------
+    # --- calls ----------------------------------------------------------------------------------------------
 
     def handle(self, request):
         route = request.method, request.path
@@ -273,7 +310,7 @@
         self.comeback.gateway(number, request.query.get("seen"))
         stream = Stream()
         self.streams.setdefault(number, []).append(stream)
-        if not self.comeback.collecting:               # else with the first tick: guards against telling what is old
+        if not self.comeback.collecting:  # else with the first tick: guards against telling what is old
             self.tell(number, {"news": self.news()})
         return stream
 
@@ -284,7 +321,7 @@
         if self.comeback.shut:
             return json_answer(429, {"answer": "full"})
         answer = self.stages.vote(self.loop.now(), number, body["build"], body["stage"], body.get("verdict"))
-        self.keep()                                    # a vote that was answered is one that counts, also after a crash
+        self.keep()  # a vote that was answered is one that counts, also after a crash
         told = {"answer": answer, "news": self.news()} if answer == "ok" else {"answer": answer}
         return json_answer({"ok": 200, "moot": 409, "full": 429}[answer], told)
 
@@ -300,8 +337,8 @@
         return json_answer(202, {})
 
     def take_ring(self, data):
-        """A signed key ring for all hosts. It is held against the sheet's ring and all that have come since, kept, and
-        handed on; each host checks it again for itself."""
+        """A signed key ring for all hosts. It is held against the sheet's ring and all that have come since,
+        kept, and handed on; each host checks it again for itself."""
         first = msgspec.json.decode(self.loop.kernel.read_file(self.sheet.builds.keys) or b"{}", type=Ring)
         try:
             held, _ = rings_after(first, [base64.b64decode(one) for one in self.rings], self.wall())
@@ -340,10 +377,14 @@
             yield Sleep(TICK)
 
     def stands(self, build):
-        """While the operator is waited for, offering the newest build once more says that it is the released one."""
+        """While the operator is waited for, offering the newest build once more says that it is the released
+        one."""
         if build != self.stages.build:
-            raise Refusal(409, f"the desk waits ({self.comeback.returning.why}): offer build {self.stages.build} "
-                               "again if it is to stay, or send it back")
+            raise Refusal(
+                409,
+                f"the desk waits ({self.comeback.returning.why}): offer build {self.stages.build} "
+                "again if it is to stay, or send it back",
+            )
         self.comeback.settle(f"an operator says that build {build} stays")
         self.stages.set(self.loop.now(), "released", 0, "an operator says that it stays")
         self.keep()
@@ -365,14 +406,22 @@
     def status(self):
         now, stages = self.loop.now(), self.stages
         missing = [f"{what} {' '.join(map(str, rest))}" for what, *rest in stages.ordered]
-        return {"news": self.news(), "returning": self.comeback.status(), "condemned": stages.condemned,
-                "stable": stages.stable, "offered": stages.offered,
-                "clock_us": None if stages.clock is None else now - stages.clock,
-                "votes": {v: stages.standing(now, v) for v in ("on", "hold", "back")},
-                "missing": self.hosts.missing(now) if self.hosts else [],
-                "streams": sum(map(len, self.streams.values())), "orders": missing,
-                "machines": [{"id": m.id, "place": m.place, "build": m.build, "state": m.state}
-                             for m in stages.machines.values()]}
+        return {
+            "news": self.news(),
+            "returning": self.comeback.status(),
+            "condemned": stages.condemned,
+            "stable": stages.stable,
+            "offered": stages.offered,
+            "clock_us": None if stages.clock is None else now - stages.clock,
+            "votes": {v: stages.standing(now, v) for v in ("on", "hold", "back")},
+            "missing": self.hosts.missing(now) if self.hosts else [],
+            "streams": sum(map(len, self.streams.values())),
+            "orders": missing,
+            "machines": [
+                {"id": m.id, "place": m.place, "build": m.build, "state": m.state}
+                for m in stages.machines.values()
+            ],
+        }
 
 
 def run_desk(kernel, sheet, log) -> None:
--- a/cobaltpond/desk/stages.py
+++ b/cobaltpond/desk/stages.py
@@ -4,13 +4,18 @@
 platform says is running. An order that is lost, late or carried out twice therefore puts itself right. All
 changes of phase go through `move`. Times are microseconds.
 """
+
 from dataclasses import dataclass, field
 
 TRIAL, GOING_BACK, RELEASED, WITHDRAWN = "trial", "going back", "released", "withdrawn"
-NEXT = {TRIAL: {TRIAL, GOING_BACK, RELEASED}, GOING_BACK: {WITHDRAWN}, RELEASED: {RELEASED, TRIAL, GOING_BACK},
-        WITHDRAWN: {TRIAL}}
-NOTHING = 0                                            # the build of an empty fleet
-ORDER_AGAIN = 2_000_000                                # an order not seen carried out is given again
+NEXT = {
+    TRIAL: {TRIAL, GOING_BACK, RELEASED},
+    GOING_BACK: {WITHDRAWN},
+    RELEASED: {RELEASED, TRIAL, GOING_BACK},
+    WITHDRAWN: {TRIAL},
+}
+NOTHING = 0  # the build of an empty fleet
+ORDER_AGAIN = 2_000_000  # an order not seen carried out is given again
 
 
 class Refused(Exception):
@@ -20,10 +25,11 @@
 @dataclass
 class Machine:
     """One instance as the platform tells of it."""
+
     id: str
     place: str
     build: int
-    state: str                                         # starting, up, draining
+    state: str  # starting, up, draining
     drained_at: int | None = None
 
 
@@ -37,8 +43,9 @@
 
 @dataclass
 class Stages:
-    """`release`: the sheet's call of that name; `places`: names of the fleet's places in the order in which they
-    get a new build; `build`: what runs at the start."""
+    """`release`: the sheet's call of that name; `places`: names of the fleet's places in the order in which
+    they get a new build; `build`: what runs at the start."""
+
     release: object
     places: list
     build: int
@@ -46,19 +53,19 @@
     stage: int = 0
     phase: str = RELEASED
     since: int = 0
-    stable: int | None = None                          # the build to return to
+    stable: int | None = None  # the build to return to
     offered: list = field(default_factory=list)
     machines: dict = field(default_factory=dict)
     votes: dict = field(default_factory=dict)
-    ordered: dict = field(default_factory=dict)        # what was ordered -> when
+    ordered: dict = field(default_factory=dict)  # what was ordered -> when
     launched: int = 0
-    clock: int | None = None                           # when the stage's clock began
+    clock: int | None = None  # when the stage's clock began
     held: int = 0
     tokens: float | None = None
     tokens_at: int = 0
     story: list = field(default_factory=list)
-    turns: int = 0                                     # grows with each change that others may act by
-    condemned: list = field(default_factory=list)      # builds that went back: none of them goes out again
+    turns: int = 0  # grows with each change that others may act by
+    condemned: list = field(default_factory=list)  # builds that went back: none of them goes out again
 
     def __post_init__(self):
         self.since = self.now
@@ -68,14 +75,20 @@
     # --- over a restart ------------------------------------------------------------------------------------
 
     KEPT = ("build", "stage", "phase", "stable", "offered", "held")
-    ALSO_KEPT = ("turns", "condemned")                 # since December 2026: a journal from before has none
+    ALSO_KEPT = ("turns", "condemned")  # since December 2026: a journal from before has none
 
     def dump(self) -> dict:
-        """What must outlive the desk. Moments are kept as ages; the platform's instances are asked for anew, and
-        orders follow from the difference, so that neither has to be remembered."""
-        return {**{name: getattr(self, name) for name in (*self.KEPT, *self.ALSO_KEPT)}, "at": self.now,
-                "since": self.since, "launched": self.launched, "clock": self.clock, "places": list(self.places),
-                "votes": {str(n): [v.build, v.stage, v.verdict, v.at] for n, v in self.votes.items()}}
+        """What must outlive the desk. Moments are kept as ages; the platform's instances are asked for anew,
+        and orders follow from the difference, so that neither has to be remembered."""
+        return {
+            **{name: getattr(self, name) for name in (*self.KEPT, *self.ALSO_KEPT)},
+            "at": self.now,
+            "since": self.since,
+            "launched": self.launched,
+            "clock": self.clock,
+            "places": list(self.places),
+            "votes": {str(n): [v.build, v.stage, v.verdict, v.at] for n, v in self.votes.items()},
+        }
 
     def load(self, kept: dict, now: int) -> None:
         """Carries on from a dump. A clock that has begun anew since (a machine that booted) counts as no time
@@ -87,13 +100,15 @@
         self.offered, self.places = list(kept["offered"]), list(kept["places"])
         self.since, self.launched, self.now = kept["since"] + moved, kept["launched"] + moved, now
         self.clock = None if kept["clock"] is None else kept["clock"] + moved
-        self.votes = {int(n): Vote(b, s, verdict, at + moved) for n, (b, s, verdict, at) in kept["votes"].items()}
+        self.votes = {
+            int(n): Vote(b, s, verdict, at + moved) for n, (b, s, verdict, at) in kept["votes"].items()
+        }
 
-    # --- what is to run --------------------------------------------------------------------------------------
+    # --- what is to run -------------------------------------------------------------------------------------
 
     def trial_places(self) -> list:
         share = self.release.shares[self.stage]
-        return self.places[:max(1, int(share * len(self.places) + 0.5))]
+        return self.places[: max(1, int(share * len(self.places) + 0.5))]
 
     def wanted(self) -> dict:
         """place -> the builds that should run there."""
@@ -103,8 +118,12 @@
             return {place: {self.stable} for place in self.places}
         trial = set(self.trial_places())
         beside = self.release.layout == "beside"
-        return {place: ({self.stable, self.build} if beside else {self.build}) if place in trial else {self.stable}
-                for place in self.places}
+        return {
+            place: ({self.stable, self.build} if beside else {self.build})
+            if place in trial
+            else {self.stable}
+            for place in self.places
+        }
 
     def running(self, place, build) -> bool:
         return any(m.place == place and m.build == build and m.state == "up" for m in self.machines.values())
@@ -132,10 +151,11 @@
             self.ordered[order] = now
         return fresh
 
-    # --- what happens ----------------------------------------------------------------------------------------
+    # --- what happens ---------------------------------------------------------------------------------------
 
     def move(self, now: int, phase: str, stage: int, why: str, room: bool = False) -> None:
-        """The one place where phase and stage change. `room`: it goes back for a later one, not for what it did."""
+        """The one place where phase and stage change. `room`: it goes back for a later one, not for what it
+        did."""
         if phase not in NEXT[self.phase]:
             raise RuntimeError(f"a release cannot go from {self.phase} to {phase}")
         if phase == GOING_BACK and not room and self.build not in self.condemned:
@@ -149,9 +169,11 @@
         self.story.append((now, self.build, stage, phase, why))
 
     def resume(self, now: int, plan, why: str) -> None:
-        """Not by the table: what others have seen (`recovery.lost.Plan`) takes the place of an older state. Raises
-        Refused where there would be nothing to return to."""
-        mine = [b for b in (plan.stable, self.build, self.stable) if b not in (None, NOTHING) and b < plan.build]
+        """Not by the table: what others have seen (`recovery.lost.Plan`) takes the place of an older state.
+        Raises Refused where there would be nothing to return to."""
+        mine = [
+            b for b in (plan.stable, self.build, self.stable) if b not in (None, NOTHING) and b < plan.build
+        ]
         stable = next((b for b in mine if b not in plan.condemned), None)
         if stable is None and plan.phase in (TRIAL, GOING_BACK, WITHDRAWN):
             raise Refused(f"of build {plan.build}, {plan.phase}, nobody knows which one to return to")
@@ -165,7 +187,7 @@
         newest = max([self.build, *self.offered])
         if build <= newest:
             raise Refused(f"build {build} is not later than {newest}")
-        if self.build == NOTHING:                      # an empty fleet: there is no earlier build to compare with
+        if self.build == NOTHING:  # an empty fleet: there is no earlier build to compare with
             self.build = build
             return self.move(now, RELEASED, 0, "the first build")
         self.offered.append(build)
@@ -203,8 +225,12 @@
             return "full"
         self.tokens -= 1
         clock, here = self.release.gate == "clock", (build, stage) == (self.build, self.stage)
-        legal = {"none": build == self.build, "back": build == self.build and self.phase in (TRIAL, RELEASED),
-                 "on": here and self.phase == TRIAL and not clock, "hold": here and self.phase == TRIAL and clock}
+        legal = {
+            "none": build == self.build,
+            "back": build == self.build and self.phase in (TRIAL, RELEASED),
+            "on": here and self.phase == TRIAL and not clock,
+            "hold": here and self.phase == TRIAL and clock,
+        }
         if not legal.get(verdict, False) or self.stable is None and verdict == "back":
             return "moot"
         self.votes[gateway] = Vote(build, stage, verdict, now)
@@ -213,8 +239,13 @@
 
     def standing(self, now: int, verdict: str) -> int:
         """How many votes stand for this verdict on the newest build, and for on and hold on its stage."""
-        return sum(v.verdict == verdict and v.build == self.build and now - v.at < self.release.vote_life
-                   and (verdict == "back" or v.stage == self.stage) for v in self.votes.values())
+        return sum(
+            v.verdict == verdict
+            and v.build == self.build
+            and now - v.at < self.release.vote_life
+            and (verdict == "back" or v.stage == self.stage)
+            for v in self.votes.values()
+        )
 
     def tick(self, now: int) -> None:
         passed, self.now = now - self.now, now
@@ -246,7 +277,12 @@
             ready = now - self.clock >= release.dwell and self.standing(now, "on") >= need
         if ready:
             last = self.stage == len(release.shares) - 1
-            self.move(now, RELEASED if last else TRIAL, self.stage + (not last), "every stage passed" if last else "on")
+            self.move(
+                now,
+                RELEASED if last else TRIAL,
+                self.stage + (not last),
+                "every stage passed" if last else "on",
+            )
 
     def settled_back(self) -> bool:
         covered = all(self.running(place, self.stable) for place in self.places)
@@ -263,5 +299,10 @@
         return self.release.caps[self.stage] * bare / len(self.places)
 
     def news(self, now: int) -> dict:
-        return {"build": self.build, "stage": self.stage, "phase": self.phase, "cap": self.cap(),
-                "age_us": max(0, now - self.since)}
+        return {
+            "build": self.build,
+            "stage": self.stage,
+            "phase": self.phase,
+            "cap": self.cap(),
+            "age_us": max(0, now - self.since),
+        }
--- a/cobaltpond/edge/__main__.py
+++ b/cobaltpond/edge/__main__.py
@@ -1,4 +1,5 @@
 """python -m cobaltpond.edge: one gateway in the foreground. Exit code 2: the configuration is of no use."""
+
 import sys
 
 from cobaltpond.edge.config import BadConfig, read_config
--- a/cobaltpond/edge/config.py
+++ b/cobaltpond/edge/config.py
@@ -1,4 +1,5 @@
 """The platform's configuration: one JSON file, checked, with the settings as the decisions' runsheet."""
+
 from dataclasses import dataclass
 from math import isfinite
 
@@ -6,20 +7,41 @@
 from cobaltpond.wire.address import split_address
 from cobaltpond.wire.lines import BadLine, one_object
 
-MOST = 8 << 20                                         # bytes of the file
-# Parts of the limit of descriptors. Some are kept for desk, list, peers and the moment in which one replaces another;
-# clients and instances share the rest, each up to a part. Clients hold at most a third of all for hits, a forward
-# takes one each: what is more in the clients' part is for those who ask little and stay.
+MOST = 8 << 20  # bytes of the file
+# Parts of the limit of descriptors. Some are kept for desk, list, peers and the moment in which one replaces
+# another; clients and instances share the rest, each up to a part. Clients hold at most a third of all for
+# hits, a forward takes one each: what is more in the clients' part is for those who ask little and stay.
 KEPT_LEAST, KEPT, CLIENTS, INSTANCES = 24, 1 / 12, 0.7, 0.6
 
 
-# A second answer may come some milliseconds after the first (the fleet days' page): so long a connection rests before
-# the next hit goes over it. The protocol's page gives every time limit as much.
+# A second answer may come some milliseconds after the first (the fleet days' page): so long a connection
+# rests before the next hit goes over it. The protocol's page gives every time limit as much.
 REST = 50_000
 KINDS = ("repeatable", "tagged", "mutating")
-NO_FIGURES = {"name", "kind", "scope", "zone", "zones", "customers", "benefit_by", "weights", "reports", "report_names",
-              "gate", "layout", "exposure_by", "list_by", "path_groups", "keys_stay", "warm_keys", "may_cancel",
-              "may_duplicate", "may_probe", "may_tell", "may_advise"}
+NO_FIGURES = {
+    "name",
+    "kind",
+    "scope",
+    "zone",
+    "zones",
+    "customers",
+    "benefit_by",
+    "weights",
+    "reports",
+    "report_names",
+    "gate",
+    "layout",
+    "exposure_by",
+    "list_by",
+    "path_groups",
+    "keys_stay",
+    "warm_keys",
+    "may_cancel",
+    "may_duplicate",
+    "may_probe",
+    "may_tell",
+    "may_advise",
+}
 
 
 class BadConfig(Exception):
@@ -29,6 +51,7 @@
 @dataclass(frozen=True)
 class Instances:
     """What `gateway.instances.Places` goes by. Times in microseconds."""
+
     connections: int
     dial_time: int
     idle_time: int
@@ -38,6 +61,7 @@
 @dataclass(frozen=True)
 class Config:
     """Addresses as (host, port). `known` and `news` are JSON as the platform writes them."""
+
     name: str
     listen: tuple
     discovery: tuple
@@ -68,9 +92,14 @@
 
     @property
     def instances(self) -> Instances:
-        # what has idled nine tenths of its time is closed here, before the machine does it with a hit on its way
-        return Instances(self.instance_room, self.runsheet["dial_time_out"], self.runsheet["idle_time"] * 9 // 10,
-                         min(REST, self.runsheet["idle_time"] // 2))
+        # what has idled nine tenths of its time is closed here, before the machine does it with a hit on its
+        # way
+        return Instances(
+            self.instance_room,
+            self.runsheet["dial_time_out"],
+            self.runsheet["idle_time"] * 9 // 10,
+            min(REST, self.runsheet["idle_time"] // 2),
+        )
 
 
 def check_figures(whose: str, told: dict) -> None:
@@ -78,7 +107,8 @@
     for name, value in told.items():
         figures = value if name in ("stage_shares", "stage_caps") else [] if name in NO_FIGURES else [value]
         if not isinstance(figures, list) or not all(
-                isinstance(one, (int, float)) and isfinite(one) and one >= 0 for one in figures):
+            isinstance(one, (int, float)) and isfinite(one) and one >= 0 for one in figures
+        ):
             raise BadConfig(f"{whose}: {name} makes no sense as {str(value)[:60]!r}")
 
 
@@ -103,14 +133,21 @@
         sheet.setdefault("answer_slack", 0)
         rollouts, seed, limits = told["rollouts"], told.get("seed"), told.get("limits") or {}
         return Config(
-            name=str(told["name"]), listen=split_address(told["listen"]), discovery=split_address(told["discovery"]),
-            desk=split_address(rollouts["address"]), seed=int(seed, 16) if isinstance(seed, str) else int(seed or 0),
-            sockets=int(limits.get("sockets") or 1024), memory_mb=float(limits.get("memory_mb") or 0),
+            name=str(told["name"]),
+            listen=split_address(told["listen"]),
+            discovery=split_address(told["discovery"]),
+            desk=split_address(rollouts["address"]),
+            seed=int(seed, 16) if isinstance(seed, str) else int(seed or 0),
+            sockets=int(limits.get("sockets") or 1024),
+            memory_mb=float(limits.get("memory_mb") or 0),
             cores=float(limits.get("cores") or 0),
             peer_listen=split_address(told["peer_listen"]) if told.get("peer_listen") else None,
             peers=tuple(split_address(peer) for peer in told.get("peers") or ()),
             peers_all=split_address(told["peers_all"]) if told.get("peers_all") else None,
-            known=told.get("known"), news=rollouts.get("news"), runsheet=sheet)
+            known=told.get("known"),
+            news=rollouts.get("news"),
+            runsheet=sheet,
+        )
     except BadConfig:
         raise
     except KeyError as trouble:
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -1,4 +1,6 @@
-"""The list of instances as the platform's discovery tells it: all of it once, then watches one after another."""
+"""The list of instances as the platform's discovery tells it: all of it once, then watches one after
+another."""
+
 from cobaltpond.calls import FAILED, Backoff, call
 from cobaltpond.edge.source_switch import SourceSwitch
 from cobaltpond.loop import Deadline, Queue, Sleep, TimedOut
@@ -6,13 +8,13 @@
 from cobaltpond.wire.lines import BadLine, one_object
 
 STATES = {"up": "up", "draining": "draining", "removed": "gone"}
-WATCH = 2_000_000                                      # how long a watch may wait for something new
-ANSWER = 1_000_000                                     # how late an answer that need not wait may come
-PAUSE = 50_000                                         # after an answer that came early and told nothing
-ASK_AGAIN, LONGEST_PAUSE = 100_000, 100_000            # less than the grace that rules give what was told
+WATCH = 2_000_000  # how long a watch may wait for something new
+ANSWER = 1_000_000  # how late an answer that need not wait may come
+PAUSE = 50_000  # after an answer that came early and told nothing
+ASK_AGAIN, LONGEST_PAUSE = 100_000, 100_000  # less than the grace that rules give what was told
 HOSTS = "/discovery/hosts"
-OLDER = 6_000_000                                      # a source that tells only of older versions for so long has lost
-                                                       # them: whatever it was late with counts as told by then
+OLDER = 6_000_000  # a source that tells only of older versions for so long has lost
+# them: whatever it was late with counts as told by then
 
 
 class Listed:
@@ -22,8 +24,8 @@
         self.seq, self.starts = 0, {}
 
     def apply(self, now: int, wall: int, told: dict) -> tuple[bool, list]:
-        """(whole, [(row, address)]). `now` and `wall` are one moment on our clock and in Unix time, microseconds.
-        Raises BadLine, and then nothing of it is kept."""
+        """(whole, [(row, address)]). `now` and `wall` are one moment on our clock and in Unix time,
+        microseconds. Raises BadLine, and then nothing of it is kept."""
         try:
             whole, seq = told["whole"], int(told["seq"])
             rows, starts = [], {}
@@ -33,14 +35,24 @@
                 started = self.starts.get((id, born), now - (wall - born * 1000)) if born else None
                 if born:
                     starts[id, born] = started
-                rows.append(({"id": id, "build": int(entry.get("revision_no") or 0), "cell": entry.get("block"),
-                              "zone": entry.get("site"), "state": STATES[entry["health"]],
-                              "weight": entry.get("share") or 1, "started": started},
-                             split_address(entry["dial"]) if entry["health"] != "removed" else ("", 0)))
+                rows.append(
+                    (
+                        {
+                            "id": id,
+                            "build": int(entry.get("revision_no") or 0),
+                            "cell": entry.get("block"),
+                            "zone": entry.get("site"),
+                            "state": STATES[entry["health"]],
+                            "weight": entry.get("share") or 1,
+                            "started": started,
+                        },
+                        split_address(entry["dial"]) if entry["health"] != "removed" else ("", 0),
+                    )
+                )
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as trouble:
             raise BadLine(f"no list: {trouble!r}") from trouble
         if seq < self.seq:
-            return False, []                           # another source has told more: nothing goes back to before that
+            return False, []  # another source has told more: nothing goes back to before that
         self.seq = seq
         if whole:
             self.starts = starts
@@ -63,8 +75,12 @@
         if rows or whole:
             self.counts["applied"] += 1
             self.host.places.update(whole, rows)
-            self.log.info("list", seq=self.listed.seq, whole=whole,
-                          rows=[f"{r['id']} {r['state']} build {r['build']}" for r, _ in rows][:20])
+            self.log.info(
+                "list",
+                seq=self.listed.seq,
+                whole=whole,
+                rows=[f"{r['id']} {r['state']} build {r['build']}" for r, _ in rows][:20],
+            )
         if rows or whole or self.asking:
             self.host.post_first("on_list", whole, [row for row, _ in rows])
         return int(told["seq"])
@@ -84,9 +100,9 @@
         self.following.start(self.follow(address))
 
     def follow(self, address):
-        """For ever. An agent that says nothing, nonsense or only what is old is asked for the whole list again. Each
-        source is asked by the version that it told itself (None: for the whole list): what it tells then fits on all
-        that is newer than that, whoever told it."""
+        """For ever. An agent that says nothing, nonsense or only what is old is asked for the whole list
+        again. Each source is asked by the version that it told itself (None: for the whole list): what it
+        tells then fits on all that is newer than that, whoever told it."""
         backoff, version, doubted = Backoff(20_000, LONGEST_PAUSE, self.loop.kernel.seed()), None, None
         while True:
             asked, target = self.loop.now(), f"{HOSTS}?after={version}&wait_ms={WATCH // 1000}"
@@ -101,16 +117,19 @@
                 before, version = version, self.take(one_object(body))
                 self.heard = True
                 self.following.heard()
-                doubted = (self.loop.now() if doubted is None else doubted) if version < self.listed.seq else None
+                doubted = (
+                    (self.loop.now() if doubted is None else doubted) if version < self.listed.seq else None
+                )
                 if doubted is not None and self.loop.now() - doubted > OLDER:
                     # guards against a discovery that has lost its versions: what it says is all there is now
                     self.listed.seq, doubted, version = 0, None, None
                 elif before is not None and version <= before and self.loop.now() - asked < WATCH // 2:
-                    # nothing new, though it need not have answered yet: the whole list, after a pause shorter than
-                    # what may lie between two calls. Guards against old versions for ever, and a loop without pauses
+                    # nothing new, though it need not have answered yet: the whole list, after a pause shorter
+                    # than what may lie between two calls. Guards against old versions for ever, and a loop
+                    # without pauses
                     version = None
                     yield Sleep(PAUSE)
-                if before is not None:                 # a whole list alone is no sign that watches come whole again
+                if before is not None:  # a whole list alone is no sign that watches come whole again
                     backoff.reset()
             except (*FAILED, TimedOut) as trouble:
                 self.counts["errors"] += 1
@@ -121,9 +140,9 @@
                 yield Sleep(backoff.next())
 
     def whole_list(self, address):
-        """(status, body) of whichever call answers first; asked again every `ASK_AGAIN`, as the agent is on this
-        machine and answers at once. Guards against one that was silent: it does not answer what it was asked
-        meanwhile, and what it has at its return counts as told at once."""
+        """(status, body) of whichever call answers first; asked again every `ASK_AGAIN`, as the agent is on
+        this machine and answers at once. Guards against one that was silent: it does not answer what it was
+        asked meanwhile, and what it has at its return counts as told at once."""
         answers, calls = Queue(2 * ANSWER // ASK_AGAIN), []
 
         def one():
@@ -133,6 +152,7 @@
                 answers.put_now((told, None))
             except (*FAILED, TimedOut) as trouble:
                 answers.put_now((None, trouble))
+
         try:
             while True:
                 calls.append(self.loop.spawn(one(), "discovery-ask"))
--- a/cobaltpond/edge/door.py
+++ b/cobaltpond/edge/door.py
@@ -1,21 +1,22 @@
 """The door for clients: PostgreSQL's protocol, one hit at a time on each connection, one final answer a hit.
 
-Clients that make no sense get one FATAL error and a close, and nothing that they sent goes further. All that a
-client can make us keep is bounded: a message by its length, commands behind an open one by count, answers that it
-does not read by size and time, connections by the configuration's descriptors.
+Clients that make no sense get one FATAL error and a close, and nothing that they sent goes further. All that
+a client can make us keep is bounded: a message by its length, commands behind an open one by count, answers
+that it does not read by size and time, connections by the configuration's descriptors.
 """
+
 from cobaltpond.gateway.hits import Owed
 from cobaltpond.loop import Connection, PeerLost, Sleep, Writable, serve
 from cobaltpond.wire import pg
 from cobaltpond.wire.statement import PLAIN_NAME, NoStatement, Statement
 
-SILENT = 2_200_000                                     # a client that has asked nothing goes: 3 s are its due
-YOUNG = 150_000                                        # who means to ask has asked by then, when room is short
-IDLE_ENOUGH = 2_000_000                                # one that has asked may be closed after that,
-IDLE_PRESSED = 300_000                                 # or after this where another would have to wait
-WAITING_MOST = 16                                      # commands behind an open one
-UNREAD_MOST = 1 << 20                                  # bytes of answers that a client does not take
-CLOSING, CLOSING_BYTES = 500_000, 256 << 10            # how long and how much is read after our end of file
+SILENT = 2_200_000  # a client that has asked nothing goes: 3 s are its due
+YOUNG = 150_000  # who means to ask has asked by then, when room is short
+IDLE_ENOUGH = 2_000_000  # one that has asked may be closed after that,
+IDLE_PRESSED = 300_000  # or after this where another would have to wait
+WAITING_MOST = 16  # commands behind an open one
+UNREAD_MOST = 1 << 20  # bytes of answers that a client does not take
+CLOSING, CLOSING_BYTES = 500_000, 256 << 10  # how long and how much is read after our end of file
 SWEEP = 200_000
 FOREVER = 1 << 60
 TOO_MANY = pg.error("53300", "too many connections, and nothing was asked", fatal=True)
@@ -44,9 +45,9 @@
                 break
 
     def quiet(self) -> bool:
-        """Has nothing come that has no answer yet, in whole or in part, read or still unread in the socket? What is
-        unread is read now. Guards against a close that crosses a request: one that lies in the socket is not lost by
-        it, nor thrown away behind our end of file."""
+        """Has nothing come that has no answer yet, in whole or in part, read or still unread in the socket?
+        What is unread is read now. Guards against a close that crosses a request: one that lies in the socket
+        is not lost by it, nor thrown away behind our end of file."""
         if self.hit is not None or self.waiting or self.closing is not None:
             return False
         try:
@@ -60,7 +61,7 @@
     def put(self, data: bytes) -> None:
         """Sends; what the client does not take at once is kept, within a bound, and sent by a task."""
         self.active = self.loop.now()
-        if self.writer is not None:                    # in order, behind what is on its way
+        if self.writer is not None:  # in order, behind what is on its way
             self.unread += data
         else:
             try:
@@ -71,7 +72,7 @@
             self.unread = data[sent:]
             if self.unread:
                 self.writer = self.loop.spawn(self.rest(), "door-rest")
-        if len(self.unread) > UNREAD_MOST:             # guards against clients that ask and never read
+        if len(self.unread) > UNREAD_MOST:  # guards against clients that ask and never read
             self.door.count("unread")
             self.connection.abort()
 
@@ -79,7 +80,7 @@
         try:
             while self.unread:
                 sent = self.connection.write_now(self.unread)
-                if sent:                               # a slow reader that reads on is not cut off
+                if sent:  # a slow reader that reads on is not cut off
                     self.unread, self.active = self.unread[sent:], self.loop.now()
                 else:
                     yield Writable(self.connection.handle)
@@ -92,8 +93,8 @@
             self.connection.handle.finish()
 
     def half_close(self) -> None:
-        """Our end of file first; closed once the client has sent its own, or little more has come, or time has
-        passed: closing at once on bytes that lie unread would reset the answer away."""
+        """Our end of file first; closed once the client has sent its own, or little more has come, or time
+        has passed: closing at once on bytes that lie unread would reset the answer away."""
         if self.closing is None:
             self.closing = self.loop.now()
             self.waiting.clear()
@@ -133,7 +134,7 @@
             self.put(pg.PLAIN_ONLY)
         elif kind == "wrong":
             self.refuse(value.code, str(value))
-        else:                                          # Terminate, or a wish to call off: nothing is owed to it
+        else:  # Terminate, or a wish to call off: nothing is owed to it
             self.leave()
             self.half_close()
 
@@ -162,14 +163,24 @@
         left = min(statement.left, group["client_timeout"], door.time_remaining())
         if door.host.full() or left <= 0:
             door.count("turned away")
-            self.put(pg.error("53300", "no room for a further hit" if left > 0 else "this gateway ends") + pg.READY)
+            self.put(
+                pg.error("53300", "no room for a further hit" if left > 0 else "this gateway ends") + pg.READY
+            )
             return
         self.hit = Hit(self, statement)
         door.open_ids[statement.id] = self.hit
         customer = statement.customer if statement.customer in door.customers else None
         slack = door.host.slack
-        door.host.take(self.hit, statement.group, customer, int(statement.ref, 16) >> 11, left, None,
-                       statement.again, left - slack // 2)
+        door.host.take(
+            self.hit,
+            statement.group,
+            customer,
+            int(statement.ref, 16) >> 11,
+            left,
+            None,
+            statement.again,
+            left - slack // 2,
+        )
 
     def answered(self) -> None:
         """The open hit has its final answer: the next command's turn."""
@@ -198,13 +209,19 @@
         self.answer("bounced", pg.error("53300", "not taken on now", detail) + pg.READY)
 
     def error(self, late: bool) -> None:
-        self.answer("errored", pg.error("57014" if late else "58000", "no answer in time; it may have run" if late
-                                        else "it failed; it may have run") + pg.READY)
+        self.answer(
+            "errored",
+            pg.error(
+                "57014" if late else "58000",
+                "no answer in time; it may have run" if late else "it failed; it may have run",
+            )
+            + pg.READY,
+        )
 
 
 class Door:
     """`groups`: path group -> its row of the runsheet; `room()`: how many connections of clients may be
-        now, `most`: ever."""
+    now, `most`: ever."""
 
     def __init__(self, loop, host, runsheet: dict, room, most: int, log):
         self.loop, self.host, self.log, self.room, self.most = loop, host, log, room, most
@@ -212,7 +229,7 @@
         self.customers = {row["name"] for row in runsheet["customers"]}
         self.may_cancel = bool(runsheet.get("may_cancel"))
         self.clients, self.open_ids, self.draining, self.counts = {}, {}, False, {}
-        self.listener, self.ends_at = None, None       # when all answers are out, once it drains
+        self.listener, self.ends_at = None, None  # when all answers are out, once it drains
 
     def count(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
@@ -239,27 +256,35 @@
     def open(self, listener) -> None:
         self.listener = listener
         self.accepting = self.loop.spawn(
-            serve(self.loop, listener, self.client, self.room, "client", pause=20_000, evict=self.evict), "door")
+            serve(self.loop, listener, self.client, self.room, "client", pause=20_000, evict=self.evict),
+            "door",
+        )
         self.loop.spawn(self.sweep(), "door-sweep")
 
     def evict(self) -> bool:
-        """Room for who is at the door: first who came and asked nothing, then the longest idle. Guards against
-        crowds that connect and say nothing, and clients that ask once and stay for good. Who asked nothing is told
-        so: a new connection that ends without a word counts as a request turned away, or lost."""
+        """Room for who is at the door: first who came and asked nothing, then the longest idle. Guards
+        against crowds that connect and say nothing, and clients that ask once and stay for good. Who asked
+        nothing is told so: a new connection that ends without a word counts as a request turned away, or
+        lost."""
         now, turned_away = self.loop.now(), False
         for client in list(self.clients):
-            spare = not client.began and now - client.came > YOUNG or client.idle and now - client.active > IDLE_PRESSED
+            spare = (
+                not client.began
+                and now - client.came > YOUNG
+                or client.idle
+                and now - client.active > IDLE_PRESSED
+            )
             if spare and not client.connection.closed:
                 if client.quiet():
                     self.count("evicted")
                     if not client.began:
                         client.put(TOO_MANY)
-                    client.connection.close()          # nothing lies unread: it ends as a half-close does
+                    client.connection.close()  # nothing lies unread: it ends as a half-close does
                     return True
                 if client.asked.torn and client.active < now and not turned_away:
                     self.count("evicted")
                     turned_away = True
-                    client.turn_away(TOO_MANY)         # its room is free when it has closed, or soon
+                    client.turn_away(TOO_MANY)  # its room is free when it has closed, or soon
         return len(self.clients) < self.most and self.host.places.evict()
 
     def client(self, connection):
@@ -278,7 +303,7 @@
                         return
                     continue
                 client.hear(data)
-                self.clients[client] = self.clients.pop(client)        # the longest idle come first
+                self.clients[client] = self.clients.pop(client)  # the longest idle come first
         finally:
             self.clients.pop(client, None)
             client.leave()
@@ -286,7 +311,8 @@
                 client.writer.cancel()
 
     def sweep(self):
-        """Closes who says nothing, stays in the middle of a message, or does not close: a task without end."""
+        """Closes who says nothing, stays in the middle of a message, or does not close: a task without
+        end."""
         while True:
             yield Sleep(SWEEP)
             self.sweep_once()
@@ -309,27 +335,28 @@
                     client.half_close()
 
     def half_close_idle(self, since: int) -> None:
-        """Ends what is open without a request, and has been so for this long. Guards against clients that go on sending
-        on every connection that stays open: also on one that was taken out of the backlog last, up to our very end.
-        Who is in the middle of a request may end it."""
+        """Ends what is open without a request, and has been so for this long. Guards against clients that go
+        on sending on every connection that stays open: also on one that was taken out of the backlog last, up
+        to our very end. Who is in the middle of a request may end it."""
         now = self.loop.now()
         for client in list(self.clients):
             if now - client.active >= since and client.quiet():
                 if client.began:
                     client.half_close()
-                else:                                  # it waits for an answer, as far as we know
+                else:  # it waits for an answer, as far as we know
                     client.turn_away(ENDING)
 
     def drain(self, linger: int, longest: int, flush: int = 100_000, began: int | None = None):
-        """New connections go on being taken for `linger` after `began` (now, where it is None); each one goes after its
-        answer. What is open `longest` later gets its final answer then, and what comes later still is turned away at
-        once. Ends when all is answered and closed, or `flush` later: none is lost by the end."""
+        """New connections go on being taken for `linger` after `began` (now, where it is None); each one goes
+        after its answer. What is open `longest` later gets its final answer then, and what comes later still
+        is turned away at once. Ends when all is answered and closed, or `flush` later: none is lost by the
+        end."""
         began = self.loop.now() if began is None else began
         self.draining, self.ends_at = True, began + linger + longest
         while self.loop.now() < began + linger:
             yield Sleep(10_000)
         self.accepting.cancel()
-        yield from self.accepting.join()               # it takes what waits in the backlog
+        yield from self.accepting.join()  # it takes what waits in the backlog
         self.half_close_idle(0)
         while self.loop.now() < self.ends_at and any(c.closing is None or c.writer for c in self.clients):
             yield Sleep(10_000)
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -1,21 +1,24 @@
-"""Carries out one forward over PostgreSQL's protocol: a connection, the statement out, the answer in, one `Ending`.
+"""Carries out one forward over PostgreSQL's protocol: a connection, the statement out, the answer in, one
+`Ending`.
 
-The answer is held back until it is whole, so a forward can always be followed by another. What an ending says of
-"may it have run?" hangs on the last byte of the statement: see `gateway/endings.py`.
+The answer is held back until it is whole, so a forward can always be followed by another. What an ending says
+of "may it have run?" hangs on the last byte of the statement: see `gateway/endings.py`.
 """
+
 from cobaltpond.gateway.endings import SEEN
 from cobaltpond.gateway.instances import NoConnection, Place
 from cobaltpond.loop import Deadline, PeerLost, TimedOut, Writable
 from cobaltpond.wire import pg
 
 USER, DATABASE = "web", "orders"
-REFUSALS = ("53300",)                                  # the instance promises that the hit did not run
-SHOWN = b"SHOW\0"                                      # how the answer to a probe ends
-PROBES = ("57P03",)                                    # what a probe is told by an instance that drains
+REFUSALS = ("53300",)  # the instance promises that the hit did not run
+SHOWN = b"SHOW\0"  # how the answer to a probe ends
+PROBES = ("57P03",)  # what a probe is told by an instance that drains
 
 
 def greet(connection):
-    """Startup and welcome, before any hit is written: a machine that accepts and says nothing has then not got it."""
+    """Startup and welcome, before any hit is written: a machine that accepts and says nothing has then not
+    got it."""
     connection.answers = answers = pg.Answers()
     try:
         yield from connection.write(pg.startup(USER, DATABASE))
@@ -45,14 +48,24 @@
     def probe(self, place: Place, tell):
         """A task: one cheap question to an instance. `tell(ending, took, report)`."""
         run = Run(self, place, lambda left: b"SHOW gauges", SHOWN, self.places.limits.dial_time)
-        yield from run.whole(lambda: True, None, lambda ending, took, closed, report: tell(ending, took, report))
+        yield from run.whole(
+            lambda: True, None, lambda ending, took, closed, report: tell(ending, took, report)
+        )
 
 
 class Run:
     """One forward under way."""
 
-    def __init__(self, forwards: Forwards, place: Place, statement, tag: bytes, time_out: int, send_within=None):
-        self.of, self.loop, self.place, self.statement, self.tag = forwards, forwards.loop, place, statement, tag
+    def __init__(
+        self, forwards: Forwards, place: Place, statement, tag: bytes, time_out: int, send_within=None
+    ):
+        self.of, self.loop, self.place, self.statement, self.tag = (
+            forwards,
+            forwards.loop,
+            place,
+            statement,
+            tag,
+        )
         self.began, self.time_out = forwards.loop.now(), time_out
         self.send_by = None if send_within is None else self.began + send_within
         self.connection, self.begun, self.wrote = None, False, False
@@ -77,7 +90,7 @@
                 self.loop.spawn(self.settle(self.place, self.connection), "settle")
                 self.connection = None
         finally:
-            self.close(seen)                           # before the decisions hear of it: no second copy is out
+            self.close(seen)  # before the decisions hear of it: no second copy is out
             self.of.seen[seen] += 1
             tell(SEEN[seen][0], self.loop.now() - self.began, closed or not wanted(), report)
 
@@ -119,18 +132,21 @@
         return "refusal" if answers.code in REFUSALS + PROBES else "server error"
 
     def send(self, data, wanted):
-        """None once the last byte is out, else a key of SEEN. A dial takes time, and so does a machine that takes no
-        more bytes: guards drains, the exposure cap and the key's window against what was told or passed meanwhile."""
+        """None once the last byte is out, else a key of SEEN. A dial takes time, and so does a machine that
+        takes no more bytes: guards drains, the exposure cap and the key's window against what was told or
+        passed meanwhile."""
         while True:
             if not wanted() or not self.of.is_current(self.place, self.began):
                 return "changed meanwhile"
             if self.send_by is not None and self.loop.kernel.now() >= self.send_by:
                 return "window over"
-            data = data[self.connection.write_now(data):]
+            data = data[self.connection.write_now(data) :]
             if not data:
                 return None
             self.begun = True
-            bound = Deadline(self.loop, self.time_out if self.send_by is None else self.send_by - self.loop.now())
+            bound = Deadline(
+                self.loop, self.time_out if self.send_by is None else self.send_by - self.loop.now()
+            )
             try:
                 with bound:
                     yield Writable(self.connection.handle)
@@ -163,7 +179,7 @@
         if connection is None:
             return
         if seen in ("changed meanwhile", "window over") and not self.begun:
-            self.of.places.give_back(self.place, connection)       # nothing was written to it
+            self.of.places.give_back(self.place, connection)  # nothing was written to it
         elif seen in ("answer", "refusal", "server error"):
             self.hand_back(self.place, connection)
         else:
--- a/cobaltpond/edge/log.py
+++ b/cobaltpond/edge/log.py
@@ -1,13 +1,14 @@
 """One JSON object a line, nothing imported for it: `run` has little memory and a part of a core."""
+
 import json
 import traceback
 
-MOST = 50                                              # lines a second; what is beyond is counted
+MOST = 50  # lines a second; what is beyond is counted
 
 
 class Log:
-    """`log.info("what", name=value, ...)`; also warning and error. Guards against a fault met by every hit: more
-    than `MOST` lines a second would cost the core that the hits need."""
+    """`log.info("what", name=value, ...)`; also warning and error. Guards against a fault met by every hit:
+    more than `MOST` lines a second would cost the core that the hits need."""
 
     def __init__(self, sink, part: str, wall):
         """`wall()`: microseconds since 1970."""
@@ -31,7 +32,7 @@
         try:
             self.sink.write(json.dumps(line, default=str) + "\n")
             self.sink.flush()
-        except OSError:                                # nobody reads it: no reason to stop serving
+        except OSError:  # nobody reads it: no reason to stop serving
             pass
 
     def info(self, event, **more):
--- a/cobaltpond/edge/main.py
+++ b/cobaltpond/edge/main.py
@@ -1,4 +1,5 @@
 """One gateway on the platform: puts the parts together, serves from the start, follows HUP and TERM."""
+
 from cobaltpond.edge.config import BadConfig, Config, read_config
 from cobaltpond.edge.discovery import Discovery
 from cobaltpond.edge.door import Door
@@ -9,15 +10,15 @@
 from cobaltpond.gateway.peers import Peers
 from cobaltpond.loop import Loop, Sleep, run_part
 
-FIRST_LIST = 500_000                                   # how long the door waits for a first list
-LINGER = 500_000                                       # new connections may come so long after TERM
-LONGEST = 3_000_000                                    # KILL comes no sooner after TERM than this and 0.7 s, where a
-                                                       # client timeout is longer; else than the longest of them
-ANSWERED = 400_000                                     # of those 0.7 s: all answers are out by then, and
-FLUSH = 200_000                                        # so long those are waited for who read slowly
+FIRST_LIST = 500_000  # how long the door waits for a first list
+LINGER = 500_000  # new connections may come so long after TERM
+LONGEST = 3_000_000  # KILL comes no sooner after TERM than this and 0.7 s, where a
+# client timeout is longer; else than the longest of them
+ANSWERED = 400_000  # of those 0.7 s: all answers are out by then, and
+FLUSH = 200_000  # so long those are waited for who read slowly
 BACKLOG = 512
-SAY = 5_000_000                                        # a line of figures so often
-READ_AGAIN = 2_000_000                                 # how long after HUP; what is told there counts 4 s after it
+SAY = 5_000_000  # a line of figures so often
+READ_AGAIN = 2_000_000  # how long after HUP; what is told there counts 4 s after it
 
 
 class Edge:
@@ -26,15 +27,31 @@
         sheet = config.runsheet
         self.places = Places(loop, config.instances, greet, self.instance_room)
         self.forwards = Forwards(loop, self.places, self.is_current)
-        self.host = Host(loop, sheet, config.seed & 0xffffff, 4 * config.sockets, sheet["answer_slack"], self.places,
-                         self.forwards, log)
-        self.discovery = self.host.list = Discovery(loop, self.host, config.discovery, log,
-                                                    sheet.get("list_by") == "asking")
-        self.platform = self.host.news = Platform(loop, self.host, config.desk, sheet.get("vote_wait", 1_000_000),
-                                                  sheet["dial_time_out"], log)
+        self.host = Host(
+            loop,
+            sheet,
+            config.seed & 0xFFFFFF,
+            4 * config.sockets,
+            sheet["answer_slack"],
+            self.places,
+            self.forwards,
+            log,
+        )
+        self.discovery = self.host.list = Discovery(
+            loop, self.host, config.discovery, log, sheet.get("list_by") == "asking"
+        )
+        self.platform = self.host.news = Platform(
+            loop, self.host, config.desk, sheet.get("vote_wait", 1_000_000), sheet["dial_time_out"], log
+        )
         if config.peer_listen and sheet.get("may_tell") and config.peers:
-            self.host.peers = Peers(loop, dict(enumerate(config.peers)), config.peer_listen, sheet["number"],
-                                    self.host, config.peers_all)
+            self.host.peers = Peers(
+                loop,
+                dict(enumerate(config.peers)),
+                config.peer_listen,
+                sheet["number"],
+                self.host,
+                config.peers_all,
+            )
         self.door = Door(loop, self.host, sheet, self.client_room, config.client_room, log)
         self.stop_asked, self.stop_at, self.late, self.reloads = False, 0, 0, 0
         loop.lag = self.lag
@@ -71,13 +88,18 @@
         end = loop.now() + FIRST_LIST
         while loop.now() < end and not self.discovery.heard and not self.stop_asked:
             yield Sleep(2_000)
-        if self.stop_asked:                            # nobody was let in, and nothing is owed
+        if self.stop_asked:  # nobody was let in, and nothing is owed
             self.log.info("stopped before the door was open")
             return
-        loop.kernel.settle()                           # before the door opens: it takes a while
+        loop.kernel.settle()  # before the door opens: it takes a while
         self.door.open(loop.kernel.listen(config.listen, BACKLOG))
-        self.log.info("door open", list=self.discovery.heard, memory_mb=config.memory_mb, cores=config.cores,
-                      sockets=config.sockets)
+        self.log.info(
+            "door open",
+            list=self.discovery.heard,
+            memory_mb=config.memory_mb,
+            cores=config.cores,
+            sockets=config.sockets,
+        )
         while not self.stop_asked:
             yield Sleep(20_000)
         self.log.info("stopping", open=self.host.open_hits)
@@ -95,8 +117,9 @@
             self.stop_asked, self.stop_at = True, self.loop.polled_at
 
     def reload(self, number: int):
-        """The addresses of list and desk as the file has them now. The rest of a configuration takes a restart.
-        Guards against a file that is only half there yet: it is read again for a while, unless a later signal does."""
+        """The addresses of list and desk as the file has them now. The rest of a configuration takes a
+        restart. Guards against a file that is only half there yet: it is read again for a while, unless a
+        later signal does."""
         end, wait = self.loop.now() + READ_AGAIN, 20_000
         while number == self.reloads:
             try:
@@ -118,12 +141,22 @@
         while True:
             yield Sleep(SAY)
             late, self.late = self.late, 0
-            self.log.info("figures", late_us=late, clients=len(self.door.clients), open=self.host.open_hits,
-                          hits=len(self.host.hits), held=self.places.open, tasks=len(self.loop.tasks),
-                          timers=len(self.loop.timers.heap), peers=self.host.peers and self.host.peers.counts,
-                          host=self.host.counts, **self.door.counts, given_up=self.host.decisions.given_up,
-                          admitted=round(self.host.decisions.admitted, 2),
-                          endings={k: v for k, v in self.forwards.seen.items() if v})
+            self.log.info(
+                "figures",
+                late_us=late,
+                clients=len(self.door.clients),
+                open=self.host.open_hits,
+                hits=len(self.host.hits),
+                held=self.places.open,
+                tasks=len(self.loop.tasks),
+                timers=len(self.loop.timers.heap),
+                peers=self.host.peers and self.host.peers.counts,
+                host=self.host.counts,
+                **self.door.counts,
+                given_up=self.host.decisions.given_up,
+                admitted=round(self.host.decisions.admitted, 2),
+                endings={k: v for k, v in self.forwards.seen.items() if v},
+            )
 
 
 def run_edge(kernel, path: str, config: Config, log) -> None:
--- a/cobaltpond/edge/platform.py
+++ b/cobaltpond/edge/platform.py
@@ -1,4 +1,5 @@
 """The platform's release desk: votes, and the feed of what it tells without being asked."""
+
 import json
 
 from cobaltpond.calls import FAILED, NOT_SENT, Backoff, call, follow
@@ -10,16 +11,21 @@
 PHASES = {"canary": "trial", "reverting": "going back", "stable": "released", "reverted": "withdrawn"}
 DECISIONS = {"none": "abstain", "on": "promote", "hold": "pause", "back": "abort"}
 BALLOTS, FEED = "/v2/projects/main/ballots", "/v2/projects/main/feed"
-SILENCE = 3_000_000                                    # a sign of life is due every second
+SILENCE = 3_000_000  # a sign of life is due every second
 COURSE = ("trial", "released", "going back", "withdrawn")
-LOWERED = 7                                            # builds whose cap fell last: an attempt dials for a second or so
+LOWERED = 7  # builds whose cap fell last: an attempt dials for a second or so
 NO_NEWS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 def state_of(told: dict) -> tuple:
     """build, stage, phase, cap, age in microseconds. Raises one of NO_NEWS."""
-    return (int(told["Revision"]), int(told["Wave"]), PHASES[told["State"]],
-            min(1.0, max(0.0, float(told["MaxShare"]))), max(0, int(told["AgeMs"] * 1000)))
+    return (
+        int(told["Revision"]),
+        int(told["Wave"]),
+        PHASES[told["State"]],
+        min(1.0, max(0.0, float(told["MaxShare"]))),
+        max(0, int(told["AgeMs"] * 1000)),
+    )
 
 
 def course(state: tuple) -> tuple:
@@ -35,12 +41,13 @@
         self.counts = {"news": 0, "wrong": 0, "errors": 0}
 
     def news(self, told: dict, reply: bool = False) -> None:
-        """Raises one of NO_NEWS. Guards against the answer to a vote that was on its way while the feed told of what
-        came after it: what comes before in a release's course, and began before, opens nothing again."""
+        """Raises one of NO_NEWS. Guards against the answer to a vote that was on its way while the feed told
+        of what came after it: what comes before in a release's course, and began before, opens nothing
+        again."""
         state, now = state_of(told), self.loop.now()
         self.counts["news"] += 1
         if self.last is not None and course(state) < course(self.last) and now - state[4] < self.began:
-            if reply:                                  # the vote counts all the same
+            if reply:  # the vote counts all the same
                 self.host.post_first("on_news", *self.last, max(0, now - self.began), True, "ok")
             return
         self.began = now - state[4]
@@ -49,13 +56,15 @@
             self.last = state[:4]
             self.log.info("news", build=state[0], stage=state[1], phase=state[2], cap=state[3], age=state[4])
             # forwards decided on a higher cap, and not yet written, are not written any more
-            if before is not None and (before[0] != state[0] or state[3] < before[3] or state[2] != before[2]):
+            if before is not None and (
+                before[0] != state[0] or state[3] < before[3] or state[2] != before[2]
+            ):
                 self.lowered = {**dict(list(self.lowered.items())[-LOWERED:]), state[0]: now}
         self.host.post_first("on_news", *state, reply, "ok")
 
     def take(self, objects: list) -> None:
-        """Raises BadLine: guards against a feed that came spoilt, whose next lines may be lost; a new one begins
-        with the state."""
+        """Raises BadLine: guards against a feed that came spoilt, whose next lines may be lost; a new one
+        begins with the state."""
         for told in objects:
             try:
                 if told.get("type") == "ROLLOUT":
@@ -66,7 +75,7 @@
                     instance, group, age = str(one["InstanceId"]), str(one["Lane"]), int(one["AgeMs"] * 1000)
                     self.counts["wrong"] += 1
                     self.host.post("on_wrong", instance, group, age)
-                elif told:                             # an empty object is a sign of life
+                elif told:  # an empty object is a sign of life
                     raise BadLine(f"no news: {str(told)[:80]}")
             except NO_NEWS as trouble:
                 raise BadLine(f"no news: {trouble!r}"[:200]) from trouble
@@ -86,8 +95,9 @@
 
     def follow(self, address):
         """The feed, for ever."""
+
         def take(objects):
-            if not self.following.replaced:            # what two feeds tell must not count twice
+            if not self.following.replaced:  # what two feeds tell must not count twice
                 self.following.heard()
                 self.take(objects)
 
@@ -95,24 +105,36 @@
             self.counts["errors"] += 1
             self.log.warning("feed broken", why=f"{type(trouble).__name__}: {trouble}"[:200])
 
-        yield from follow(self.loop, address, lambda: FEED, take, SILENCE, self.dial_time,
-                          Backoff(50_000, 1_000_000, self.loop.kernel.seed()), broken)
+        yield from follow(
+            self.loop,
+            address,
+            lambda: FEED,
+            take,
+            SILENCE,
+            self.dial_time,
+            Backoff(50_000, 1_000_000, self.loop.kernel.seed()),
+            broken,
+        )
 
     def vote(self, build, stage, verdict):
-        """One vote and exactly one answer: ok, moot, full, error (it did not count), timeout (it may count)."""
+        """One vote and exactly one answer: ok, moot, full, error (it did not count), timeout (it may
+        count)."""
         answer = "timeout"
-        body = json.dumps({"Revision": build, "Wave": stage, "Decision": DECISIONS[verdict]}, separators=(",", ":"))
+        body = json.dumps(
+            {"Revision": build, "Wave": stage, "Decision": DECISIONS[verdict]}, separators=(",", ":")
+        )
         try:
             with Deadline(self.loop, self.vote_wait):
-                status, text = yield from call(self.loop, self.address, "POST", BALLOTS, body.encode(),
-                                               self.dial_time)
+                status, text = yield from call(
+                    self.loop, self.address, "POST", BALLOTS, body.encode(), self.dial_time
+                )
             answer = ANSWERS.get(status, "error" if status in (400, 500) else "timeout")
             if status == 200:
                 self.news(one_object(text), True)
         except NOT_SENT:
             answer = "error"
         except (*FAILED, TimedOut, *NO_NEWS):
-            answer = "timeout"                         # it may have been heard, and what was said makes no sense
+            answer = "timeout"  # it may have been heard, and what was said makes no sense
         self.log.info("vote answered", build=build, stage=stage, verdict=verdict, answer=answer)
         if answer != "ok":
             self.host.post_first("on_news", build, stage, "trial", 0.0, 0, True, answer)
--- a/cobaltpond/gateway/answers.py
+++ b/cobaltpond/gateway/answers.py
@@ -1,8 +1,9 @@
 """The bytes of the final answers that the gateway gives itself (problem bodies: RFC 9457).
 
-A bounce promises that trying again is harmless: member `retry_harmless` and field `Cobaltpond-Retry: harmless`.
-An error page promises nothing, whatever is sent again.
+A bounce promises that trying again is harmless: member `retry_harmless` and field `Cobaltpond-Retry:
+harmless`. An error page promises nothing, whatever is sent again.
 """
+
 import json
 
 from cobaltpond.wire.http1 import response
@@ -10,7 +11,9 @@
 PROMISE = (b"cobaltpond-retry", b"harmless")
 
 
-def problem(status: int, kind: str, title: str, hit: str | None, more: dict, fields: list, keep: bool) -> bytes:
+def problem(
+    status: int, kind: str, title: str, hit: str | None, more: dict, fields: list, keep: bool
+) -> bytes:
     body = {"type": f"urn:cobaltpond:{kind}", "title": title, "status": status, **more}
     if hit is not None:
         body["instance"] = f"urn:cobaltpond:hit:{hit}"
@@ -40,7 +43,9 @@
 def limited(limit: str, retry_after: int, keep: bool) -> bytes:
     """A hit that a limit of the sheet bounced, before anything was done for it."""
     fields, more = harmless(retry_after)
-    return problem(429, "over-limit", f"Over the limit: {limit}", None, {**more, "limit": limit}, fields, keep)
+    return problem(
+        429, "over-limit", f"Over the limit: {limit}", None, {**more, "limit": limit}, fields, keep
+    )
 
 
 def errored(hit: str, late: bool, keep: bool) -> bytes:
--- a/cobaltpond/gateway/door.py
+++ b/cobaltpond/gateway/door.py
@@ -1,4 +1,5 @@
 """The door for clients: HTTP/1.1 connections, one hit at a time on each, one final answer a hit."""
+
 import json
 
 from cobaltpond.gateway import answers
@@ -9,8 +10,8 @@
 from cobaltpond.loop import Connection, Deadline, Event, PeerLost, Sleep, TimedOut, serve
 from cobaltpond.wire import http1
 
-IDLE_ENOUGH = 500_000                                  # microseconds; younger ones may be about to ask again
-OWN = b"/-/"                                           # the gateway's own pages; never forwarded
+IDLE_ENOUGH = 500_000  # microseconds; younger ones may be about to ask again
+OWN = b"/-/"  # the gateway's own pages; never forwarded
 
 
 class Visit:
@@ -42,18 +43,19 @@
             self.part()
 
     def write(self, data: bytes):
-        """Raises TimedOut where the client takes nothing for `door.write_time`: guards against slow readers."""
+        """Raises TimedOut where the client takes nothing for `door.write_time`: guards against slow
+        readers."""
         view = memoryview(data)
         while view:
             with Deadline(self.loop, self.door.sheet.door.write_time):
-                piece = view[:http1.PIECE]
+                piece = view[: http1.PIECE]
                 yield from self.connection.write(piece)
-                view = view[len(piece):]
+                view = view[len(piece) :]
         self.active = self.loop.now()
 
     def part(self) -> None:
-        """Our end of file first; the reader closes once the client has sent its own, or time has passed. Closing
-        at once while bytes of the client lie unread would reset the answer away (RFC 9112, 9.6)."""
+        """Our end of file first; the reader closes once the client has sent its own, or time has passed.
+        Closing at once while bytes of the client lie unread would reset the answer away (RFC 9112, 9.6)."""
         self.door.parting[self] = self.loop.now()
         self.connection.handle.finish()
 
@@ -78,7 +80,9 @@
     def deliver(self, head: http1.Head, body: bytes, place) -> None:
         fields, keep = self.passed(head, place), self.keep
         if self.head.method == "HEAD":
-            data = http1.bare(head.status, fields + [(b"content-length", n) for n in head.all(b"content-length")], keep)
+            data = http1.bare(
+                head.status, fields + [(b"content-length", n) for n in head.all(b"content-length")], keep
+            )
         elif head.status in (204, 304):
             data = http1.bare(head.status, fields, keep)
         else:
@@ -87,8 +91,11 @@
         self.visit.put(data, not keep)
 
     def passed(self, head, place) -> list:
-        return [*http1.passed_on(head.fields, {b"endpoint-load-metrics", b"cobaltpond-hit", b"cobaltpond-via"}),
-                (b"cobaltpond-hit", self.name.encode()), (b"cobaltpond-via", place.row["id"].encode())]
+        return [
+            *http1.passed_on(head.fields, {b"endpoint-load-metrics", b"cobaltpond-hit", b"cobaltpond-via"}),
+            (b"cobaltpond-hit", self.name.encode()),
+            (b"cobaltpond-via", place.row["id"].encode()),
+        ]
 
     def begin(self, head: http1.Head, place):
         """The point of no return: the first byte of a long answer goes out."""
@@ -133,7 +140,7 @@
     def __init__(self, loop, sheet, host, log, status, members=None):
         """`members`: this gateway's `members.service.Members`, where it knows the others."""
         self.loop, self.sheet, self.host, self.log, self.status = loop, sheet, host, log, status
-        self.members, self.limited = members, None     # `gateway.limited.Limited`, where the sheet has limits
+        self.members, self.limited = members, None  # `gateway.limited.Limited`, where the sheet has limits
         self.routes, self.visits, self.parting = Routes(sheet), {}, {}
         self.draining, self.counts = False, {}
         self.shares = Shares({c.name: c.share for c in sheet.customers}, 2 * sheet.release.exposure_window)
@@ -150,17 +157,27 @@
     def open(self, listener):
         self.listener = listener
         self.accepting = self.loop.spawn(
-            serve(self.loop, listener, self.visit, self.sheet.door.connections, "visit", evict=self.evict), "door")
+            serve(self.loop, listener, self.visit, self.sheet.door.connections, "visit", evict=self.evict),
+            "door",
+        )
         self.sweeper = self.loop.spawn(self.sweep(), "door-sweep")
 
     def evict(self) -> bool:
         """No handle left for who is at the door: the client that has been idle the longest goes, else a kept
-        connection to an instance. Guards against hits that wait unseen in the backlog past their client timeout."""
-        idle = [v for v in self.visits if v not in self.parting and not v.mid_head and not v.connection.closed
-                and (v.hit is None or v.hit.final and not v.hit.streaming) and (v.writing is None or v.writing.done)]
+        connection to an instance. Guards against hits that wait unseen in the backlog past their client
+        timeout."""
+        idle = [
+            v
+            for v in self.visits
+            if v not in self.parting
+            and not v.mid_head
+            and not v.connection.closed
+            and (v.hit is None or v.hit.final and not v.hit.streaming)
+            and (v.writing is None or v.writing.done)
+        ]
         if idle and self.loop.now() - idle[0].active > IDLE_ENOUGH:
             self.count("evicted")
-            idle[0].connection.close()                 # nothing of it is unread: it sees an end of file
+            idle[0].connection.close()  # nothing of it is unread: it sees an end of file
             return True
         return self.host.places.evict()
 
@@ -182,20 +199,20 @@
                         yield from visit.hit.tape.put(value)
                     elif visit.hit is not None:
                         visit.hit.tape.end()
-                        if events:                     # the next one is here already: answer in order
+                        if events:  # the next one is here already: answer in order
                             yield from self.settle(visit)
                 data = yield from connection.read()
                 if not data:
                     return
                 visit.active = self.loop.now()
                 if visit in self.parting:
-                    continue                           # read and thrown away until the client closes
+                    continue  # read and thrown away until the client closes
                 events = parser.feed(data)
                 visit.mid_head = parser.in_head and parser.begun
         except http1.BadMessage as trouble:
             self.count("unfit")
             if visit.hit is not None and not visit.hit.final:
-                self.host.gone(visit.hit)              # its body makes no sense: this is its final answer
+                self.host.gone(visit.hit)  # its body makes no sense: this is its final answer
             elif visit.hit is not None:
                 yield from self.settle(visit)
             visit.put(answers.unfit(trouble.status, str(trouble)), True)
@@ -255,7 +272,7 @@
         host.take(visit.hit, asked.group.name, asked.customer, asked.key, asked.left, asked.cost, asked.again)
 
     def own(self, visit, head) -> None:
-        what = head.target[len(OWN):]
+        what = head.target[len(OWN) :]
         visit.hit = None
         if what == b"status":
             body = json.dumps(self.status(), separators=(",", ":")).encode()
@@ -264,7 +281,8 @@
             good = what == b"live" or not self.draining
             visit.put(http1.response(200 if good else 503, [], b"ok\n" if good else b"stopping\n"), False)
         elif what == b"prefer":
-            # for fronts that have a choice. Not `ready`: were all gateways alone, none would be left in service
+            # for fronts that have a choice. Not `ready`: were all gateways alone, none would be left in
+            # service
             alone = self.members is not None and (self.members.alone or self.members.island)
             text = b"stopping\n" if self.draining else b"cut off from other gateways\n" if alone else b"ok\n"
             visit.put(http1.response(503 if alone or self.draining else 200, [], text), False)
@@ -295,9 +313,11 @@
         """Takes no new connections; every hit under way is answered, every connection then closed."""
         self.draining = True
         self.accepting.cancel()
-        yield Sleep(linger)                            # what is on its way still gets its answer
+        yield Sleep(linger)  # what is on its way still gets its answer
         for visit in list(self.visits):
-            if visit not in self.parting and (visit.hit is None or visit.hit.final and not visit.hit.streaming):
+            if visit not in self.parting and (
+                visit.hit is None or visit.hit.final and not visit.hit.streaming
+            ):
                 visit.part()
         longest = max(g.client_timeout for g in self.sheet.path_groups)
         end = self.loop.now() + longest + self.sheet.door.write_time
--- a/cobaltpond/gateway/follow.py
+++ b/cobaltpond/gateway/follow.py
@@ -1,10 +1,12 @@
 """Follows the list of instances: a pushed stream, or a watch that is asked for; keeps a copy on disk.
 
-Each object of the list is `{"epoch", "revision", "base", "rows"}`: `base` null is the whole list, else a change
-to revision `base` of the same epoch. A change that does not fit what is held is a gap: the whole list is asked
-for. A row's `age_us` says how long the instance had been up when the row was written; its start on this
-gateway's own clock is worked out once for each `start` mark, so that a restart, and nothing else, moves it.
+Each object of the list is `{"epoch", "revision", "base", "rows"}`: `base` null is the whole list, else a
+change to revision `base` of the same epoch. A change that does not fit what is held is a gap: the whole list
+is asked for. A row's `age_us` says how long the instance had been up when the row was written; its start on
+this gateway's own clock is worked out once for each `start` mark, so that a restart, and nothing else, moves
+it.
 """
+
 import json
 import zlib
 from urllib.parse import urlencode
@@ -17,7 +19,7 @@
 from cobaltpond.wire.lines import BadLine, Lines
 
 STATES = ("up", "draining", "gone")
-ANSWERS_FOR = 30_000_000                               # so long ago an answer speaks for an instance
+ANSWERS_FOR = 30_000_000  # so long ago an answer speaks for an instance
 
 
 class Gap(Exception):
@@ -36,10 +38,10 @@
             whole = told["base"] is None
             if not whole and (told["epoch"], told["base"]) != (self.epoch, self.revision):
                 if told["epoch"] == self.epoch and told["revision"] <= self.revision:
-                    return False, []                   # heard already, over another connection
+                    return False, []  # heard already, over another connection
                 raise Gap(f"a change to {told['epoch']}/{told['base']}, held is {self.epoch}/{self.revision}")
             if whole and told["epoch"] == self.epoch and told["revision"] < self.revision:
-                return False, []                       # an answer that was overtaken
+                return False, []  # an answer that was overtaken
             rows = [self.row(now, entry) for entry in told["rows"]]
             self.epoch, self.revision = told["epoch"], int(told["revision"])
         except (KeyError, TypeError, ValueError, AttributeError) as trouble:
@@ -62,20 +64,32 @@
         if mark not in self.starts:
             self.starts[mark] = now - int(entry["age_us"])
         address = split_address(entry["address"])
-        return {"id": str(entry["id"]), "build": int(entry["build"]), "cell": entry.get("cell", 0),
-                "zone": entry["zone"], "state": entry["state"], "weight": entry.get("weight", 1),
-                "started": self.starts[mark]}, address
+        return {
+            "id": str(entry["id"]),
+            "build": int(entry["build"]),
+            "cell": entry.get("cell", 0),
+            "zone": entry["zone"],
+            "state": entry["state"],
+            "weight": entry.get("weight", 1),
+            "started": self.starts[mark],
+        }, address
 
     def kept(self, now: int) -> bytes:
         """What goes to disk, with a checksum: a torn file is found out."""
-        rows = [{**{k: v for k, v in entry.items() if k != "at"}, "age_us": entry["age_us"] + now - entry["at"]}
-                for entry in self.rows.values()]
-        body = json.dumps({"epoch": self.epoch, "revision": self.revision, "base": None, "rows": rows}).encode()
+        rows = [
+            {**{k: v for k, v in entry.items() if k != "at"}, "age_us": entry["age_us"] + now - entry["at"]}
+            for entry in self.rows.values()
+        ]
+        body = json.dumps(
+            {"epoch": self.epoch, "revision": self.revision, "base": None, "rows": rows}
+        ).encode()
         return b"%08x %s\n" % (zlib.crc32(body), body)
 
     def draining(self) -> list[int]:
         """Tags of those that drain by it, as gateways tell each other of instances."""
-        return [Told.mark(id, entry["build"]) for id, entry in self.rows.items() if entry["state"] == "draining"]
+        return [
+            Told.mark(id, entry["build"]) for id, entry in self.rows.items() if entry["state"] == "draining"
+        ]
 
     @staticmethod
     def from_disk(data: bytes | None) -> dict | None:
@@ -92,8 +106,8 @@
         self.loop, self.sheet, self.host, self.log = loop, sheet, host, log
         self.address, self.memory = split_address(sheet.listing.address), place.memory
         self.held, self.heard, self.dirty = Held(), False, False
-        self.said = lambda: None                       # called whenever the list has been applied
-        self.doubt, self.recalled = Doubt(self.answers), {}    # rows of the kept list, until one has been heard
+        self.said = lambda: None  # called whenever the list has been applied
+        self.doubt, self.recalled = Doubt(self.answers), {}  # rows of the kept list, until one has been heard
         self.waits = Backoff(100_000, 3_000_000, loop.kernel.seed())
         self.counts = {"applied": 0, "gaps": 0, "errors": 0}
 
@@ -106,8 +120,14 @@
             except BadLine as trouble:
                 self.log.warning("kept list unreadable", why=str(trouble))
                 return
-            self.recalled = {"epoch": told["epoch"], "rows": {row["id"]: {**row, "at": self.loop.now()}
-                                                              for row in told["rows"] if row["state"] != "gone"}}
+            self.recalled = {
+                "epoch": told["epoch"],
+                "rows": {
+                    row["id"]: {**row, "at": self.loop.now()}
+                    for row in told["rows"]
+                    if row["state"] != "gone"
+                },
+            }
             self.doubt.seen(told["rows"])
             self.host.places.update(True, rows)
             self.host.post_first("on_list", True, [row for row, _ in rows])
@@ -126,29 +146,38 @@
             self.counts["applied"] += 1
             self.host.places.update(whole, rows)
             self.host.post_first("on_list", whole, [row for row, _ in rows])
-            self.log.info("list", revision=self.held.revision, whole=whole,
-                          rows=[f"{r['id']} {r['state']} build {r['build']}" for r, _ in rows][:20])
+            self.log.info(
+                "list",
+                revision=self.held.revision,
+                whole=whole,
+                rows=[f"{r['id']} {r['state']} build {r['build']}" for r, _ in rows][:20],
+            )
 
     def sober(self, told: dict) -> dict:
-        """A whole list of another epoch than the one held, or kept, is looked at before it is obeyed. What is no list
-        at all is left to `Held.apply`."""
+        """A whole list of another epoch than the one held, or kept, is looked at before it is obeyed. What is
+        no list at all is left to `Held.apply`."""
         epoch = self.held.epoch if self.held.epoch is not None else self.recalled.get("epoch")
         rows = self.held.rows if self.held.epoch is not None else self.recalled.get("rows", {})
         if epoch is None or told.get("base", 0) is not None or told.get("epoch") == epoch:
             return told
         now = self.loop.now()
-        held = {id: {k: v for k, v in {**row, "age_us": row["age_us"] + now - row["at"]}.items() if k != "at"}
-                for id, row in rows.items()}
+        held = {
+            id: {k: v for k, v in {**row, "age_us": row["age_us"] + now - row["at"]}.items() if k != "at"}
+            for id, row in rows.items()
+        }
         try:
             obeyed = self.doubt.whole(now, held, told["rows"])
         except (KeyError, TypeError, ValueError):
             return told
         if len(obeyed) != len(told["rows"]) or obeyed != told["rows"]:
-            self.log.warning("list doubted", epoch=told.get("epoch"), rows=len(told["rows"]), **self.doubt.counts)
+            self.log.warning(
+                "list doubted", epoch=told.get("epoch"), rows=len(told["rows"]), **self.doubt.counts
+            )
         return {**told, "rows": obeyed}
 
     def answers(self, id: str, now: int) -> bool:
-        """For all that this gateway knows, does the instance still answer? One not asked yet is not held for gone."""
+        """For all that this gateway knows, does the instance still answer? One not asked yet is not held for
+        gone."""
         fleet = getattr(self.host.decisions, "fleet", None)
         instance = fleet.by_id.get(id) if fleet is not None else None
         if instance is None:
@@ -164,8 +193,14 @@
             rows = self.doubt.due(self.loop.now())
             if rows:
                 self.log.warning("gone after all", rows=[row["id"] for row in rows][:20])
-                self.take({"epoch": self.held.epoch, "revision": self.held.revision, "base": self.held.revision,
-                           "rows": rows})
+                self.take(
+                    {
+                        "epoch": self.held.epoch,
+                        "revision": self.held.revision,
+                        "base": self.held.revision,
+                        "rows": rows,
+                    }
+                )
 
     def query(self, whole: bool, stream: bool) -> str:
         asked = {"gateway": self.host.number}
@@ -190,24 +225,41 @@
         def broken(trouble):
             whole[0] = isinstance(trouble, Gap)
             self.counts["gaps" if whole[0] else "errors"] += 1
-            self.log.warning("list gap" if whole[0] else "list broken", why=f"{type(trouble).__name__}: {trouble}")
+            self.log.warning(
+                "list gap" if whole[0] else "list broken", why=f"{type(trouble).__name__}: {trouble}"
+            )
 
-        yield from follow(self.loop, self.address, target, take, self.sheet.listing.silence,
-                          self.sheet.instances.dial_time, self.waits, broken, (Gap,))
+        yield from follow(
+            self.loop,
+            self.address,
+            target,
+            take,
+            self.sheet.listing.silence,
+            self.sheet.instances.dial_time,
+            self.waits,
+            broken,
+            (Gap,),
+        )
 
     def ask(self, whole: bool):
         """One call: what has changed since, or all. The decisions hear of it either way."""
         try:
             with Deadline(self.loop, self.sheet.listing.ask_within // 3):
-                status, body = yield from call(self.loop, self.address, "GET", self.query(whole, False), b"",
-                                               self.sheet.instances.dial_time)
+                status, body = yield from call(
+                    self.loop,
+                    self.address,
+                    "GET",
+                    self.query(whole, False),
+                    b"",
+                    self.sheet.instances.dial_time,
+                )
             if status != 200:
                 raise BadLine(f"status {status}")
             told = Lines().feed(body + b"\n")
             before = self.counts["applied"]
             for one in told:
                 self.take(one)
-            if before == self.counts["applied"]:       # nothing new is an answer too
+            if before == self.counts["applied"]:  # nothing new is an answer too
                 self.host.post_first("on_list", False, [])
         except Gap as trouble:
             self.counts["gaps"] += 1
--- a/cobaltpond/gateway/forwards.py
+++ b/cobaltpond/gateway/forwards.py
@@ -1,11 +1,12 @@
 """Carries out one forward: a connection, the hit's bytes out, the answer in, one `Ending` at the end.
 
-The point of no return: an answer is held back until it is whole, or until `door.hold` bytes of it are here. Until
-then nothing has gone to the client, and the hit may still be forwarded again by whatever the decisions say. From
-the first byte sent to the client on, the hit belongs to this forward: its time-out and the client's no longer
-run, it can't be called off, and if the instance breaks off, so does the client's answer (its connection is
-closed, which a client sees as an answer cut short, never as a whole one).
+The point of no return: an answer is held back until it is whole, or until `door.hold` bytes of it are here.
+Until then nothing has gone to the client, and the hit may still be forwarded again by whatever the decisions
+say. From the first byte sent to the client on, the hit belongs to this forward: its time-out and the client's
+no longer run, it can't be called off, and if the instance breaks off, so does the client's answer (its
+connection is closed, which a client sees as an answer cut short, never as a whole one).
 """
+
 from cobaltpond.gateway.endings import SEEN, of_answer
 from cobaltpond.gateway.instances import NoConnection, Place, Places
 from cobaltpond.gateway.tape import CutShort, Tape, Torn
@@ -21,8 +22,8 @@
         self.seen = dict.fromkeys(SEEN, 0)
 
     def carry(self, hit, number: int, place: Place, time_out: int, send_within: int | None, tell):
-        """A task. `send_within`: not written later than that. `tell(ending, took, closed, report)` is called exactly
-        once, also when it is cancelled."""
+        """A task. `send_within`: not written later than that. `tell(ending, took, closed, report)` is called
+        exactly once, also when it is cancelled."""
         sent, seen, report, closed = self.loop.now(), "called off", {}, False
         run = Run(self, hit, number, place, time_out, send_within)
         try:
@@ -46,7 +47,6 @@
                 took = self.loop.now() - sent
             tell(SEEN[seen][0], took, closed or hit.final, report)
 
-
     def probe(self, place: Place, tell):
         """A task: one cheap question to an instance. `tell(ending, took, report)`."""
         sent, seen, head = self.loop.now(), "called off", None
@@ -97,7 +97,7 @@
             except NoConnection as trouble:
                 return str(trouble)
             if self.send_by is not None and self.loop.kernel.now() >= self.send_by:
-                self.close(reuse=True)                 # nothing was written to it
+                self.close(reuse=True)  # nothing was written to it
                 return "window over"
             try:
                 yield from self.send()
@@ -106,8 +106,8 @@
                 return "nothing to send"
             except PeerLost:
                 if self.wrote:
-                    break                              # the answer may have come before the end: read on
-                self.close(reuse=False)                # an idle connection that ended: nothing left on it
+                    break  # the answer may have come before the end: read on
+                self.close(reuse=False)  # an idle connection that ended: nothing left on it
                 if not kept:
                     return "closed while idle"
         try:
@@ -124,11 +124,14 @@
         timeout = self.of.sheet.door.timeout_field.encode()
         fields = http1.passed_on(head.fields, {b"expect", b"cobaltpond-hit", b"cobaltpond-from", timeout})
         left = max(1, (self.end_at - self.loop.now()) // 1000)
-        fields += [(timeout, b"%d" % left),            # what is past it the instance need not begin
-                   (b"cobaltpond-hit", self.hit.name.encode()), (b"cobaltpond-from", self.of.who.encode()),
-                   (b"cobaltpond-forward", b"%d" % self.number)]
+        fields += [
+            (timeout, b"%d" % left),  # what is past it the instance need not begin
+            (b"cobaltpond-hit", self.hit.name.encode()),
+            (b"cobaltpond-from", self.of.who.encode()),
+            (b"cobaltpond-forward", b"%d" % self.number),
+        ]
         length = head.get(b"content-length")
-        if whole is None and length is not None:       # streamed, but of a stated length
+        if whole is None and length is not None:  # streamed, but of a stated length
             fields.append((b"content-length", length))
             data = http1.start(head.method, head.target, fields)
         else:
@@ -136,7 +139,9 @@
         sent = self.connection.write_now(data)
         self.wrote = sent > 0
         if whole is None or sent < len(data):
-            self.writer = self.loop.spawn(self.rest(data[sent:], whole is None, length is None), "forward-body")
+            self.writer = self.loop.spawn(
+                self.rest(data[sent:], whole is None, length is None), "forward-body"
+            )
         return
         yield
 
@@ -151,7 +156,7 @@
                 if not piece:
                     return
         except PeerLost:
-            pass                                       # the reading side finds out what that means
+            pass  # the reading side finds out what that means
         except CutShort:
             self.connection.abort()
 
@@ -162,7 +167,7 @@
             if self.head and not self.ended and self.size > hold:
                 seen = of_answer(self.head, self.of.sheet.instances.refusals)
                 if seen != "answer" or self.hit.final:
-                    self.connection.abort()            # not worth reading to its end
+                    self.connection.abort()  # not worth reading to its end
                     return seen
                 self.streaming = True
                 return seen
@@ -174,7 +179,7 @@
 
     def take(self, events, closed):
         for kind, value in events:
-            if self.ended:                             # an instance that answers twice is heard once
+            if self.ended:  # an instance that answers twice is heard once
                 self.head.keep_alive = False
                 return
             if kind == "head":
@@ -210,10 +215,16 @@
         connection, self.connection = self.connection, None
         if connection is None:
             return
-        if reuse and self.ended and self.head.keep_alive and not self.parser.no_body and not connection.closed:
+        if (
+            reuse
+            and self.ended
+            and self.head.keep_alive
+            and not self.parser.no_body
+            and not connection.closed
+        ):
             self.of.places.give_back(self.place, connection)
         else:
-            # With a reset, what the instance has not got yet is never sent to it. An orderly close goes on sending
-            # over a cut until it heals: a tagged hit then ran seconds after its repeat, past the time that
-            # repeats are dropped, and took effect twice (found by the bad day, seed 2).
+            # With a reset, what the instance has not got yet is never sent to it. An orderly close goes on
+            # sending over a cut until it heals: a tagged hit then ran seconds after its repeat, past the time
+            # that repeats are dropped, and took effect twice (found by the bad day, seed 2).
             self.of.places.close(self.place, connection, reset=not self.ended)
--- a/cobaltpond/gateway/hits.py
+++ b/cobaltpond/gateway/hits.py
@@ -8,8 +8,8 @@
     def __init__(self, number: int, name: str, door):
         self.number, self.name, self.door = number, name, door
         self.final = self.streaming = False
-        self.outcome, self.overdue = None, None        # delivered, bounced, errored, gone or cut; timer
-        self.forwards, self.last_ending = [], None     # tasks, None where nothing was sent
+        self.outcome, self.overdue = None, None  # delivered, bounced, errored, gone or cut; timer
+        self.forwards, self.last_ending = [], None  # tasks, None where nothing was sent
 
     def end(self, outcome: str) -> None:
         """The one place where a hit becomes final."""
--- a/cobaltpond/gateway/host.py
+++ b/cobaltpond/gateway/host.py
@@ -1,10 +1,12 @@
 """The host of the decisions: feeds events in the order of the loop, carries out what they ask for.
 
-What happens during a turn of the loop is told to the decisions at its end, as one batch at one time: first what
-was heard of the list and from the desk (after a stand-still they must not act on what was true before it), then
-all else in the order in which the loop delivered it; a hit's taking always precedes whatever else happens to it.
-What the decisions ask for happens at once, but nothing that follows from it is told to them in the same batch.
+What happens during a turn of the loop is told to the decisions at its end, as one batch at one time: first
+what was heard of the list and from the desk (after a stand-still they must not act on what was true before
+it), then all else in the order in which the loop delivered it; a hit's taking always precedes whatever else
+happens to it. What the decisions ask for happens at once, but nothing that follows from it is told to them in
+the same batch.
 """
+
 from cobaltpond.decisions.rules import Gateway
 from cobaltpond.gateway.hits import Owed
 
@@ -13,16 +15,22 @@
     """`runsheet`: what the decisions get; `most_hits` open at once; `slack`: how long before the client's own
     time is up the decisions believe it to be up, in microseconds."""
 
-    name = "decisions"                                 # as tasks have one, for the log
+    name = "decisions"  # as tasks have one, for the log
 
     def __init__(self, loop, runsheet: dict, start: int, most_hits: int, slack: int, places, forwards, log):
-        self.loop, self.runsheet, self.number, self.start, self.log = loop, runsheet, runsheet["number"], start, log
+        self.loop, self.runsheet, self.number, self.start, self.log = (
+            loop,
+            runsheet,
+            runsheet["number"],
+            start,
+            log,
+        )
         self.most_hits, self.slack, self.most_forwards = most_hits, slack, runsheet.get("most_forwards", 1)
         self.places, self.forwards = places, forwards
         self.hits, self.first, self.inbox, self.open_hits = {}, [], [], 0
         self.taken, self.probes_out, self.decisions = 0, 0, None
-        self.list, self.news, self.peers = None, None, None      # set by whoever puts the gateway together
-        self.may = lambda what, verdict="": True       # may this phase of the gateway vote so, or tell a sample?
+        self.list, self.news, self.peers = None, None, None  # set by whoever puts the gateway together
+        self.may = lambda what, verdict="": True  # may this phase of the gateway vote so, or tell a sample?
         self.counts = {"forwards": 0, "overdue": 0, "probes": 0, "votes": 0, "told": 0, "peer sends lost": 0}
         loop.after_turn.append(self.turn)
 
@@ -37,7 +45,7 @@
         for name, *arguments in batch:
             try:
                 getattr(self.decisions, name)(now, *arguments)
-            except Exception as trouble:               # guards all other hits against a fault met by one
+            except Exception as trouble:  # guards all other hits against a fault met by one
                 self.loop.on_death(self, trouble)
 
     def post(self, name: str, *arguments) -> None:
@@ -56,9 +64,19 @@
         self.taken += 1
         return self.taken
 
-    def take(self, hit: Owed, group: str, customer: str | None, key: int | None, left: int, cost: int | None,
-             again: bool, net: int | None = None) -> None:
-        """From here on a final answer is owed within `left` microseconds; the safety net answers after `net`."""
+    def take(
+        self,
+        hit: Owed,
+        group: str,
+        customer: str | None,
+        key: int | None,
+        left: int,
+        cost: int | None,
+        again: bool,
+        net: int | None = None,
+    ) -> None:
+        """From here on a final answer is owed within `left` microseconds; the safety net answers after
+        `net`."""
         self.hits[hit.number] = hit
         self.open_hits += 1
         hit.overdue = self.loop.call_in(left if net is None else net, lambda: self.too_late(hit))
@@ -66,7 +84,7 @@
 
     def ended(self, hit: Owed) -> None:
         self.open_hits -= 1
-        self.loop.call_in(0, lambda: self.forget(hit))     # not before the decisions have heard of its end
+        self.loop.call_in(0, lambda: self.forget(hit))  # not before the decisions have heard of its end
 
     def forget(self, hit: Owed) -> None:
         if hit.final and all(task is None or task.done for task in hit.forwards):
@@ -91,7 +109,7 @@
     def forward(self, hit, instance, time_out, send_within):
         held, place = self.hits[hit], self.places.by_id.get(instance)
         number = len(held.forwards)
-        if held.final:                                 # its client left in this very turn
+        if held.final:  # its client left in this very turn
             held.forwards.append(None)
             self.loop.call_in(0, lambda: self.post("on_outcome", hit, number, "moot", 0, True, {}))
             return
@@ -108,13 +126,22 @@
             return
         self.counts["forwards"] += 1
         self.places.promise(place)
-        held.forwards.append(self.loop.spawn(
-            self.forwards.carry(held, number, place, time_out, send_within, tell), f"forward-{held.name}-{number}"))
+        held.forwards.append(
+            self.loop.spawn(
+                self.forwards.carry(held, number, place, time_out, send_within, tell),
+                f"forward-{held.name}-{number}",
+            )
+        )
 
     def cancel(self, hit, forward):
         held = self.hits.get(hit)
         # past the point of no return nothing is called off
-        if held is not None and not held.streaming and forward < len(held.forwards) and held.forwards[forward]:
+        if (
+            held is not None
+            and not held.streaming
+            and forward < len(held.forwards)
+            and held.forwards[forward]
+        ):
             held.forwards[forward].cancel()
 
     def bounce(self, hit, retry_after):
@@ -137,7 +164,9 @@
             self.loop.call_in(0, lambda: self.post("on_probed", instance, "unreachable", 0, {}))
             return
         self.places.promise(place)
-        self.loop.spawn(self.forwards.probe(place, lambda *told: self.post("on_probed", instance, *told)), "probe")
+        self.loop.spawn(
+            self.forwards.probe(place, lambda *told: self.post("on_probed", instance, *told)), "probe"
+        )
 
     def reaches(self, instance):
         """May a forward go there now: is a kept connection idle, or a new one our turn?"""
@@ -145,8 +174,10 @@
         return place is None or self.places.reaches(place)
 
     def vote(self, build, stage, verdict):
-        if not self.may("vote", verdict):              # not counted: it may be cast again later
-            self.loop.call_in(0, lambda: self.post_first("on_news", build, stage, "trial", 0.0, 0, True, "full"))
+        if not self.may("vote", verdict):  # not counted: it may be cast again later
+            self.loop.call_in(
+                0, lambda: self.post_first("on_news", build, stage, "trial", 0.0, 0, True, "full")
+            )
             return
         self.counts["votes"] += 1
         self.log.info("vote", build=build, stage=stage, verdict=verdict)
--- a/cobaltpond/gateway/instances.py
+++ b/cobaltpond/gateway/instances.py
@@ -1,10 +1,11 @@
 """The instances as the gateway reaches them: one record each, with its address and kept connections."""
+
 from collections import deque
 
 from cobaltpond.loop import Deadline, HandlesUsedUp, PeerLost, Refused, Sleep, TimedOut, Unreachable, dial
 
-SWEEP_LEAST = 20_000                                   # between two sweeps, however short the idle time is
-PROMISED = 100_000                                     # a forward that has not asked by then will not ask any more
+SWEEP_LEAST = 20_000  # between two sweeps, however short the idle time is
+PROMISED = 100_000  # a forward that has not asked by then will not ask any more
 
 
 class NoConnection(Exception):
@@ -16,26 +17,32 @@
 
     def __init__(self, row: dict, address: tuple[str, int]):
         self.row, self.address = row, address
-        self.idle, self.open = deque(), 0              # (connection, since); all that are open
-        self.promised = self.dials = self.promised_at = 0      # forwards on their way to a kept connection, to a dial
+        self.idle, self.open = deque(), 0  # (connection, since); all that are open
+        self.promised = self.dials = self.promised_at = (
+            0  # forwards on their way to a kept connection, to a dial
+        )
 
 
 class Places:
     def __init__(self, loop, limits, greet=None, most=None):
-        """`limits`: the sheet's `instances`. `greet(connection)`: what a protocol needs before the first hit, within
-        the dial's time; raises NoConnection. `most()`: connections to all instances together, now."""
+        """`limits`: the sheet's `instances`. `greet(connection)`: what a protocol needs before the first hit,
+        within the dial's time; raises NoConnection. `most()`: connections to all instances together, now."""
         self.loop, self.limits, self.by_id, self.greet, self.most = loop, limits, {}, greet, most
-        self.open, self.turns = 0, None                # `recovery.pace.Turns`, where new connections are paced
+        self.open, self.turns = 0, None  # `recovery.pace.Turns`, where new connections are paced
 
     def reaches(self, place: Place) -> bool:
         """Is a kept connection left for one more forward, or a new one allowed now?"""
         if self.turns is not None:
             self.settle(place)
-        return self.turns is None or self.spare(place) > place.promised or self.turns.due(
-            place.row["id"], self.loop.now())
+        return (
+            self.turns is None
+            or self.spare(place) > place.promised
+            or self.turns.due(place.row["id"], self.loop.now())
+        )
 
     def settle(self, place: Place) -> None:
-        """Forwards that were called off before they asked for their connection do not keep it from others for ever."""
+        """Forwards that were called off before they asked for their connection do not keep it from others for
+        ever."""
         if self.loop.now() - place.promised_at > PROMISED:
             place.promised = place.dials = 0
 
@@ -45,7 +52,8 @@
         return sum(self.limits.rest_time <= now - since < self.limits.idle_time for _, since in place.idle)
 
     def promise(self, place: Place) -> None:
-        """A forward will ask for a connection in this turn of the loop: what it will use is not promised twice."""
+        """A forward will ask for a connection in this turn of the loop: what it will use is not promised
+        twice."""
         if self.turns is None:
             return
         self.settle(place)
@@ -56,8 +64,9 @@
             place.dials += 1
 
     def allowed(self, place: Place) -> bool:
-        """May this forward make a new connection? One that was promised a kept one, which has ended meanwhile, needs a
-        turn of its own: guards against hundreds that all dial again when a zone resets what they had."""
+        """May this forward make a new connection? One that was promised a kept one, which has ended
+        meanwhile, needs a turn of its own: guards against hundreds that all dial again when a zone resets
+        what they had."""
         self.settle(place)
         if place.dials:
             place.dials -= 1
@@ -65,7 +74,8 @@
         return self.turns is None or self.turns.take(place.row["id"], self.loop.now())
 
     def update(self, whole: bool, rows: list[tuple[dict, tuple[str, int]]]) -> None:
-        """`rows`: what the decisions get, and the address. Connections to what restarted or left are closed."""
+        """`rows`: what the decisions get, and the address. Connections to what restarted or left are
+        closed."""
         if whole:
             listed = {row["id"] for row, _ in rows}
             for id in [id for id in self.by_id if id not in listed]:
@@ -75,9 +85,12 @@
             if row["state"] == "gone":
                 if place is not None:
                     self.forget(self.by_id.pop(row["id"]))
-            elif place is None or place.address != address or any(
-                    place.row[mark] != row[mark] for mark in ("started", "build")):
-                if place is not None:                  # nothing of the last one carries over
+            elif (
+                place is None
+                or place.address != address
+                or any(place.row[mark] != row[mark] for mark in ("started", "build"))
+            ):
+                if place is not None:  # nothing of the last one carries over
                     self.forget(place)
                 self.by_id[row["id"]] = Place(row, address)
             else:
@@ -90,10 +103,10 @@
     def take(self, place: Place):
         """A connection, and whether it was kept from an earlier hit. Raises NoConnection.
 
-        A kept one is looked at before it is given out: guards against an instance that closed it meanwhile. One
-        that closes between this look and the first byte is found by the write, see `forwards.py`. Until it has
-        rested it is not given out: guards against a second answer to the hit before, which comes a little later and
-        would pass for the answer to the next.
+        A kept one is looked at before it is given out: guards against an instance that closed it meanwhile.
+        One that closes between this look and the first byte is found by the write, see `forwards.py`. Until
+        it has rested it is not given out: guards against a second answer to the hit before, which comes a
+        little later and would pass for the answer to the next.
         """
         place.promised = max(0, place.promised - 1)
         while (connection := self.rested(place)) is not None:
@@ -104,7 +117,8 @@
                 pass
             self.close(place, connection)
         if place.open >= self.limits.connections or (
-                self.most is not None and self.open >= self.most() and not self.evict()):
+            self.most is not None and self.open >= self.most() and not self.evict()
+        ):
             raise NoConnection("no connection free")
         if not self.allowed(place):
             raise NoConnection("not our turn")
@@ -120,16 +134,22 @@
         except BaseException as trouble:
             place.open -= 1
             self.open -= 1
-            why = {Refused: "refused", Unreachable: "no route", TimedOut: "dial too slow",
-                   HandlesUsedUp: "no handle", PeerLost: "no route"}.get(type(trouble))
+            why = {
+                Refused: "refused",
+                Unreachable: "no route",
+                TimedOut: "dial too slow",
+                HandlesUsedUp: "no handle",
+                PeerLost: "no route",
+            }.get(type(trouble))
             if why is None:
                 raise
             raise NoConnection(why) from None
         return connection, False
 
     def rested(self, place: Place):
-        """The kept connection that came back last of those that have rested; None where there is none. What has idled
-        its time is left to the sweep. Guards against the machine that closes it with a request on its way."""
+        """The kept connection that came back last of those that have rested; None where there is none. What
+        has idled its time is left to the sweep. Guards against the machine that closes it with a request on
+        its way."""
         now = self.loop.now()
         for at in range(len(place.idle) - 1, -1, -1):
             connection, since = place.idle[at]
@@ -178,5 +198,12 @@
                     self.close(place, place.idle.popleft()[0])
 
     def counts(self) -> dict:
-        return {id: {"open": place.open, "idle": len(place.idle), "state": place.row["state"],
-                     "build": place.row["build"]} for id, place in self.by_id.items()}
+        return {
+            id: {
+                "open": place.open,
+                "idle": len(place.idle),
+                "state": place.row["state"],
+                "build": place.row["build"],
+            }
+            for id, place in self.by_id.items()
+        }
--- a/cobaltpond/gateway/limited.py
+++ b/cobaltpond/gateway/limited.py
@@ -1,10 +1,12 @@
-"""The sheet's limits at the door: what they say of a hit before the decisions hear of it, and what is shared by all."""
+"""The sheet's limits at the door: what they say of a hit before the decisions hear of it, and what is shared
+by all."""
+
 from cobaltpond.leases.service import Leases
 from cobaltpond.limits.compiled import Limits
 from cobaltpond.limits.rules import Hit, Limit
 
-OWN = 5                                                # a fifth of a fleet's limit is everybody's own, in equal parts
-LIFE = 2_000_000                                       # of a lease
+OWN = 5  # a fifth of a fleet's limit is everybody's own, in equal parts
+LIFE = 2_000_000  # of a lease
 
 
 class Limited:
@@ -18,7 +20,9 @@
         self.limits = Limits(plain, self.base)
         names = [limit.name for limit in plain if limit.fleet]
         pools = {limit.name: limit.rate - self.count * self.base(limit) for limit in plain if limit.fleet}
-        self.leases = Leases(loop, number, self.count, members, self.limits, names, pools, LIFE) if names else None
+        self.leases = (
+            Leases(loop, number, self.count, members, self.limits, names, pools, LIFE) if names else None
+        )
 
     def base(self, limit: Limit) -> int:
         return limit.rate // OWN // self.count if limit.fleet else limit.rate
@@ -26,13 +30,17 @@
     def ask(self, group, customer, key, again):
         """A `limits.rules.Verdict`."""
         verdict = self.limits.ask(self.loop.now(), Hit(group.name, group.kind, customer, key, again))
-        for name in verdict.over:                      # once a second each: a flood must not fill the log
+        for name in verdict.over:  # once a second each: a flood must not fill the log
             if self.loop.now() - self.noted.get(name, -1_000_000) >= 1_000_000:
                 self.noted[name] = self.loop.now()
                 self.log.info("over a limit", limit=name, bounced=verdict.by == name, customer=customer)
         return verdict
 
     def status(self) -> dict:
-        return {"limits": {name: {"let_through": through, "over": over}
-                           for name, (through, over) in self.limits.counts.items()},
-                "leases": self.leases.status() if self.leases else None}
+        return {
+            "limits": {
+                name: {"let_through": through, "over": over}
+                for name, (through, over) in self.limits.counts.items()
+            },
+            "leases": self.leases.status() if self.leases else None,
+        }
--- a/cobaltpond/gateway/main.py
+++ b/cobaltpond/gateway/main.py
@@ -1,4 +1,6 @@
-"""One gateway process: puts the parts together, opens the door when list and news are there, stops in order."""
+"""One gateway process: puts the parts together, opens the door when list and news are there, stops in
+order."""
+
 from cobaltpond.decisions.records import Chance
 from cobaltpond.gateway.door import Door
 from cobaltpond.gateway.follow import Follower
@@ -17,9 +19,9 @@
 from cobaltpond.recovery.service import Recovery
 from cobaltpond.sheet.parts import split_address
 
-REPLACED = 3                                           # exit code of one whose name a newer start has taken
-EVIDENCE = 3                                           # cold times, a little more than the module keeps its own
-START_WAIT = 10                                        # times the dial time: how long the door waits for news
+REPLACED = 3  # exit code of one whose name a newer start has taken
+EVIDENCE = 3  # cold times, a little more than the module keeps its own
+START_WAIT = 10  # times the dial time: how long the door waits for news
 
 
 class GatewayProcess:
@@ -29,8 +31,16 @@
         self.start = loop.kernel.seed() >> 40
         self.places = Places(loop, sheet.instances)
         self.forwards = Forwards(loop, self.places, sheet, f"{self.place.zone}/{number}/{self.start:x}")
-        self.host = Host(loop, sheet.runsheet(number), self.start, sheet.door.hits, sheet.rules.answer_slack,
-                         self.places, self.forwards, log)
+        self.host = Host(
+            loop,
+            sheet.runsheet(number),
+            self.start,
+            sheet.door.hits,
+            sheet.rules.answer_slack,
+            self.places,
+            self.forwards,
+            log,
+        )
         self.follower = self.host.list = Follower(loop, sheet, self.place, self.host, log)
         self.news = self.host.news = News(loop, sheet, self.host, log)
         self.members = None
@@ -50,16 +60,28 @@
     def know_each_other(self, sheet) -> None:
         """Membership, and what is heard of the release and of instances on its way."""
         self.members = Members(
-            self.loop, {g.number: g.zone for g in sheet.gateways}, self.number,
-            Settings(sheet.members.period, sheet.members.wait), self.host.peers, self.post_member, self.about,
-            self.log, Chance(self.loop.kernel.seed()), sheet.digest(), trial=self.trial,
-            groups=[g.name for g in sheet.path_groups], window=EVIDENCE * sheet.rules.cold_time)
+            self.loop,
+            {g.number: g.zone for g in sheet.gateways},
+            self.number,
+            Settings(sheet.members.period, sheet.members.wait),
+            self.host.peers,
+            self.post_member,
+            self.about,
+            self.log,
+            Chance(self.loop.kernel.seed()),
+            sheet.digest(),
+            trial=self.trial,
+            groups=[g.name for g in sheet.path_groups],
+            window=EVIDENCE * sheet.rules.cold_time,
+        )
         self.news.said = self.members.news
         self.follower.said = lambda: self.members.hearsay.listed(
-            self.loop.now(), self.follower.held.revision, self.follower.held.draining())
+            self.loop.now(), self.follower.held.revision, self.follower.held.draining()
+        )
 
     def trial(self) -> list[tuple]:
-        """Counts of the newest build and the one before it, by path group, with how long ago the last hit ended."""
+        """Counts of the newest build and the one before it, by path group, with how long ago the last hit
+        ended."""
         decisions, now = self.host.decisions, self.loop.now()
         newest = getattr(decisions, "newest", None)
         if newest is None:
@@ -81,25 +103,42 @@
         """What this gateway says of itself to the others."""
         ready = hasattr(self.door, "listener") and not self.door.draining
         settled = self.recovery is not None and self.recovery.life.phase == SETTLED and ready
-        return {"revision": self.follower.held.revision, "out": self.host.open_hits,
-                "admitted": getattr(self.host.decisions, "admitted", 1.0),
-                "flags": (READY if ready else 0) | (SETTLED_FLAG if settled else 0)}
+        return {
+            "revision": self.follower.held.revision,
+            "out": self.host.open_hits,
+            "admitted": getattr(self.host.decisions, "admitted", 1.0),
+            "flags": (READY if ready else 0) | (SETTLED_FLAG if settled else 0),
+        }
 
     def status(self) -> dict:
         heard = self.news.last
-        return {"gateway": self.number, "start": f"{self.start:x}", "zone": self.place.zone,
-                "hits": {"open": self.host.open_hits, "taken": self.host.taken, **self.door.counts,
-                         "given up": getattr(self.host.decisions, "given_up", {})},
-                "host": self.host.counts, "endings": {k: v for k, v in self.forwards.seen.items() if v},
-                "list": {"revision": self.follower.held.revision, **self.follower.counts},
-                "desk": {**self.news.counts, "seen": self.news.seen and self.news.seen["mark"],
-                         "news": heard and dict(zip(("build", "stage", "phase", "cap"), heard, strict=True))},
-                "peers": self.host.peers.counts if self.host.peers else None,
-                "members": self.members.status() if self.members else None,
-                "recovery": self.recovery.status() if self.recovery else None,
-                "limited": self.door.limited.status() if self.door.limited else None,
-                "connections": len(self.door.visits), "tasks": len(self.loop.tasks),
-                "lag_us": self.lag.summary(), "instances": self.places.counts()}
+        return {
+            "gateway": self.number,
+            "start": f"{self.start:x}",
+            "zone": self.place.zone,
+            "hits": {
+                "open": self.host.open_hits,
+                "taken": self.host.taken,
+                **self.door.counts,
+                "given up": getattr(self.host.decisions, "given_up", {}),
+            },
+            "host": self.host.counts,
+            "endings": {k: v for k, v in self.forwards.seen.items() if v},
+            "list": {"revision": self.follower.held.revision, **self.follower.counts},
+            "desk": {
+                **self.news.counts,
+                "seen": self.news.seen and self.news.seen["mark"],
+                "news": heard and dict(zip(("build", "stage", "phase", "cap"), heard, strict=True)),
+            },
+            "peers": self.host.peers.counts if self.host.peers else None,
+            "members": self.members.status() if self.members else None,
+            "recovery": self.recovery.status() if self.recovery else None,
+            "limited": self.door.limited.status() if self.door.limited else None,
+            "connections": len(self.door.visits),
+            "tasks": len(self.loop.tasks),
+            "lag_us": self.lag.summary(),
+            "instances": self.places.counts(),
+        }
 
     def run(self):
         """The main task."""
@@ -110,8 +149,12 @@
             self.host.begin(self.decisions)
         self.follower.recall()
         spaced = self.recovery.spaced if self.recovery else lambda generator: generator
-        names = [(spaced(self.news.follow()), "news"), (self.follower.keep(), "list-keep"),
-                 (self.places.sweep(), "sweep"), (self.follower.doubts(), "list-doubts")]
+        names = [
+            (spaced(self.news.follow()), "news"),
+            (self.follower.keep(), "list-keep"),
+            (self.places.sweep(), "sweep"),
+            (self.follower.doubts(), "list-doubts"),
+        ]
         if push:
             names.append((spaced(self.follower.push()), "list"))
         if self.door.limited and self.door.limited.leases:
@@ -129,8 +172,8 @@
             yield Sleep(5_000)
         # without news everything counts as on trial; without a list nothing can be sent: hits are bounced
         self.log.info("door open", door=self.place.door, list=self.follower.heard, news=self.news.heard)
-        # not before: guards against hits that wait unread in the backlog of a gateway that is still starting, past
-        # their client timeout, while another gateway could have had them
+        # not before: guards against hits that wait unread in the backlog of a gateway that is still starting,
+        # past their client timeout, while another gateway could have had them
         self.door.open(loop.kernel.listen(split_address(self.place.door), self.sheet.door.backlog))
         loop.kernel.settle()
         while not self.stop_asked and not (self.members and self.members.replaced):
@@ -152,6 +195,7 @@
 
     def __init__(self):
         from hdrh.histogram import HdrHistogram
+
         self.histogram = HdrHistogram(1, 60_000_000, 2)
 
     def enter(self, late: int) -> None:
--- a/cobaltpond/gateway/news.py
+++ b/cobaltpond/gateway/news.py
@@ -1,4 +1,5 @@
 """The release desk as the gateway hears it: news, tallies, wrong answers; and the votes it sends there."""
+
 import json
 from urllib.parse import urlencode
 
@@ -16,19 +17,25 @@
         self.loop, self.sheet, self.host, self.log = loop, sheet, host, log
         self.address, self.heard, self.last = split_address(sheet.desk.address), False, None
         self.waits = Backoff(100_000, 3_000_000, loop.kernel.seed())
-        self.said = lambda *state: None                # called with each word of the desk
-        self.seen = None                               # the newest state acted by, as the desk is told of it again
+        self.said = lambda *state: None  # called with each word of the desk
+        self.seen = None  # the newest state acted by, as the desk is told of it again
         self.counts = {"news": 0, "tallies": 0, "wrong": 0, "errors": 0}
 
     def state(self, told: dict) -> tuple:
         """build, stage, phase, cap, age. Raises KeyError, TypeError or ValueError on what is no news."""
         if told["phase"] not in PHASES:
             raise ValueError(f"phase {told['phase']!r}")
-        return (int(told["build"]), int(told["stage"]), told["phase"], min(1.0, max(0.0, float(told["cap"]))),
-                max(0, int(told["age_us"])))
+        return (
+            int(told["build"]),
+            int(told["stage"]),
+            told["phase"],
+            min(1.0, max(0.0, float(told["cap"]))),
+            max(0, int(told["age_us"])),
+        )
 
     def note(self, told: dict, state: tuple) -> None:
-        """Remembers the newest state by its mark: a desk that has lost its own asks for it. Raises as `state`."""
+        """Remembers the newest state by its mark: a desk that has lost its own asks for it. Raises as
+        `state`."""
         if "mark" not in told:
             return
         epoch, turn = told["mark"]
@@ -39,8 +46,15 @@
         if state[2] in SHUT and build not in gone:
             gone.append(build)
         stable = told.get("stable")
-        self.seen = {"mark": mark, "build": build, "stage": state[1], "phase": state[2], "cap": state[3],
-                     "stable": None if stable is None else int(stable), "gone": gone[-GONE_MOST:]}
+        self.seen = {
+            "mark": mark,
+            "build": build,
+            "stage": state[1],
+            "phase": state[2],
+            "cap": state[3],
+            "stable": None if stable is None else int(stable),
+            "gone": gone[-GONE_MOST:],
+        }
 
     def target(self) -> str:
         """What the desk is asked for: its news; it is told what was seen last."""
@@ -64,8 +78,15 @@
             elif "tally" in told:
                 t = told["tally"]
                 self.counts["tallies"] += 1
-                self.host.post("on_tally", int(t["build"]), t["group"], int(t["count"]), int(t["errored"]),
-                               int(t["mean_us"]), int(t["age_us"]))
+                self.host.post(
+                    "on_tally",
+                    int(t["build"]),
+                    t["group"],
+                    int(t["count"]),
+                    int(t["errored"]),
+                    int(t["mean_us"]),
+                    int(t["age_us"]),
+                )
             elif "wrong" in told:
                 w = told["wrong"]
                 self.counts["wrong"] += 1
@@ -76,6 +97,7 @@
 
     def follow(self):
         """The stream of news, for ever."""
+
         def take(told):
             for one in told:
                 self.take(one)
@@ -84,17 +106,32 @@
             self.counts["errors"] += 1
             self.log.warning("desk stream broken", why=f"{type(trouble).__name__}: {trouble}")
 
-        yield from follow(self.loop, self.address, self.target, take, 3 * self.sheet.release.news_period,
-                          self.sheet.instances.dial_time, self.waits, broken)
+        yield from follow(
+            self.loop,
+            self.address,
+            self.target,
+            take,
+            3 * self.sheet.release.news_period,
+            self.sheet.instances.dial_time,
+            self.waits,
+            broken,
+        )
 
     def vote(self, build, stage, verdict):
-        """One vote and exactly one answer: ok, moot, full, error (it did not count), timeout (it may count)."""
+        """One vote and exactly one answer: ok, moot, full, error (it did not count), timeout (it may
+        count)."""
         answer, state = "timeout", (build, stage, "trial", 0.0, 0)
         body = json.dumps({"gateway": self.host.number, "build": build, "stage": stage, "verdict": verdict})
         try:
             with Deadline(self.loop, self.sheet.release.vote_wait):
-                status, text = yield from call(self.loop, self.address, "POST", "/v1/votes", body.encode(),
-                                               self.sheet.instances.dial_time)
+                status, text = yield from call(
+                    self.loop,
+                    self.address,
+                    "POST",
+                    "/v1/votes",
+                    body.encode(),
+                    self.sheet.instances.dial_time,
+                )
             answer = ANSWERS.get(status, "error")
             if status == 200:
                 news = json.loads(text)["news"]
@@ -105,7 +142,7 @@
         except (*FAILED, TimedOut):
             answer = "timeout"
         except (KeyError, TypeError, ValueError):
-            answer = "timeout"                         # it was heard, and what was said makes no sense
+            answer = "timeout"  # it was heard, and what was said makes no sense
         if answer == "ok":
             self.said(*state)
         self.log.info("vote answered", build=build, stage=stage, verdict=verdict, answer=answer)
--- a/cobaltpond/gateway/peers.py
+++ b/cobaltpond/gateway/peers.py
@@ -1,11 +1,12 @@
 """Short messages between gateways, one UDP datagram each: late, lost, twice or out of order as it happens."""
+
 import struct
 
 from cobaltpond.loop import Readable
 
-FORM, MAGIC = ">2sHH", b"cp"                           # magic, number of the sender, length of what it says
-MEMBERS = b"cm"                                        # the magic of what membership says, where there is any
-MOST = 256                                             # bytes of a datagram, all in all
+FORM, MAGIC = ">2sHH", b"cp"  # magic, number of the sender, length of what it says
+MEMBERS = b"cm"  # the magic of what membership says, where there is any
+MOST = 256  # bytes of a datagram, all in all
 
 
 class Peers:
@@ -14,7 +15,7 @@
         self.loop, self.host, self.addresses, self.everyone = loop, host, addresses, everyone
         self.numbers = {address: number for number, address in addresses.items()}
         self.handle = loop.kernel.datagrams(listen)
-        self.number, self.counts, self.members = number, {"heard": 0, "odd": 0}, None    # takes (number, data)
+        self.number, self.counts, self.members = number, {"heard": 0, "odd": 0}, None  # takes (number, data)
 
     def tell(self, peer: int | None, data: bytes) -> bool:
         """To one gateway, or to all others (None). False where none was sent."""
@@ -47,7 +48,12 @@
                 continue
             magic, number, length = struct.unpack(FORM, data[:head])
             known = magic == MAGIC or magic == MEMBERS and self.members is not None
-            if not known or self.numbers.get(sender) != number or length != len(data) - head or len(data) > MOST:
+            if (
+                not known
+                or self.numbers.get(sender) != number
+                or length != len(data) - head
+                or len(data) > MOST
+            ):
                 self.counts["odd"] += 1
                 continue
             self.counts["heard"] += 1
--- a/cobaltpond/gateway/routes.py
+++ b/cobaltpond/gateway/routes.py
@@ -1,4 +1,5 @@
 """From a request's head to a hit's path group and marks; free of I/O."""
+
 import hashlib
 from dataclasses import dataclass
 
@@ -11,6 +12,7 @@
 @dataclass(slots=True)
 class Asked:
     """What the head of a request says of the hit; `left` and `cost` in microseconds."""
+
     group: PathGroup
     customer: str | None
     key: int | None
@@ -32,15 +34,21 @@
                 self.exact.setdefault((route.method, route.path.encode()), (order, self.groups[route.group]))
 
     def group_of(self, method: str, target: bytes) -> PathGroup:
-        """The first route of the sheet that fits. Raises BadMessage (404, or 405 where only the method is off)."""
+        """The first route of the sheet that fits. Raises BadMessage (404, or 405 where only the method is
+        off)."""
         path = target.partition(b"?")[0]
         fits = [self.exact[name] for name in ((method, path), ("*", path)) if name in self.exact]
-        fits += [(order, group) for order, known, start, group in self.open
-                 if known in (method, "*") and path.startswith(start)]
+        fits += [
+            (order, group)
+            for order, known, start, group in self.open
+            if known in (method, "*") and path.startswith(start)
+        ]
         if fits:
             return min(fits, key=lambda fit: fit[0])[1]
         other = any(path == known for _, known in self.exact) or any(path.startswith(o[2]) for o in self.open)
-        raise BadMessage(405 if other else 404, "no route for this method" if other else "no route for this path")
+        raise BadMessage(
+            405 if other else 404, "no route for this method" if other else "no route for this path"
+        )
 
     def read(self, head: Head) -> Asked:
         """Raises BadMessage: what is wrong with a head is said before the hit is taken."""
@@ -52,9 +60,13 @@
         customer = customer.decode("latin-1") if customer else None
         left = self.number(head, door.timeout_field, group.client_timeout)
         return Asked(
-            group, customer if customer in self.customers else None, key_number(key) if key else None,
-            min(left, group.client_timeout), self.number(head, door.cost_field, 0) or None,
-            self.number(head, door.again_field, 0) > 0)
+            group,
+            customer if customer in self.customers else None,
+            key_number(key) if key else None,
+            min(left, group.client_timeout),
+            self.number(head, door.cost_field, 0) or None,
+            self.number(head, door.again_field, 0) > 0,
+        )
 
     @staticmethod
     def number(head: Head, name: str, otherwise: int) -> int:
--- a/cobaltpond/gateway/shares.py
+++ b/cobaltpond/gateway/shares.py
@@ -1,4 +1,6 @@
-"""Is a customer beyond its share of what comes in? Names the reason in a bounce; decides no hit. Free of I/O."""
+"""Is a customer beyond its share of what comes in? Names the reason in a bounce; decides no hit. Free of
+I/O."""
+
 from collections import deque
 
 
--- a/cobaltpond/gateway/tape.py
+++ b/cobaltpond/gateway/tape.py
@@ -1,4 +1,5 @@
 """The body of a hit: kept up to a bound so that it can be sent again, streamed beyond it."""
+
 from cobaltpond.loop import Event
 
 
@@ -12,7 +13,12 @@
 
 class Tape:
     def __init__(self, hold: int):
-        self.hold, self.chunks, self.held, self.start = hold, [], 0, 0    # start: number of the first chunk kept
+        self.hold, self.chunks, self.held, self.start = (
+            hold,
+            [],
+            0,
+            0,
+        )  # start: number of the first chunk kept
         self.ended, self.cut, self.streaming, self.readers = False, False, False, 0
         self.came, self.went = Event(), Event()
 
--- a/cobaltpond/keep/journal.py
+++ b/cobaltpond/keep/journal.py
@@ -1,12 +1,15 @@
 """An append-only journal in a folder of its own.
 
-`snap-N` is a whole state, `log-N` the records since; N grows with each snapshot. A record is one line: checksum
-(crc32c, 8 hex digits), number of the record, JSON. What is appended counts only after `sync`. A reader stops at
-the first record that is torn, out of turn or does not match its checksum, cuts it off and says where.
-
-After a failed write or sync nothing is known of what reached the disk: the journal is broken and takes no more,
-and what was not yet synced must be taken as lost (fsync errors are reported once, and the pages are then clean).
+`snap-N` is a whole state, `log-N` the records since; N grows with each snapshot. A record is one line:
+checksum (crc32c, 8 hex digits), number of the record, JSON. What is appended counts only after `sync`. A
+reader stops at the first record that is torn, out of turn or does not match its checksum, cuts it off and
+says where.
+
+After a failed write or sync nothing is known of what reached the disk: the journal is broken and takes no
+more, and what was not yet synced must be taken as lost (fsync errors are reported once, and the pages are
+then clean).
 """
+
 import json
 import os
 
@@ -34,8 +37,8 @@
 
 
 class Journal:
-    """`state`: the last snapshot's value or None; `records`: those since; `cut`: None, or (file, offset, bytes cut
-    off, why). Raises Refused (of the kernel) where another process has the folder."""
+    """`state`: the last snapshot's value or None; `records`: those since; `cut`: None, or (file, offset,
+    bytes cut off, why). Raises Refused (of the kernel) where another process has the folder."""
 
     def __init__(self, kernel, folder: str, most: int = 1 << 20):
         self.kernel, self.folder, self.most = kernel, folder, most
@@ -60,10 +63,12 @@
         self.number = 0
         for number in snaps:
             try:
-                self.state = unframed(self.kernel.read_file(self.path(f"snap-{number}")).rstrip(b"\n"), number)
+                self.state = unframed(
+                    self.kernel.read_file(self.path(f"snap-{number}")).rstrip(b"\n"), number
+                )
                 self.number = number
                 break
-            except ValueError:                         # a snapshot is renamed when whole: only a bad disk does this
+            except ValueError:  # a snapshot is renamed when whole: only a bad disk does this
                 continue
         name = self.path(f"log-{self.number}")
         data, offset = self.kernel.read_file(name) or b"", 0
@@ -107,7 +112,9 @@
         return self.bytes > self.most
 
     def snapshot(self, state) -> None:
-        """Begins anew from this whole state; the old log goes once the new snapshot is safe. Raises Broken."""
+        """Begins anew from this whole state; the old log goes once the new snapshot is safe. Raises
+        Broken."""
+
         def write():
             number = self.number + 1
             self.kernel.replace_file(self.path(f"snap-{number}"), framed(number, state))
@@ -117,6 +124,7 @@
             self.kernel.sync_folder(self.folder)
             for name in (f"log-{old}", f"snap-{old}"):
                 self.kernel.remove(self.path(name))
+
         self.guarded(write)
         self.count = self.bytes = 0
 
--- a/cobaltpond/leases/service.py
+++ b/cobaltpond/leases/service.py
@@ -1,29 +1,34 @@
-"""Leases between running gateways: asks owners ahead by what is wanted here, answers as an owner, in datagrams."""
+"""Leases between running gateways: asks owners ahead by what is wanted here, answers as an owner, in
+datagrams."""
+
 from hashlib import blake2b
 
 from cobaltpond.leases.shares import Holder, Lease, Owner, owner_of
 from cobaltpond.loop import Sleep
 from cobaltpond.members import wire
 
-ROUNDS = 4                                             # looks in a life
-ASKED_MOST = 64                                        # values asked for in a round: those most wanted
-SMOOTH, AHEAD = 0.5, 1.25                              # of what was wanted lately; asked for so much more
+ROUNDS = 4  # looks in a life
+ASKED_MOST = 64  # values asked for in a round: those most wanted
+SMOOTH, AHEAD = 0.5, 1.25  # of what was wanted lately; asked for so much more
 
 
 class Leases:
-    """`limits`: the compiled ones; `names`: of those of the whole fleet, in the sheet's order, the same everywhere;
-    `pools`: thousandths a second that are lent of each. `members`: `members.service.Members`."""
+    """`limits`: the compiled ones; `names`: of those of the whole fleet, in the sheet's order, the same
+    everywhere; `pools`: thousandths a second that are lent of each. `members`: `members.service.Members`."""
 
-    def __init__(self, loop, number: int, declared: int, members, limits, names: list, pools: dict, life: int):
+    def __init__(
+        self, loop, number: int, declared: int, members, limits, names: list, pools: dict, life: int
+    ):
         self.loop, self.number, self.members, self.limits = loop, number, members, limits
         self.names, self.pools, self.life = names, pools, life
-        self.owner = Owner(number, declared, life, members.view.start & 0xffffffff)
+        self.owner = Owner(number, declared, life, members.view.start & 0xFFFFFFFF)
         self.holder, self.wanted, self.values = Holder(number, life), {}, {}
         self.counts = {"asked": 0, "granted": 0, "taken": 0, "refused": 0, "rows": 0}
         members.view.leases = self.spoken
 
     def key(self, name: str, value) -> tuple[int, int]:
-        """(place of the limit, digest of the value): as short as a datagram needs it, the same at all gateways."""
+        """(place of the limit, digest of the value): as short as a datagram needs it, the same at all
+        gateways."""
         digest = int.from_bytes(blake2b(repr(value).encode(), digest_size=8).digest(), "big")
         self.values[self.names.index(name), digest] = value
         return self.names.index(name), digest
@@ -67,10 +72,10 @@
                 if lease is not None and self.holder.take(now, lease, living, now):
                     self.lend(now, lease)
             elif owner is not None:
-                rows.setdefault(owner, []).append((place, digest, more, now // 1000 & 0xffffffff, 0))
+                rows.setdefault(owner, []).append((place, digest, more, now // 1000 & 0xFFFFFFFF, 0))
         for owner, asked in rows.items():
             for at in range(0, len(asked), wire.LEASES_MOST):
-                some = wire.leases_field(asked[at:at + wire.LEASES_MOST])
+                some = wire.leases_field(asked[at : at + wire.LEASES_MOST])
                 self.members.view.send(wire.LEASE_ASK, owner, 0, more=some)
         self.members.flush()
 
@@ -96,8 +101,8 @@
                     self.counts["granted"] += 1
                     told.append((place, digest, lease.amount, asked, lease.fence[1]))
             elif (place, digest) in self.values:
-                start = self.members.view.members[sender].start & 0xffffffff
-                ago = (now // 1000 - asked & 0xffffffff) * 1000      # our own question's time comes back to us
+                start = self.members.view.members[sender].start & 0xFFFFFFFF
+                ago = (now // 1000 - asked & 0xFFFFFFFF) * 1000  # our own question's time comes back to us
                 lease = Lease(key, sender, (start, count), amount, 0)
                 if ago < self.life and self.holder.take(now, lease, self.living(), now - ago):
                     self.lend(now, lease)
@@ -109,10 +114,16 @@
         for key, lease in list(self.holder.leases.items()):
             if lease.until <= now:
                 place, _, digest = key.partition("/")
-                self.limits.lend(now, self.names[int(place)], self.values.pop((int(place), int(digest)), None), 0)
+                self.limits.lend(
+                    now, self.names[int(place)], self.values.pop((int(place), int(digest)), None), 0
+                )
         self.holder.forget(now)
 
     def status(self) -> dict:
         now = self.loop.now()
-        return {**self.counts, "held": len(self.holder.leases), "lent": sum(
-            self.holder.amount(now, key) for key in self.holder.leases), "out": len(self.owner.out)}
+        return {
+            **self.counts,
+            "held": len(self.holder.leases),
+            "lent": sum(self.holder.amount(now, key) for key in self.holder.leases),
+            "out": len(self.owner.out),
+        }
--- a/cobaltpond/limits/compiled.py
+++ b/cobaltpond/limits/compiled.py
@@ -1,13 +1,16 @@
-"""The same on the hit path: which limits concern which hits is worked out once, a level is two numbers. Free of I/O.
+"""The same on the hit path: which limits concern which hits is worked out once, a level is two numbers. Free
+of I/O.
 
-`plain.py` is the definition; `tests/test_limits.py` holds the two against each other on drawn limits and hits. What is
-kept is bounded: a limit knows `keys` values at most. Beyond them, values whose level is full again are forgotten first,
-which changes nothing; if none is, those that are not known share one level, which is on the strict side.
+`plain.py` is the definition; `tests/test_limits.py` holds the two against each other on drawn limits and
+hits. What is kept is bounded: a limit knows `keys` values at most. Beyond them, values whose level is full
+again are forgotten first, which changes nothing; if none is, those that are not known share one level, which
+is on the strict side.
 """
+
 from cobaltpond.limits.rules import ADVICE_MOST, UNIT, Hit, Limit, Verdict, waited
 
 FREE = Verdict()
-OTHERS = ("others",)                                   # the level of values that find no room
+OTHERS = ("others",)  # the level of values that find no room
 
 
 class Levels:
@@ -15,14 +18,16 @@
 
     def __init__(self, rate: int, most: int, keys: int):
         self.rate, self.most, self.keys, self.rows = rate, most, keys, {}
-        self.own, self.missed = {}, keys               # value -> (rate, most) of its own, where it was lent more
+        self.own, self.missed = {}, keys  # value -> (rate, most) of its own, where it was lent more
 
     def row(self, now: int, value) -> list:
         row = self.rows.get(value)
         if row is None:
             if len(self.rows) >= self.keys and value != OTHERS:
                 self.missed += 1
-                if self.missed > self.keys // 10:      # a look at all of them is paid for by as many that found none
+                if (
+                    self.missed > self.keys // 10
+                ):  # a look at all of them is paid for by as many that found none
                     self.missed = 0
                     self.forget(now)
                 if len(self.rows) >= self.keys:
@@ -40,21 +45,24 @@
 
     def forget(self, now: int) -> None:
         """Values whose level is full again: as good as never seen."""
-        for value in [value for value, (level, at) in self.rows.items()
-                      if value not in self.own and level + self.rate * (now - at) >= self.most]:
+        for value in [
+            value
+            for value, (level, at) in self.rows.items()
+            if value not in self.own and level + self.rate * (now - at) >= self.most
+        ]:
             del self.rows[value]
 
 
 class Limits:
-    """`base`: the rate of a limit that is our own, thousandths a second; less than all for one of the whole fleet,
-    whose burst is shared as its rate is."""
+    """`base`: the rate of a limit that is our own, thousandths a second; less than all for one of the whole
+    fleet, whose burst is shared as its rate is."""
 
     def __init__(self, limits: list[Limit], base=lambda limit: limit.rate):
         self.limits, self.base, self.by_name = limits, base, {limit.name: limit for limit in limits}
         self.levels = {one.name: Levels(base(one), self.burst(one, base(one)), one.keys) for one in limits}
         self.leasts = {limit.name: Levels(limit.least, UNIT, limit.keys) for limit in limits if limit.least}
-        self.plans, self.counts = {}, {limit.name: [0, 0] for limit in limits}       # [let through, over]
-        self.wanted = {}                               # (limit's name, value) -> hits asked for, of limits of the fleet
+        self.plans, self.counts = {}, {limit.name: [0, 0] for limit in limits}  # [let through, over]
+        self.wanted = {}  # (limit's name, value) -> hits asked for, of limits of the fleet
 
     def plan(self, hit: Hit) -> tuple:
         """(limits that its coming adds to, limits that take it), for all hits that look alike."""
@@ -62,8 +70,10 @@
         found = self.plans.get(mark)
         if found is None:
             concerned = [limit for limit in self.limits if limit.concerns(hit)]
-            found = self.plans[mark] = ([limit for limit in concerned if limit.gives(hit)],
-                                        [limit for limit in concerned if limit.takes(hit)])
+            found = self.plans[mark] = (
+                [limit for limit in concerned if limit.gives(hit)],
+                [limit for limit in concerned if limit.takes(hit)],
+            )
         return found
 
     def ask(self, now: int, hit: Hit) -> Verdict:
@@ -88,7 +98,11 @@
             if limit in over:
                 self.counts[limit.name][1] += 1
                 if limit.binds and limit.name not in saved:
-                    wait = waited(row[0], self.levels[limit.name].rate_of(limit.value(hit))) if limit.advice else 0
+                    wait = (
+                        waited(row[0], self.levels[limit.name].rate_of(limit.value(hit)))
+                        if limit.advice
+                        else 0
+                    )
                     worst, by = (wait, limit.name) if wait > worst else (worst, by)
         if by is not None:
             return Verdict(tuple(limit.name for limit in over), by, min(ADVICE_MOST, worst))
@@ -102,14 +116,19 @@
 
     def saved(self, now: int, hit: Hit, taking, over) -> dict:
         """Parent's name -> the limit whose guarantee lets this hit through."""
-        return {limit.within: limit for limit in taking if limit.least and limit not in over
-                and self.leasts[limit.name].row(now, limit.value(hit))[0] >= UNIT}
+        return {
+            limit.within: limit
+            for limit in taking
+            if limit.least
+            and limit not in over
+            and self.leasts[limit.name].row(now, limit.value(hit))[0] >= UNIT
+        }
 
-    # --- limits of the whole fleet -----------------------------------------------------------------------------
+    # --- limits of the whole fleet --------------------------------------------------------------------------
 
     def lend(self, now: int, name: str, value, amount: int) -> None:
-        """What a lease adds to our own part of a limit, thousandths a second; 0: it has run out. What came until now
-        came at the rate before."""
+        """What a lease adds to our own part of a limit, thousandths a second; 0: it has run out. What came
+        until now came at the rate before."""
         levels, limit = self.levels[name], self.by_name[name]
         levels.row(now, value)
         if amount:
--- a/cobaltpond/limits/plain.py
+++ b/cobaltpond/limits/plain.py
@@ -1,15 +1,16 @@
 """The definition: what each limit says of a hit, worked out anew from all that has happened. Slow on purpose.
 
-For each limit and value it keeps the list of events, (when, what it did to the level), and replays it at each question.
-`rules.py` says in words what is written here.
+For each limit and value it keeps the list of events, (when, what it did to the level), and replays it at each
+question. `rules.py` says in words what is written here.
 """
+
 from cobaltpond.limits.rules import ADVICE_MOST, UNIT, Hit, Limit, Verdict, waited
 
 
 class Plain:
     def __init__(self, limits: list[Limit]):
         self.limits, self.by_name = limits, {limit.name: limit for limit in limits}
-        self.events = {}                               # (limit's name, "level" or "least", value) -> [(when, units)]
+        self.events = {}  # (limit's name, "level" or "least", value) -> [(when, units)]
 
     def level(self, now: int, limit: Limit, what: str, value) -> int:
         """Full at first; grows with time, never above the burst; each event adds or takes."""
@@ -32,14 +33,23 @@
         taking = [limit for limit in concerned if limit.takes(hit)]
         over = [limit for limit in taking if self.level(now, limit, "level", limit.value(hit)) < UNIT]
         # a guarantee within a parent that is over: its holder goes through all the same
-        saved = {limit.within: limit for limit in taking if limit.least and limit not in over
-                 and self.level(now, limit, "least", limit.value(hit)) >= UNIT}
+        saved = {
+            limit.within: limit
+            for limit in taking
+            if limit.least and limit not in over and self.level(now, limit, "least", limit.value(hit)) >= UNIT
+        }
         bounced = [limit for limit in over if limit.binds and limit.name not in saved]
         if bounced:
-            waits = {limit.name: waited(self.level(now, limit, "level", limit.value(hit)), limit.rate)
-                     if limit.advice else 0 for limit in bounced}
+            waits = {
+                limit.name: waited(self.level(now, limit, "level", limit.value(hit)), limit.rate)
+                if limit.advice
+                else 0
+                for limit in bounced
+            }
             first = max(bounced, key=lambda limit: waits[limit.name])
-            return Verdict(tuple(limit.name for limit in over), first.name, min(ADVICE_MOST, waits[first.name]))
+            return Verdict(
+                tuple(limit.name for limit in over), first.name, min(ADVICE_MOST, waits[first.name])
+            )
         for limit in taking:
             if limit not in over:
                 self.event(now, limit, "level", limit.value(hit), -UNIT)
--- a/cobaltpond/loop/__init__.py
+++ b/cobaltpond/loop/__init__.py
@@ -1,4 +1,5 @@
 """The only room that knows the operating system: clock, epoll, sockets, timers, tasks, processes, files."""
+
 from cobaltpond.loop.kernel import EpollKernel, Kernel
 from cobaltpond.loop.ports import free_run
 from cobaltpond.loop.process import in_workers, run_part
@@ -18,7 +19,26 @@
 from cobaltpond.loop.trouble import HandlesUsedUp, PeerLost, Refused, Unreachable
 
 __all__ = [
-    "Cancelled", "Connection", "Deadline", "EpollKernel", "Event", "HandlesUsedUp", "Kernel", "Loop", "PeerLost",
-    "Queue", "Readable", "Refused", "Sleep", "Task", "TimedOut", "Unreachable", "Writable", "dial", "free_run",
-    "in_workers", "run_part", "serve",
+    "Cancelled",
+    "Connection",
+    "Deadline",
+    "EpollKernel",
+    "Event",
+    "HandlesUsedUp",
+    "Kernel",
+    "Loop",
+    "PeerLost",
+    "Queue",
+    "Readable",
+    "Refused",
+    "Sleep",
+    "Task",
+    "TimedOut",
+    "Unreachable",
+    "Writable",
+    "dial",
+    "free_run",
+    "in_workers",
+    "run_part",
+    "serve",
 ]
--- a/cobaltpond/loop/chance.py
+++ b/cobaltpond/loop/chance.py
@@ -1,4 +1,5 @@
 """Seeded chance for stand-ins and tools; the decisions have their own (`decisions/records.py`)."""
+
 from random import Random
 
 
--- a/cobaltpond/loop/children.py
+++ b/cobaltpond/loop/children.py
@@ -1,4 +1,5 @@
 """Processes that were started here, or by an earlier start of this program."""
+
 import os
 import signal
 
@@ -16,7 +17,6 @@
         if self.ended() is None:
             self.process.send_signal(getattr(signal, f"SIG{name}"))
 
-
     def signal_all(self, name: str) -> None:
         """To the whole group that it leads."""
         if self.ended() is None:
@@ -24,8 +24,8 @@
 
 
 class Adopted:
-    """A process that an earlier start of this program began. It is known by the mark in its environment: a number
-    that the system has given to another process since does not carry it."""
+    """A process that an earlier start of this program began. It is known by the mark in its environment: a
+    number that the system has given to another process since does not carry it."""
 
     def __init__(self, pid: int, mark: str):
         self.pid, self.mark = pid, mark
@@ -55,7 +55,7 @@
         except (OSError, ProcessLookupError):
             continue
         begin = f"{MARK}=".encode()
-        mark = next((word[len(begin):].decode("latin-1") for word in words if word.startswith(begin)), "")
+        mark = next((word[len(begin) :].decode("latin-1") for word in words if word.startswith(begin)), "")
         if mark and leads:
             found.append((int(name), mark))
     return sorted(found)
--- a/cobaltpond/loop/clock.py
+++ b/cobaltpond/loop/clock.py
@@ -1,4 +1,5 @@
 """Times of day for people to read."""
+
 from datetime import UTC, datetime
 
 
