--- a/cobaltpond/loop/kernel.py
+++ b/cobaltpond/loop/kernel.py
@@ -5,6 +5,7 @@
 the errors below. `poll` reports a handle once each time that it becomes ready (edge-triggered, epoll(7)):
 whoever was told None must wait for the next report; whoever has not tried yet must try first.
 """
+
 import errno
 import fcntl
 import gc
@@ -120,7 +121,8 @@
         return ready
 
     def drive(self, loop, main):
-        """Gives the loop its turns until the main task has ended, then cancels what is left. Gives what it gave."""
+        """Gives the loop its turns until the main task has ended, then cancels what is left. Gives what it
+        gave."""
         try:
             return loop.run(main)
         finally:
@@ -161,14 +163,23 @@
         return Datagrams(self, sock)
 
     def spawn(self, argv, output, mark="") -> Child:
-        """Starts a process that leads its own session and group; what it prints goes to the end of a file. A mark
-        lets a later start of this program find it again, see `adopt`. Raises Unreachable where it cannot start."""
+        """Starts a process that leads its own session and group; what it prints goes to the end of a file. A
+        mark lets a later start of this program find it again, see `adopt`. Raises Unreachable where it cannot
+        start."""
         import subprocess  # not on the path of `run`, which may start nothing
 
         try:
             with open(output, "ab") as sink:
-                return Child(subprocess.Popen(argv, stdin=subprocess.DEVNULL, stdout=sink, stderr=sink,
-                                              start_new_session=True, env={**os.environ, MARK: mark}))
+                return Child(
+                    subprocess.Popen(
+                        argv,
+                        stdin=subprocess.DEVNULL,
+                        stdout=sink,
+                        stderr=sink,
+                        start_new_session=True,
+                        env={**os.environ, MARK: mark},
+                    )
+                )
         except OSError as trouble:
             raise Unreachable(f"{argv[0]}: {trouble}") from None
 
@@ -265,6 +276,7 @@
         """A file, or a folder with all in it; nothing where it is gone already."""
         if os.path.isdir(path) and not os.path.islink(path):
             import shutil  # as above
+
             shutil.rmtree(path)
         elif os.path.lexists(path):
             os.remove(path)
@@ -294,7 +306,8 @@
         return state.f_bavail * state.f_frsize
 
     def lock(self, path):
-        """Holds a file for this process alone while the result is kept. Raises Refused where another has it."""
+        """Holds a file for this process alone while the result is kept. Raises Refused where another has
+        it."""
         file = open(path, "ab")
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/cobaltpond/loop/ports.py
+++ b/cobaltpond/loop/ports.py
@@ -1,12 +1,17 @@
 """Runs of free ports for stand-ins and tests, below those that the system gives out to dials by itself."""
+
 from cobaltpond.loop.trouble import Unreachable
 
-RANGES = ((10_000, 26_000, 400), (26_000, 32_000, 3_000))    # first, last, ports of a run: small ones, and large
+RANGES = (
+    (10_000, 26_000, 400),
+    (26_000, 32_000, 3_000),
+)  # first, last, ports of a run: small ones, and large
 
 
 def free_run(kernel, count: int):
-    """(a listener that holds the run for whoever else asks this way, its first port). Keep the first, and close
-    it at the end: guards against two that find the same run free at the same moment. Raises Unreachable."""
+    """(a listener that holds the run for whoever else asks this way, its first port). Keep the first, and
+    close it at the end: guards against two that find the same run free at the same moment. Raises
+    Unreachable."""
     fits = [one for one in RANGES if count < one[2]]
     if not fits:
         raise Unreachable(f"{count} ports are more than a run has")
--- a/cobaltpond/loop/sockets.py
+++ b/cobaltpond/loop/sockets.py
@@ -1,4 +1,5 @@
 """Sockets as the real kernel gives them out: streams, listeners, datagrams. Non-blocking; see `kernel.py`."""
+
 import os
 import socket
 import struct
@@ -20,7 +21,7 @@
             self.closed = True
             self.kernel.leave(self)
             self.sock.close()
-            for task in (self.reader, self.writer):    # they try again, and are told that it is gone
+            for task in (self.reader, self.writer):  # they try again, and are told that it is gone
                 if task is not None:
                     task.wake()
             self.reader = self.writer = None
@@ -97,7 +98,7 @@
     def recv(self, size: int) -> tuple[bytes, tuple[str, int]] | None:
         try:
             return self.sock.recvfrom(size)
-        except OSError:                                # also the ICMP error of an earlier send
+        except OSError:  # also the ICMP error of an earlier send
             return None
 
     def send(self, data: bytes, address: tuple[str, int]) -> bool:
--- a/cobaltpond/loop/streams.py
+++ b/cobaltpond/loop/streams.py
@@ -1,9 +1,10 @@
 """Bytes over a stream handle: reads, writes with back-pressure, dials with a time-out, a bounded accept."""
+
 from cobaltpond.loop.tasks import Cancelled, Deadline, Readable, Sleep, Writable
 from cobaltpond.loop.trouble import HandlesUsedUp, PeerLost
 
 CHUNK = 1 << 16
-LAST_TRIES = 50                                        # to take what waits in a backlog, with no descriptor left
+LAST_TRIES = 50  # to take what waits in a backlog, with no descriptor left
 
 
 class Connection:
@@ -62,10 +63,11 @@
 
 
 def serve(loop, listener, answer, most, name, pause=50_000, evict=lambda: False):
-    """Accepts for ever; `answer(connection)` is a task each, `most` (a number, or called) at once; the rest waits.
+    """Accepts for ever; `answer(connection)` is a task each, `most` (a number, or called) at once; the rest
+    waits.
 
-    Guards against used-up descriptors: `evict()` closes what can be spared and says whether there was any; else
-    accepting pauses, what is open goes on, and nothing spins.
+    Guards against used-up descriptors: `evict()` closes what can be spared and says whether there was any;
+    else accepting pauses, what is open goes on, and nothing spins.
     """
     open_now, number = [0], 0
 
@@ -95,14 +97,14 @@
             open_now[0] += 1
             loop.spawn(one(Connection(loop, handle)), f"{name}-{number}")
             if number % 64 == 0:
-                yield Sleep(0)                         # a flood of dials must not hold up the turn
+                yield Sleep(0)  # a flood of dials must not hold up the turn
     except Cancelled:
         # who waits in the backlog believes to be connected and may have sent something: take them all
         tries = LAST_TRIES
         while tries:
             try:
                 handle = listener.accept()
-            except HandlesUsedUp:                      # they stay in the backlog until something is closed
+            except HandlesUsedUp:  # they stay in the backlog until something is closed
                 tries -= 1
                 yield Sleep(0 if evict() else pause)
                 continue
--- a/cobaltpond/loop/tasks.py
+++ b/cobaltpond/loop/tasks.py
@@ -2,10 +2,11 @@
 
 Waits: `Readable(handle)`, `Writable(handle)`, `Sleep(delay)`, an `Event`, a `Task` (until it ends).
 Subroutines are called with `yield from`. A task is cancelled by throwing `Cancelled` into it where it waits,
-so that its `finally` blocks run; a `Deadline` wraps any waits and throws `TimedOut` where they take too long. An
-exception that a task does not catch goes to whoever waits for it, else to `loop.on_death` with the task: never
-into nothing.
+so that its `finally` blocks run; a `Deadline` wraps any waits and throws `TimedOut` where they take too long.
+An exception that a task does not catch goes to whoever waits for it, else to `loop.on_death` with the task:
+never into nothing.
 """
+
 import heapq
 from collections import deque
 from itertools import count
@@ -108,6 +109,7 @@
 
 class Event:
     """Set once or again and again; all that wait are woken with the value."""
+
     __slots__ = ("waiting",)
 
     def __init__(self):
@@ -179,8 +181,8 @@
     def __init__(self, loop, generator, name):
         self.loop, self.generator, self.name = loop, generator, name
         self.wait, self.value, self.ready = None, None, False
-        self.thrown = deque()                          # interruptions not yet delivered
-        self.plain = False                             # woken by what it waited for, not by an interruption
+        self.thrown = deque()  # interruptions not yet delivered
+        self.plain = False  # woken by what it waited for, not by an interruption
         self.done, self.result, self.trouble = False, None, None
         self.ended, self.watched = Event(), False
 
@@ -222,8 +224,11 @@
             while True:
                 if self.thrown and not self.plain:
                     why = self.thrown.popleft()
-                    wait = self.generator.throw(Cancelled() if why is Cancelled else TimedOut(
-                        f"{self.name}: nothing came within {why.delay} us"))
+                    wait = self.generator.throw(
+                        Cancelled()
+                        if why is Cancelled
+                        else TimedOut(f"{self.name}: nothing came within {why.delay} us")
+                    )
                 else:
                     wait = self.generator.send(value)
                 value, self.plain = None, False
@@ -265,9 +270,9 @@
         self.kernel, self.timers, self.run_queue = kernel, Timers(), deque()
         self.tasks, self.current, self.stopping = {}, None, False
         self.turn_at = self.polled_at = self.polled_before = kernel.now()
-        self.after_turn = []                           # called at the end of each turn, in order
+        self.after_turn = []  # called at the end of each turn, in order
         self.on_death = on_death or self.raise_it
-        self.lag = None                                # called with how late a due timer was, where set
+        self.lag = None  # called with how late a due timer was, where set
 
     @staticmethod
     def raise_it(task, trouble):
@@ -279,7 +284,7 @@
 
     def spawn(self, generator, name):
         task = Task(self, generator, name)
-        self.tasks[task] = True            # a map, not a set: what is cancelled first must not hang on addresses
+        self.tasks[task] = True  # a map, not a set: what is cancelled first must not hang on addresses
         task.wake()
         return task
 
@@ -312,7 +317,7 @@
             self.lag(self.turn_at - first)
         for call in self.timers.due(self.turn_at):
             call()
-        for _ in range(len(self.run_queue)):           # what they wake waits for the next turn: no starving
+        for _ in range(len(self.run_queue)):  # what they wake waits for the next turn: no starving
             self.run_queue.popleft().step()
         for call in self.after_turn:
             call()
@@ -341,6 +346,4 @@
     def cancel_all(self):
         for task in sorted(self.tasks, key=lambda t: t.name):
             task.cancel()
-        self.call_in(1000, lambda: None)               # a turn comes in any case
-
-
+        self.call_in(1000, lambda: None)  # a turn comes in any case
--- a/cobaltpond/loop/trouble.py
+++ b/cobaltpond/loop/trouble.py
@@ -1,4 +1,5 @@
 """What can be wrong with a socket, in the room's own words."""
+
 import errno
 import os
 
--- a/cobaltpond/members/compare.py
+++ b/cobaltpond/members/compare.py
@@ -1,4 +1,5 @@
 """Who is there in whose eyes: the tables of several gateways side by side. Free of I/O."""
+
 from collections import Counter
 
 from cobaltpond.members.hearsay import PHASES
@@ -7,9 +8,10 @@
 def compare(tables: dict[int, dict | None]) -> dict:
     """`tables`: gateway -> its table as `Members.table` gives it, None where it did not answer.
 
-    Gives {"silent": gateways that did not answer, "members": one row a member, "apart": what they have not alike}."""
+    Gives {"silent": gateways that did not answer, "members": one row a member, "apart": what they have not
+    alike}."""
     heard = {at: table for at, table in tables.items() if table is not None}
-    seen = {}                                          # member -> {at: row}
+    seen = {}  # member -> {at: row}
     for at, table in heard.items():
         for row in table["members"]:
             seen.setdefault(row["number"], {})[at] = row
@@ -20,31 +22,51 @@
         values = {at: row.get(name) for at, row in own.items()}
         if name != "zone" and len(set(values.values())) > 1:
             apart[name] = by_value({at: shown.format(value) for at, value in values.items()})
-    news = {at: f"build {row['build']} stage {row['stage']} {PHASES[row['phase']]}" for at, row in own.items()}
+    news = {
+        at: f"build {row['build']} stage {row['stage']} {PHASES[row['phase']]}" for at, row in own.items()
+    }
     if len(set(news.values())) > 1:
         apart["news"] = by_value(news)
-    cut = {at: [f"{zone}: {state}" for zone, state in table["zones"].items() if state not in ("fine", "unknown")]
-           for at, table in heard.items()}
+    cut = {
+        at: [f"{zone}: {state}" for zone, state in table["zones"].items() if state not in ("fine", "unknown")]
+        for at, table in heard.items()
+    }
     idle = sorted(at for at, row in own.items() if row["state"] == "alive" and not row.get("flags", 1) & 1)
-    return {"silent": sorted(at for at, table in tables.items() if table is None), "members": rows, "apart": apart,
-            "idle": idle,
-            "zones": {at: says for at, says in sorted(cut.items()) if says},
-            "links": {at: table["broken_links"] for at, table in sorted(heard.items()) if table["broken_links"]}}
+    return {
+        "silent": sorted(at for at, table in tables.items() if table is None),
+        "members": rows,
+        "apart": apart,
+        "idle": idle,
+        "zones": {at: says for at, says in sorted(cut.items()) if says},
+        "links": {at: table["broken_links"] for at, table in sorted(heard.items()) if table["broken_links"]},
+    }
 
 
 def one_member(number: int, eyes: dict) -> dict:
-    """One member as the most see it, and who sees it otherwise since when. A gateway's word on itself does not
-    count where others speak of it."""
+    """One member as the most see it, and who sees it otherwise since when. A gateway's word on itself does
+    not count where others speak of it."""
     others = {at: row for at, row in eyes.items() if at != number} or eyes
     states = Counter(row["state"] for row in others.values())
     most = max(sorted(states), key=states.get)
     starts = {row["start"] for row in eyes.values() if row["state"] != "unheard"}
-    return {"number": number, "zone": next(iter(eyes.values()))["zone"], "state": most,
-            "since_us": min(row["since_us"] for row in others.values() if row["state"] == most),
-            "start": max(starts, default=0), "starts": len(starts),
-            "otherwise": {at: {"state": row["state"], "since_us": row["since_us"], "cause": row.get("cause", ""),
-                               "by": row.get("by")}
-                          for at, row in sorted(others.items()) if row["state"] != most}}
+    return {
+        "number": number,
+        "zone": next(iter(eyes.values()))["zone"],
+        "state": most,
+        "since_us": min(row["since_us"] for row in others.values() if row["state"] == most),
+        "start": max(starts, default=0),
+        "starts": len(starts),
+        "otherwise": {
+            at: {
+                "state": row["state"],
+                "since_us": row["since_us"],
+                "cause": row.get("cause", ""),
+                "by": row.get("by"),
+            }
+            for at, row in sorted(others.items())
+            if row["state"] != most
+        },
+    }
 
 
 def by_value(values: dict) -> dict:
@@ -76,12 +98,19 @@
     agreed = {}
     for row in told["members"]:
         if row["otherwise"] or row["starts"] > 1 or row["state"] not in ("alive",):
-            rows.append(f"gateway {row['number']:<4} zone {row['zone']:<10} {row['state']:<8} "
-                        f"for {row['since_us'] / 1e6:.1f} s" + (", seen in two starts" if row["starts"] > 1 else ""))
-            rows += [f"    but {what['state']} at gateway {at} for {what['since_us'] / 1e6:.1f} s"
-                     + (f" ({what['cause']}" + (f" by {what['by']}" if what["by"] is not None else "") + ")"
-                        if what["cause"] else "")
-                     for at, what in row["otherwise"].items()]
+            rows.append(
+                f"gateway {row['number']:<4} zone {row['zone']:<10} {row['state']:<8} "
+                f"for {row['since_us'] / 1e6:.1f} s" + (", seen in two starts" if row["starts"] > 1 else "")
+            )
+            rows += [
+                f"    but {what['state']} at gateway {at} for {what['since_us'] / 1e6:.1f} s"
+                + (
+                    f" ({what['cause']}" + (f" by {what['by']}" if what["by"] is not None else "") + ")"
+                    if what["cause"]
+                    else ""
+                )
+                for at, what in row["otherwise"].items()
+            ]
         else:
             agreed.setdefault(row["zone"], []).append(row["number"])
     rows = [f"zone {zone:<10} alive in all eyes: {some(numbers)}" for zone, numbers in agreed.items()] + rows
@@ -90,5 +119,7 @@
     for at, numbers in told["links"].items():
         rows.append(f"gateway {at} is heard by others, but not by or from: {some(numbers)} (one link)")
     for name, values in told["apart"].items():
-        rows.append(f"{name} differ: " + "; ".join(f"{value} at {some(ats)}" for value, ats in values.items()))
+        rows.append(
+            f"{name} differ: " + "; ".join(f"{value} at {some(ats)}" for value, ats in values.items())
+        )
     return rows
--- a/cobaltpond/members/evidence.py
+++ b/cobaltpond/members/evidence.py
@@ -1,14 +1,16 @@
 """What a gateway that begins in mid-trial asks others for: their counts of the trial. Free of I/O.
 
-Two that are there are asked, of our choice. An answer is weighed by its age and handed on as a tally, which the
-module never takes for hits of its own. Both may have counted the same hits (a judge counts what others tell):
-of two answers the larger holds, they are not added up.
+Two that are there are asked, of our choice. An answer is weighed by its age and handed on as a tally, which
+the module never takes for hits of its own. Both may have counted the same hits (a judge counts what others
+tell): of two answers the larger holds, they are not added up.
 """
-ASKED, TIMES, EVERY = 2, 3, 500_000                    # members; times each; so long apart, until it answers
+
+ASKED, TIMES, EVERY = 2, 3, 500_000  # members; times each; so long apart, until it answers
 
 
 class Evidence:
-    """`window`: so old a count is worth nothing, in microseconds; `post`: as `Host.post`; `began`: our own start."""
+    """`window`: so old a count is worth nothing, in microseconds; `post`: as `Host.post`; `began`: our own
+    start."""
 
     def __init__(self, window: int, post, chance, began: int):
         self.window, self.post, self.chance, self.began = window, post, chance, began
@@ -16,7 +18,8 @@
         self.counts = {"asked": 0, "answers": 0, "tallies": 0}
 
     def news(self, now: int, build: int, phase: str, age: int) -> None:
-        """Our own desk speaks. A trial that began before we did is one that we have missed the first part of."""
+        """Our own desk speaks. A trial that began before we did is one that we have missed the first part
+        of."""
         if phase != "trial":
             self.build, self.asked, self.next_at = None, {}, None
         elif build != self.build:
@@ -43,7 +46,8 @@
         return to
 
     def answered(self, sender: int, rows: list[tuple]) -> None:
-        """`rows`: (build, path group, hits, errored, age of the newest). Taken once from each that was asked."""
+        """`rows`: (build, path group, hits, errored, age of the newest). Taken once from each that was
+        asked."""
         if self.asked.get(sender) is None:
             return
         self.asked[sender] = None
--- a/cobaltpond/members/hearsay.py
+++ b/cobaltpond/members/hearsay.py
@@ -1,14 +1,17 @@
-"""What a gateway says of the release and of instances, and what it takes from another one's word. Free of I/O.
+"""What a gateway says of the release and of instances, and what it takes from another one's word. Free of
+I/O.
 
-One rule: a member's word only ever shuts. That a build goes back, has been withdrawn or has a lower cap is acted upon
-until our own link to the desk speaks again; that an instance drains, until our own list knows it. Nothing heard from a
-member opens a cap, a build or an instance: a wrong or late word costs room, never a rule.
+One rule: a member's word only ever shuts. That a build goes back, has been withdrawn or has a lower cap is
+acted upon until our own link to the desk speaks again; that an instance drains, until our own list knows it.
+Nothing heard from a member opens a cap, a build or an instance: a wrong or late word costs room, never a
+rule.
 """
+
 from cobaltpond.members.states import LEFT
 
-PHASES = ("trial", "released", "going back", "withdrawn")    # in the order in which a build goes through them
-SHUT = 2                                               # from this one on a build gets no more hits
-FRESH = 5_000_000                                      # an instance that began to drain so lately is told of
+PHASES = ("trial", "released", "going back", "withdrawn")  # in the order in which a build goes through them
+SHUT = 2  # from this one on a build gets no more hits
+FRESH = 5_000_000  # an instance that began to drain so lately is told of
 
 
 class Hearsay:
@@ -16,13 +19,13 @@
 
     def __init__(self, post):
         self.post = post
-        self.own, self.own_since = None, 0             # what our own link to the desk said last
+        self.own, self.own_since = None, 0  # what our own link to the desk said last
         self.heard, self.heard_since, self.heard_from = None, 0, None  # what holds on another's word
-        self.overruled = {}                            # words that our own link has spoken after, in order
-        self.revision, self.draining = 0, {}           # of our list; tag of an instance -> when it began to drain
+        self.overruled = {}  # words that our own link has spoken after, in order
+        self.revision, self.draining = 0, {}  # of our list; tag of an instance -> when it began to drain
         self.counts = {"news taken": 0, "drains taken": 0, "overruled": 0}
 
-    # --- what our own links say --------------------------------------------------------------------------------
+    # --- what our own links say -----------------------------------------------------------------------------
 
     def news(self, now: int, build: int, stage: int, phase: str, cap: float, age: int) -> None:
         """From the desk. It always holds, and ends what was taken on another's word."""
@@ -41,7 +44,7 @@
         self.revision = revision
         self.draining = {tag: self.draining.get(tag, now) for tag in tags}
 
-    # --- what is said ------------------------------------------------------------------------------------------
+    # --- what is said ---------------------------------------------------------------------------------------
 
     def say(self, now: int) -> tuple[tuple | None, list[int]]:
         """(news for a datagram or None, tags of instances that began to drain lately, the newest first)."""
@@ -53,7 +56,7 @@
         fresh = [tag for tag, at in reversed(self.draining.items()) if now - at < FRESH]
         return news, fresh
 
-    # --- what others say ---------------------------------------------------------------------------------------
+    # --- what others say ------------------------------------------------------------------------------------
 
     def word(self, now: int, member, news: tuple | None, drains: list[int]) -> None:
         """Of one fresh datagram."""
@@ -63,7 +66,7 @@
             self.counts["drains taken"] += 1
             self.post("on_drains", drains)
         if news is None or news[2] >= len(PHASES):
-            return                                     # a phase of a later version: no word that we know
+            return  # a phase of a later version: no word that we know
         told = news[0], news[1], PHASES[news[2]], news[3]
         if told in self.overruled or not self.shuts(told, now - news[4]):
             return
@@ -72,7 +75,8 @@
         self.post("on_shut", told[0])
 
     def shuts(self, told: tuple, since: int) -> bool:
-        """Is it a reason to send no more to that build? An older stage or build is not: its teller is behind."""
+        """Is it a reason to send no more to that build? An older stage or build is not: its teller is
+        behind."""
         build, stage, phase, cap = told
         known = self.heard or self.own
         order = PHASES.index(phase)
--- a/cobaltpond/members/picture.py
+++ b/cobaltpond/members/picture.py
@@ -1,14 +1,22 @@
 """What silence means: a member, a zone, a link, or we ourselves. Free of I/O.
 
-A probe ends DIRECT (it answered us), HELPED (it answered a helper only: our link to it or back is broken), LOST (a
-helper says that it does not answer it either) or MUTE (no helper answered us: it may as well be us). Links are
-named by that; zones by who is suspect or failed, which is what probes and helpers have come to.
+A probe ends DIRECT (it answered us), HELPED (it answered a helper only: our link to it or back is broken),
+LOST (a helper says that it does not answer it either) or MUTE (no helper answered us: it may as well be us).
+Links are named by that; zones by who is suspect or failed, which is what probes and helpers have come to.
 """
+
 from cobaltpond.members.states import ALIVE, FAILED, LEFT, SUSPECT, UNHEARD
 
 DIRECT, HELPED, LOST, MUTE = "direct", "helped", "lost", "mute"
-ALONE_PERIODS = 4                                      # of a probe, without a word from anybody
-FINE, GONE, PART, CUT_OFF, ALONE, UNKNOWN = "fine", "gone", "partly gone", "cut off from it", "alone", "unknown"
+ALONE_PERIODS = 4  # of a probe, without a word from anybody
+FINE, GONE, PART, CUT_OFF, ALONE, UNKNOWN = (
+    "fine",
+    "gone",
+    "partly gone",
+    "cut off from it",
+    "alone",
+    "unknown",
+)
 
 
 class Picture:
@@ -23,14 +31,15 @@
         return known and now - max(heard, default=self.view.began) > wait
 
     def links(self) -> list[int]:
-        """Members that others hear and we do not, or that do not hear us: one link, whichever way it is broken."""
+        """Members that others hear and we do not, or that do not hear us: one link, whichever way it is
+        broken."""
         return sorted(n for n, m in self.view.members.items() if m.state == ALIVE and m.reached == HELPED)
 
     def zones(self, now: int) -> dict[str, str]:
         """zone -> what it looks like from here.
 
-        Gone: none of it is there, while most members are. Cut off from it: none of it is there, and more than half
-        of all members are silent with it: then it is rather we who are the island."""
+        Gone: none of it is there, while most members are. Cut off from it: none of it is there, and more than
+        half of all members are silent with it: then it is rather we who are the island."""
         view, own = self.view, self.view.zones[self.view.number]
         rows, counted = {}, [m for m in view.members.values() if m.state not in (UNHEARD, LEFT)]
         dark = [m for m in counted if m.state in (SUSPECT, FAILED)]
@@ -57,6 +66,14 @@
 
     def summary(self, now: int) -> dict:
         states = [m.state for m in self.view.members.values()]
-        return {"alive": 1 + states.count(ALIVE), "suspect": states.count(SUSPECT), "failed": states.count(FAILED),
-                "left": states.count(LEFT), "unheard": states.count(UNHEARD), "zones": self.zones(now),
-                "broken_links": self.links(), "alone": self.alone(now), "health": self.view.health}
+        return {
+            "alive": 1 + states.count(ALIVE),
+            "suspect": states.count(SUSPECT),
+            "failed": states.count(FAILED),
+            "left": states.count(LEFT),
+            "unheard": states.count(UNHEARD),
+            "zones": self.zones(now),
+            "broken_links": self.links(),
+            "alone": self.alone(now),
+            "health": self.view.health,
+        }
--- a/cobaltpond/members/rounds.py
+++ b/cobaltpond/members/rounds.py
@@ -1,14 +1,16 @@
-"""Whom a view probes, in which order, who is asked to help, and what a probe without an answer says (SWIM, 4.3).
+"""Whom a view probes, in which order, who is asked to help, and what a probe without an answer says (SWIM,
+4.3).
 
 A part of `view.View`, which has the state.
 """
+
 from cobaltpond.members import wire
 from cobaltpond.members.picture import LOST, MUTE
 from cobaltpond.members.states import ALIVE, DOUBTED, FAILED, SUSPECT, UNHEARD, Member
 
-HELPERS = 3                                            # asked for who does not answer (SWIM's k)
-NACK_SHARE = 0.8                                       # of the wait: a helper says that it has heard nothing either
-REACHES = 3                                            # a period, while nobody is heard; else one
+HELPERS = 3  # asked for who does not answer (SWIM's k)
+NACK_SHARE = 0.8  # of the wait: a helper says that it has heard nothing either
+REACHES = 3  # a period, while nobody is heard; else one
 
 
 class Probe:
@@ -16,7 +18,13 @@
 
     def __init__(self, member: Member, sequence: int, began: int, wait: int, period: int):
         self.member, self.sequence, self.asked, self.start = member, sequence, None, member.start
-        self.ask_at, self.end_at, self.helpers, self.nacks, self.reached = began + wait, began + period, {}, {}, None
+        self.ask_at, self.end_at, self.helpers, self.nacks, self.reached = (
+            began + wait,
+            began + period,
+            {},
+            {},
+            None,
+        )
 
 
 class Rounds:
@@ -41,8 +49,8 @@
         self.probe.sequence = self.ping(member.number)
 
     def next_of_round(self) -> Member | None:
-        """Each member that is there once a round, in an order drawn anew each time: a failed one is met within two
-        rounds (SWIM, 4.3)."""
+        """Each member that is there once a round, in an order drawn anew each time: a failed one is met
+        within two rounds (SWIM, 4.3)."""
         for _ in range(2):
             while self.round:
                 member = self.members[self.round.pop()]
@@ -64,14 +72,18 @@
             while self.reach_round and self.members[self.reach_round[-1]].state not in (UNHEARD, FAILED):
                 self.reach_round.pop()
             if not self.reach_round:
-                self.reach_round = self.drawn([n for n, m in self.members.items() if m.state in (UNHEARD, FAILED)])
+                self.reach_round = self.drawn(
+                    [n for n, m in self.members.items() if m.state in (UNHEARD, FAILED)]
+                )
             if self.reach_round:
                 self.ping(self.reach_round.pop())
 
     def ask(self, probe: Probe) -> None:
-        """Helpers of every zone there is, as far as their number goes: what a zone's silence means is told by who
-        hears it and who does not."""
-        numbers = self.drawn([n for n, m in self.members.items() if m.state == ALIVE and m is not probe.member])
+        """Helpers of every zone there is, as far as their number goes: what a zone's silence means is told by
+        who hears it and who does not."""
+        numbers = self.drawn(
+            [n for n, m in self.members.items() if m.state == ALIVE and m is not probe.member]
+        )
         seen, first = {self.zones[self.number]: True}, []
         for number in numbers:
             if self.zones[number] not in seen:
@@ -90,13 +102,13 @@
             self.feel(-1)
             member.reached = probe.reached
             return
-        if member.start != probe.start:                # asked was its former life, which could not answer any more
+        if member.start != probe.start:  # asked was its former life, which could not answer any more
             return
         self.counts["probes failed"] += 1
         if not probe.helpers:
             self.feel(1)
-        for helper in probe.helpers:                   # charged once it is heard again: what a dead helper does not
-            if helper not in probe.nacks:              # say is no sign of our own health (ours; Lifeguard charges it)
+        for helper in probe.helpers:  # charged once it is heard again: what a dead helper does not
+            if helper not in probe.nacks:  # say is no sign of our own health (ours; Lifeguard charges it)
                 self.members[helper].missed = 1
         member.reached = LOST if probe.nacks else MUTE
         if member.state == ALIVE:
--- a/cobaltpond/members/states.py
+++ b/cobaltpond/members/states.py
@@ -18,11 +18,31 @@
 
 
 class Member:
-    """One gateway of the sheet as it is seen from here. `start`, `incarnation`: of the life last heard of; `facts`:
-    what it said of itself last, a map; `reached`: how its last probe went (`picture.py`); times in microseconds."""
-    __slots__ = ("number", "zone", "state", "start", "incarnation", "since", "cause", "by", "doubters", "doubted_at",
-                 "until", "facts", "stamp", "heard_at", "reached", "spent", "spent_at", "given",
-                 "missed")
+    """One gateway of the sheet as it is seen from here. `start`, `incarnation`: of the life last heard of;
+    `facts`: what it said of itself last, a map; `reached`: how its last probe went (`picture.py`); times in
+    microseconds."""
+
+    __slots__ = (
+        "number",
+        "zone",
+        "state",
+        "start",
+        "incarnation",
+        "since",
+        "cause",
+        "by",
+        "doubters",
+        "doubted_at",
+        "until",
+        "facts",
+        "stamp",
+        "heard_at",
+        "reached",
+        "spent",
+        "spent_at",
+        "given",
+        "missed",
+    )
 
     def __init__(self, number: int, zone: str, now: int):
         self.number, self.zone, self.state, self.start, self.incarnation = number, zone, UNHEARD, 0, 0
@@ -48,15 +68,15 @@
 
 
 def change(member: Member, cause: str, now: int, by: int | None, start: int, incarnation: int) -> str:
-    """The only place where a state changes. Gives the state before. Raises RuntimeError on what the table lacks:
-    a fault of ours, never of a peer (words of peers are ranked before they come here)."""
+    """The only place where a state changes. Gives the state before. Raises RuntimeError on what the table
+    lacks: a fault of ours, never of a peer (words of peers are ranked before they come here)."""
     before = member.state
     if cause not in NEXT[before]:
         raise RuntimeError(f"a member that is {before} cannot be {cause}")
     member.state = NEXT[before][cause]
     if member.state != before or start != member.start:
         member.since = now
-    if start != member.start:                          # another life: nothing known of the last one holds
+    if start != member.start:  # another life: nothing known of the last one holds
         member.facts, member.stamp = {}, None
     member.start, member.incarnation, member.cause, member.by = start, incarnation, cause, by
     member.doubters, member.given = {}, 0
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -1,11 +1,13 @@
 """One gateway's view of all gateways: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's refinements (Dadgar,
 Phillips, Currey, 2018). Free of I/O: time, datagrams and chance come in, datagrams to be sent come out.
 
-A probe asks one member; who does not answer in time is asked for by helpers; who answers nobody is suspect, which all
-are told and it may refute by a higher incarnation; a suspect whose time runs out has failed. What is told rides on the
-datagrams of the probes. Ours beside the papers: failed and unheard members are reached for now and then, so that a
-split heals without anybody's order; views whose digests differ fill the room left in a datagram with their tables.
+A probe asks one member; who does not answer in time is asked for by helpers; who answers nobody is suspect,
+which all are told and it may refute by a higher incarnation; a suspect whose time runs out has failed. What
+is told rides on the datagrams of the probes. Ours beside the papers: failed and unheard members are reached
+for now and then, so that a split heals without anybody's order; views whose digests differ fill the room left
+in a datagram with their tables.
 """
+
 from dataclasses import dataclass
 from math import ceil, log, log10
 
@@ -25,17 +27,18 @@
     change,
 )
 
-ALPHA, BETA, DOUBTS = 5, 6, 3                          # Lifeguard, IV: suspicion's least and most, confirmations
-HEALTH_MOST = 8                                        # Lifeguard's S
-TELLINGS = 4                                           # times the logarithm of the members a change is told
-RELAYED = 64                                           # questions for others that are open here
-EACH_PERIOD = 24                                       # datagrams of one sender that are read in a period
-STOOD_STILL = 0.5                                      # of a wait: a tick so late says that we stood still
+ALPHA, BETA, DOUBTS = 5, 6, 3  # Lifeguard, IV: suspicion's least and most, confirmations
+HEALTH_MOST = 8  # Lifeguard's S
+TELLINGS = 4  # times the logarithm of the members a change is told
+RELAYED = 64  # questions for others that are open here
+EACH_PERIOD = 24  # datagrams of one sender that are read in a period
+STOOD_STILL = 0.5  # of a wait: a tick so late says that we stood still
 
 
 @dataclass(frozen=True)
 class Settings:
     """Times in microseconds. `plain`: SWIM as first published, for comparison."""
+
     period: int = 1_000_000
     wait: int = 300_000
     plain: bool = False
@@ -46,8 +49,9 @@
 
 
 class View(Rounds):
-    """`zones`: name of each gateway's zone by number, ours included. `chance`: as `Chance` of the decisions. What is
-    to be sent collects in `out` as (number, datagram), what has changed in `changes` as (member, state before)."""
+    """`zones`: name of each gateway's zone by number, ours included. `chance`: as `Chance` of the decisions.
+    What is to be sent collects in `out` as (number, datagram), what has changed in `changes` as (member,
+    state before)."""
 
     def __init__(self, number: int, zones: dict[int, str], settings: Settings, chance, start: int, now: int):
         self.number, self.zones, self.settings, self.chance = number, zones, settings, chance
@@ -55,28 +59,48 @@
         self.order = list(self.members)
         self.start, self.incarnation, self.state, self.bumped = start, 0, ALIVE, False
         self.health, self.sequence, self.stamp, self.began = 0, chance.below(1 << 30), 0, now
-        self.told_of_me = {"zone": wire.zone_mark(zones[number]), "version": 0, "settings": 0, "revision": 0,
-                           "build": 0, "stage": 0, "phase": 0, "out": 0, "admitted": 255, "flags": 0}
-        self.news, self.drains = None, ()              # to ride along: hearsay.py
-        self.hearsay = None                            # called with (member, news or None, drains) of each datagram
-        self.trial = None                              # called with (kind, sender, sequence, rows): questions on trials
-        self.warm = self.leases = None                 # the same, on instances and on leases
+        self.told_of_me = {
+            "zone": wire.zone_mark(zones[number]),
+            "version": 0,
+            "settings": 0,
+            "revision": 0,
+            "build": 0,
+            "stage": 0,
+            "phase": 0,
+            "out": 0,
+            "admitted": 255,
+            "flags": 0,
+        }
+        self.news, self.drains = None, ()  # to ride along: hearsay.py
+        self.hearsay = None  # called with (member, news or None, drains) of each datagram
+        self.trial = None  # called with (kind, sender, sequence, rows): questions on trials
+        self.warm = self.leases = None  # the same, on instances and on leases
         self.probe, self.next_probe = None, now + chance.below(settings.period) + 1
-        self.round, self.reach_round = [], []          # whom to probe, whom to reach for, in a drawn order
-        self.telling = {}                              # number -> times told
-        self.relays = {}                               # sequence -> (who asks, its sequence, about whom, nack at, end)
+        self.round, self.reach_round = [], []  # whom to probe, whom to reach for, in a drawn order
+        self.telling = {}  # number -> times told
+        self.relays = {}  # sequence -> (who asks, its sequence, about whom, nack at, end)
         self.cursor, self.hash = 0, self.row_hash(number)
         self.out, self.changes, self.replaced = [], [], False
         self.picture = Picture(self)
-        self.counts = {"pings": 0, "asked": 0, "heard": 0, "old": 0, "flood": 0, "strangers": 0, "refuted": 0,
-                       "probes failed": 0, "stood still": 0}
-
-    # --- figures -----------------------------------------------------------------------------------------------
+        self.counts = {
+            "pings": 0,
+            "asked": 0,
+            "heard": 0,
+            "old": 0,
+            "flood": 0,
+            "strangers": 0,
+            "refuted": 0,
+            "probes failed": 0,
+            "stood still": 0,
+        }
+
+    # --- figures --------------------------------------------------------------------------------------------
 
     def living(self) -> dict[int, int]:
         """Who is there, ours included: number -> start."""
         return {n: m.start for n, m in self.members.items() if m.there} | (
-            {self.number: self.start} if self.state == ALIVE else {})
+            {self.number: self.start} if self.state == ALIVE else {}
+        )
 
     def size(self) -> int:
         return 1 + sum(m.there for m in self.members.values())
@@ -112,7 +136,7 @@
             what = number, *member.mark, CODES[member.state]
         return wire.crc32(wire.pack(">HQIB", *what))
 
-    # --- changes -----------------------------------------------------------------------------------------------
+    # --- changes --------------------------------------------------------------------------------------------
 
     def alter(self, member: Member, cause: str, now: int, by: int, start: int, incarnation: int) -> None:
         self.hash ^= self.row_hash(member.number)
@@ -148,17 +172,20 @@
         self.telling[self.number] = 0
 
     def doubted_of_me(self, start: int, incarnation: int, state: str) -> None:
-        """What others say of us that does not hold. A newer start of our name is our own former life where a clock
-        went back: outbid once. One that outbids us again lives: the newer one stays, and it is not us."""
+        """What others say of us that does not hold. A newer start of our name is our own former life where a
+        clock went back: outbid once. One that outbids us again lives: the newer one stays, and it is not
+        us."""
         if start > self.start:
             if self.bumped:
                 self.replaced = True
             else:
                 self.bumped = True
                 self.raise_self(0, start + 1)
-        elif start == self.start and state != ALIVE and incarnation >= self.incarnation and self.state == ALIVE:
+        elif (
+            start == self.start and state != ALIVE and incarnation >= self.incarnation and self.state == ALIVE
+        ):
             self.counts["refuted"] += 1
-            self.feel(1)                               # they could not hear us: it may be us
+            self.feel(1)  # they could not hear us: it may be us
             self.raise_self(incarnation + 1)
 
     def told(self, now: int, number: int, start: int, incarnation: int, state: str, by: int) -> None:
@@ -174,13 +201,13 @@
         elif state == SUSPECT == member.state and (start, incarnation) == member.mark:
             self.more_doubt(member, by, now)
 
-    # --- what is sent ------------------------------------------------------------------------------------------
+    # --- what is sent ---------------------------------------------------------------------------------------
 
     def row_of(self, number: int) -> bytes:
         if number == self.number:
             return wire.row(number, self.start, self.incarnation, self.state, number)
         member = self.members[number]
-        if member.state == SUSPECT and member.doubters:      # in turn: each of those who doubt is heard of
+        if member.state == SUSPECT and member.doubters:  # in turn: each of those who doubt is heard of
             doubters = list(member.doubters)
             by = doubters[member.given % len(doubters)]
             member.given += 1
@@ -189,8 +216,8 @@
         return wire.row(number, *member.mark, member.state, by)
 
     def rows_for(self, receiver: int, room: int, differs: bool) -> bytes:
-        """The buddy's row first (Lifeguard: who is suspect learns of it by the next datagram), then what is told
-        the least often, then, where the views differ, the table in turn."""
+        """The buddy's row first (Lifeguard: who is suspect learns of it by the next datagram), then what is
+        told the least often, then, where the views differ, the table in turn."""
         most, chosen = room // wire.ROW_SIZE, []
         target = self.members[receiver]
         if target.state in (SUSPECT, FAILED, LEFT) and not (self.settings.plain and target.state == SUSPECT):
@@ -214,10 +241,22 @@
                     chosen.append(number)
         return b"".join(self.row_of(number) for number in chosen[:most])
 
-    def send(self, kind: int, receiver: int, sequence: int, about: int | None = None, differs=False,
-             more: bytes = b"") -> None:
+    def send(
+        self,
+        kind: int,
+        receiver: int,
+        sequence: int,
+        about: int | None = None,
+        differs=False,
+        more: bytes = b"",
+    ) -> None:
         self.stamp += 1
-        facts = {**self.told_of_me, "start": self.start, "incarnation": self.incarnation, "state": CODES[self.state]}
+        facts = {
+            **self.told_of_me,
+            "start": self.start,
+            "incarnation": self.incarnation,
+            "state": CODES[self.state],
+        }
         fields = wire.self_field(facts) + wire.field(wire.DIGEST, wire.pack(">I", self.hash))
         fields += more
         if about is not None:
@@ -225,26 +264,29 @@
         if self.news is not None:
             fields += wire.news_field(*self.news)
         if self.drains:
-            fields += wire.drains_field(self.drains[:wire.DRAINS_MOST])
+            fields += wire.drains_field(self.drains[: wire.DRAINS_MOST])
         rows = self.rows_for(receiver, wire.MOST - wire.BEGIN - len(fields) - 2, differs)
         if rows:
             fields += wire.field(wire.ROWS, rows)
         self.out.append((receiver, wire.sealed(kind, self.number, receiver, sequence, self.stamp, fields)))
 
     def ping(self, receiver: int) -> int:
-        self.sequence = (self.sequence + 1) & 0xffffffff
+        self.sequence = (self.sequence + 1) & 0xFFFFFFFF
         self.counts["pings"] += 1
         self.send(wire.PING, receiver, self.sequence)
         return self.sequence
 
-    # --- what comes in -----------------------------------------------------------------------------------------
+    # --- what comes in --------------------------------------------------------------------------------------
 
     def heard(self, now: int, sender: int, data: bytes) -> None:
-        """One datagram from the address of a member. Raises wire.Odd on what is not read; nothing of it is kept."""
+        """One datagram from the address of a member. Raises wire.Odd on what is not read; nothing of it is
+        kept."""
         member = self.members.get(sender)
         if member is None:
             raise wire.Odd("stranger")
-        if now - member.spent_at >= self.settings.period:    # guards against floods: before anything is worked out
+        if (
+            now - member.spent_at >= self.settings.period
+        ):  # guards against floods: before anything is worked out
             member.spent, member.spent_at = 0, now
         member.spent += 1
         if member.spent > EACH_PERIOD:
@@ -258,15 +300,18 @@
         self.counts["heard"] += 1
         self.feel(member.missed)
         member.missed = 0
-        fresh = facts["start"] > member.start or facts["start"] == member.start and (
-            member.stamp is None or stamp > member.stamp)
+        fresh = (
+            facts["start"] > member.start
+            or facts["start"] == member.start
+            and (member.stamp is None or stamp > member.stamp)
+        )
         self.told(now, sender, facts["start"], facts["incarnation"], wire.NAMES[facts["state"]], sender)
         if fresh and facts["start"] == member.start:
             member.facts, member.stamp, member.heard_at = facts, stamp, now
             if self.hearsay is not None:
                 self.hearsay(member, news, drains)
         elif facts["start"] < member.start:
-            self.counts["old"] += 1                    # a former life's, late or replayed: its word is not taken
+            self.counts["old"] += 1  # a former life's, late or replayed: its word is not taken
             return
         else:
             self.counts["old"] += 1
@@ -282,15 +327,25 @@
         elif kind == wire.ASK and about in self.members and len(self.relays) < RELAYED:
             relayed = self.ping(about)
             wait = self.settings.wait
-            self.relays[relayed] = sender, sequence, about, now + int(NACK_SHARE * wait), now + self.settings.period
+            self.relays[relayed] = (
+                sender,
+                sequence,
+                about,
+                now + int(NACK_SHARE * wait),
+                now + self.settings.period,
+            )
         elif kind in (wire.TRIAL_ASK, wire.TRIAL_TOLD) and self.trial is not None:
             self.trial(kind, sender, sequence, trial)
         elif kind in (wire.WARM_ASK, wire.WARM_TOLD) and self.warm is not None:
             self.warm(kind, sender, sequence, warm)
         elif kind in (wire.LEASE_ASK, wire.LEASE_TOLD) and self.leases is not None:
             self.leases(kind, sender, sequence, leases)
-        elif kind == wire.NACK and self.probe is not None and sequence == self.probe.sequence and (
-                sender in self.probe.helpers):
+        elif (
+            kind == wire.NACK
+            and self.probe is not None
+            and sequence == self.probe.sequence
+            and (sender in self.probe.helpers)
+        ):
             self.probe.nacks[sender] = True
 
     def acked(self, now: int, sender: int, sequence: int, about: int | None) -> None:
@@ -307,7 +362,7 @@
         elif about == probe.member.number and sender in probe.helpers and probe.reached is None:
             probe.reached = HELPED
 
-    # --- time --------------------------------------------------------------------------------------------------
+    # --- time -----------------------------------------------------------------------------------------------
 
     def next_at(self) -> int:
         """When `tick` is due next."""
@@ -344,8 +399,8 @@
             self.begin_probe(now)
 
     def stood_still(self, now: int, late: int) -> None:
-        """Guards against a process that was stopped, or a clock that jumped: what it would call overdue it has not
-        had time to hear. Its own probe counts for nothing, and every suspicion is as much longer."""
+        """Guards against a process that was stopped, or a clock that jumped: what it would call overdue it
+        has not had time to hear. Its own probe counts for nothing, and every suspicion is as much longer."""
         self.counts["stood still"] += 1
         self.feel(1)
         self.probe, self.next_probe = None, now + self.settings.wait
@@ -354,12 +409,12 @@
             if member.state == SUSPECT:
                 member.until += late
 
-    # --- the end -----------------------------------------------------------------------------------------------
+    # --- the end --------------------------------------------------------------------------------------------
 
     def leave(self) -> None:
         """In order: told, not suspected. Called again it tells others; who was told tells on."""
         self.hash ^= self.row_hash(self.number)
         self.state = LEFT
         self.hash ^= self.row_hash(self.number)
-        for number in self.drawn([n for n, m in self.members.items() if m.there])[:2 * HELPERS]:
+        for number in self.drawn([n for n, m in self.members.items() if m.there])[: 2 * HELPERS]:
             self.send(wire.LEAVE, number, 0)
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -1,13 +1,15 @@
 """Datagrams between gateways: at most 256 bytes with the six of `gateway/peers.py`. Free of I/O.
 
-    version (major << 4 | minor)   1 byte     another major is not read, another minor is
-    kind                           1          what is asked or answered
-    checksum                       4          crc32 of sender, receiver and all that follows
-    receiver                       2          guards against an address that changed hands
-    sequence                       4          an answer repeats that of its question
-    stamp                          4          of this start, rising: an old datagram's facts are not taken for new
-    fields: tag 1, length 1, value            a tag that is not known is skipped, a longer value read as far as known
+version (major << 4 | minor)   1 byte     another major is not read, another minor is
+kind                           1          what is asked or answered
+checksum                       4          crc32 of sender, receiver and all that follows
+receiver                       2          guards against an address that changed hands
+sequence                       4          an answer repeats that of its question
+stamp                          4          of this start, rising: an old datagram's facts are not taken for new
+fields: tag 1, length 1, value            a tag that is not known is skipped, a longer value read as far as
+known
 """
+
 from struct import calcsize, pack, unpack, unpack_from
 from zlib import crc32
 
@@ -16,24 +18,37 @@
 MAJOR, MINOR = 1, 0
 PING, ACK, ASK, NACK, LEAVE, TRIAL_ASK, TRIAL_TOLD, WARM_ASK, WARM_TOLD = 1, 2, 3, 4, 5, 6, 7, 8, 9
 LEASE_ASK, LEASE_TOLD = 10, 11
-MOST = 250                                             # of a datagram's 256 bytes, what is left for us
+MOST = 250  # of a datagram's 256 bytes, what is left for us
 HEAD = ">BBIHII"
 BEGIN = calcsize(HEAD)
 SELF, ROWS, ABOUT, NEWS, DRAINS, DIGEST, TRIAL, WARM, LEASES = 1, 2, 3, 4, 5, 6, 7, 8, 9
-# start (microseconds of the calendar), incarnation, state, zone, version, settings, list's revision, build, stage,
-# phase, hits out, share let in (of 255), flags
+# start (microseconds of the calendar), incarnation, state, zone, version, settings, list's revision, build,
+# stage, phase, hits out, share let in (of 255), flags
 FACTS = ">QIBIHIIIBBHBB"
-FACT_NAMES = ("start", "incarnation", "state", "zone", "version", "settings", "revision", "build", "stage", "phase",
-              "out", "admitted", "flags")
-READY, DRAINING, ALONE, SETTLED = 1, 2, 4, 8             # settled: others may ask it what it knows
-ROW = ">HQIBH"                                         # number, start, incarnation, state, who says so
+FACT_NAMES = (
+    "start",
+    "incarnation",
+    "state",
+    "zone",
+    "version",
+    "settings",
+    "revision",
+    "build",
+    "stage",
+    "phase",
+    "out",
+    "admitted",
+    "flags",
+)
+READY, DRAINING, ALONE, SETTLED = 1, 2, 4, 8  # settled: others may ask it what it knows
+ROW = ">HQIBH"  # number, start, incarnation, state, who says so
 ROW_SIZE = calcsize(ROW)
-NEWS_FORM = ">IBBHI"                                   # build, stage, phase, cap of 65535, age in milliseconds
+NEWS_FORM = ">IBBHI"  # build, stage, phase, cap of 65535, age in milliseconds
 DRAINS_MOST = 6
-TRIAL_FORM, TRIAL_MOST = ">IBIIH", 10                 # build, place of the path group, hits, errored, age in 10 ms
+TRIAL_FORM, TRIAL_MOST = ">IBIIH", 10  # build, place of the path group, hits, errored, age in 10 ms
 # mark of an instance's start, pace in twentieths, load, faults of 255, flags, age in tenths of a second
 WARM_FORM, WARM_MOST, PACE_PART = ">IBBBBB", 15, 20
-LEASES_FORM, LEASES_MOST = ">BQIII", 7                 # limit, value, amount, when it was asked, fence
+LEASES_FORM, LEASES_MOST = ">BQIII", 7  # limit, value, amount, when it was asked, fence
 
 
 class Odd(Exception):
@@ -72,7 +87,7 @@
     while at < len(data):
         if at + 2 > len(data) or at + 2 + data[at + 1] > len(data):
             raise Odd("field")
-        fields.setdefault(data[at], data[at + 2:at + 2 + data[at + 1]])
+        fields.setdefault(data[at], data[at + 2 : at + 2 + data[at + 1]])
         at += 2 + data[at + 1]
     return kind, sequence, stamp, fields
 
@@ -101,7 +116,7 @@
     value = fields.get(ROWS, b"")
     if len(value) % ROW_SIZE:
         raise Odd("field")
-    rows = [unpack(ROW, value[at:at + ROW_SIZE]) for at in range(0, len(value), ROW_SIZE)]
+    rows = [unpack(ROW, value[at : at + ROW_SIZE]) for at in range(0, len(value), ROW_SIZE)]
     if any(NAMES.get(told[3], UNHEARD) == UNHEARD for told in rows):
         raise Odd("field")
     return [(*told[:3], NAMES[told[3]], told[4]) for told in rows]
@@ -119,7 +134,7 @@
 
 def news_field(build: int, stage: int, phase: int, cap: float, age: int) -> bytes:
     """`age`: microseconds since the desk began this phase and stage."""
-    return field(NEWS, pack(NEWS_FORM, build, stage, phase, round(cap * 65535), min(age // 1000, 0xffffffff)))
+    return field(NEWS, pack(NEWS_FORM, build, stage, phase, round(cap * 65535), min(age // 1000, 0xFFFFFFFF)))
 
 
 def news_of(fields: dict) -> tuple | None:
@@ -143,8 +158,20 @@
 
 def trial_field(rows) -> bytes:
     """`rows`: (build, place of the path group, hits, errored, age in microseconds)."""
-    return field(TRIAL, b"".join(pack(TRIAL_FORM, build, group, min(hits, 0xffffffff), min(errored, 0xffffffff),
-                                      min(age // 10_000, 0xffff)) for build, group, hits, errored, age in rows))
+    return field(
+        TRIAL,
+        b"".join(
+            pack(
+                TRIAL_FORM,
+                build,
+                group,
+                min(hits, 0xFFFFFFFF),
+                min(errored, 0xFFFFFFFF),
+                min(age // 10_000, 0xFFFF),
+            )
+            for build, group, hits, errored, age in rows
+        ),
+    )
 
 
 def trial_of(fields: dict) -> list[tuple]:
@@ -152,15 +179,27 @@
     value, size = fields.get(TRIAL, b""), calcsize(TRIAL_FORM)
     if len(value) % size or len(value) > size * TRIAL_MOST:
         raise Odd("field")
-    rows = [unpack(TRIAL_FORM, value[at:at + size]) for at in range(0, len(value), size)]
+    rows = [unpack(TRIAL_FORM, value[at : at + size]) for at in range(0, len(value), size)]
     return [(*told[:4], told[4] * 10_000) for told in rows]
 
 
 def warm_field(rows) -> bytes:
     """`rows`: (mark, pace, load, faults, flags, age in microseconds), at most `WARM_MOST`."""
-    return field(WARM, b"".join(pack(
-        WARM_FORM, mark, min(255, int(pace * PACE_PART)), min(255, int(load)), min(255, int(faults * 255)), flags & 255,
-        min(255, age // 100_000)) for mark, pace, load, faults, flags, age in rows[:WARM_MOST]))
+    return field(
+        WARM,
+        b"".join(
+            pack(
+                WARM_FORM,
+                mark,
+                min(255, int(pace * PACE_PART)),
+                min(255, int(load)),
+                min(255, int(faults * 255)),
+                flags & 255,
+                min(255, age // 100_000),
+            )
+            for mark, pace, load, faults, flags, age in rows[:WARM_MOST]
+        ),
+    )
 
 
 def warm_of(fields: dict) -> list[tuple]:
@@ -168,15 +207,22 @@
     value, size = fields.get(WARM, b""), calcsize(WARM_FORM)
     if len(value) % size or len(value) > size * WARM_MOST:
         raise Odd("field")
-    rows = [unpack(WARM_FORM, value[at:at + size]) for at in range(0, len(value), size)]
-    return [(mark, pace / PACE_PART, load, faults / 255, flags, age * 100_000)
-            for mark, pace, load, faults, flags, age in rows]
+    rows = [unpack(WARM_FORM, value[at : at + size]) for at in range(0, len(value), size)]
+    return [
+        (mark, pace / PACE_PART, load, faults / 255, flags, age * 100_000)
+        for mark, pace, load, faults, flags, age in rows
+    ]
 
 
 def leases_field(rows) -> bytes:
     """`rows`: (place of the limit, digest of the value, amount, when it was asked in milliseconds, fence)."""
-    return field(LEASES, b"".join(pack(LEASES_FORM, place, digest, min(amount, 0xffffffff), asked, fence)
-                                  for place, digest, amount, asked, fence in rows[:LEASES_MOST]))
+    return field(
+        LEASES,
+        b"".join(
+            pack(LEASES_FORM, place, digest, min(amount, 0xFFFFFFFF), asked, fence)
+            for place, digest, amount, asked, fence in rows[:LEASES_MOST]
+        ),
+    )
 
 
 def leases_of(fields: dict) -> list[tuple]:
@@ -184,7 +230,7 @@
     value, size = fields.get(LEASES, b""), calcsize(LEASES_FORM)
     if len(value) % size or len(value) > size * LEASES_MOST:
         raise Odd("field")
-    return [unpack(LEASES_FORM, value[at:at + size]) for at in range(0, len(value), size)]
+    return [unpack(LEASES_FORM, value[at : at + size]) for at in range(0, len(value), size)]
 
 
 def drains_field(tags) -> bytes:
--- a/cobaltpond/recovery/listed.py
+++ b/cobaltpond/recovery/listed.py
@@ -1,13 +1,14 @@
 """A list that comes back: what of it is obeyed. Free of I/O.
 
-Within one epoch the list is the authority, whatever it says. A whole list of another epoch comes from a list that has
-begun anew: perhaps from nothing, perhaps from an old copy. It does not empty a fleet that answers, and it does not
-bring back a start of an instance that was seen draining or gone.
+Within one epoch the list is the authority, whatever it says. A whole list of another epoch comes from a list
+that has begun anew: perhaps from nothing, perhaps from an old copy. It does not empty a fleet that answers,
+and it does not bring back a start of an instance that was seen draining or gone.
 """
+
 STATES = ("up", "draining", "gone")
-SHARE = 0.5                                            # of those held: so many must be missing to be doubted
-PATIENCE = 30_000_000                                  # so long the doubt lasts: what is then still missing goes
-REMEMBERED = 4096                                      # starts seen draining or gone, over all epochs
+SHARE = 0.5  # of those held: so many must be missing to be doubted
+PATIENCE = 30_000_000  # so long the doubt lasts: what is then still missing goes
+REMEMBERED = 4096  # starts seen draining or gone, over all epochs
 
 
 class Doubt:
@@ -28,7 +29,8 @@
             del self.ends[next(iter(self.ends))]
 
     def whole(self, now: int, held: dict, rows: list) -> list:
-        """A whole list of another epoch than the one held. `held`: id -> row as told. Gives the rows to be obeyed."""
+        """A whole list of another epoch than the one held. `held`: id -> row as told. Gives the rows to be
+        obeyed."""
         out = []
         for row in rows:
             before = self.ends.get((row["id"], row.get("start")))
@@ -54,7 +56,8 @@
             self.missing.pop(row["id"], None)
 
     def due(self, now: int) -> list[dict]:
-        """Rows that end the doubt: what is still missing after the patience, or does not answer any more, is gone."""
+        """Rows that end the doubt: what is still missing after the patience, or does not answer any more, is
+        gone."""
         if self.until is None:
             return []
         over = {id: row for id, row in self.missing.items() if now >= self.until or not self.answers(id, now)}
--- a/cobaltpond/recovery/lost.py
+++ b/cobaltpond/recovery/lost.py
@@ -1,24 +1,27 @@
 """A desk that comes back: is its journal what it told last, or older? Free of I/O.
 
-Whoever acts by the desk's word keeps the newest mark (epoch, turn) that it acted by, and says so when it reaches the
-desk again. The desk's journal holds the mark that it last told. A word with a later mark of that line, or of a line
-that the journal knows nothing of, says that the state was lost, cut or put back from a copy. Until enough have spoken
-the desk tells no news, takes no vote and gives no order. Then it goes on where the journal stands; or, where that is
-older, from the safest state that fits all words; or, where words contradict, waits for the operator.
+Whoever acts by the desk's word keeps the newest mark (epoch, turn) that it acted by, and says so when it
+reaches the desk again. The desk's journal holds the mark that it last told. A word with a later mark of that
+line, or of a line that the journal knows nothing of, says that the state was lost, cut or put back from a
+copy. Until enough have spoken the desk tells no news, takes no vote and gives no order. Then it goes on where
+the journal stands; or, where that is older, from the safest state that fits all words; or, where words
+contradict, waits for the operator.
 """
+
 from dataclasses import dataclass, field
 
 COLLECTING, CARRIED, RESUMED, WAITING = "collecting", "carried on", "resumed", "waiting"
 TRIAL, GOING_BACK, RELEASED, WITHDRAWN = "trial", "going back", "released", "withdrawn"
 PHASES = (TRIAL, GOING_BACK, RELEASED, WITHDRAWN)
 SHUT = (GOING_BACK, WITHDRAWN)
-GONE_MOST = 16                                         # builds that a word may name as gone back
+GONE_MOST = 16  # builds that a word may name as gone back
 NOTHING = (0, 0)
 
 
 @dataclass(frozen=True)
 class Word:
     """The newest state that somebody acted by. `gone`: builds that it saw on their way back."""
+
     mark: tuple[int, int]
     build: int = 0
     stage: int = 0
@@ -41,8 +44,15 @@
         stable, gone = told.get("stable"), [int(build) for build in told.get("gone", ())][:GONE_MOST]
         if told["phase"] not in PHASES:
             raise ValueError(f"phase {told['phase']!r}")
-        return Word((int(epoch), int(turn)), int(told["build"]), int(told["stage"]), told["phase"],
-                    min(1.0, max(0.0, float(told["cap"]))), None if stable is None else int(stable), tuple(gone))
+        return Word(
+            (int(epoch), int(turn)),
+            int(told["build"]),
+            int(told["stage"]),
+            told["phase"],
+            min(1.0, max(0.0, float(told["cap"]))),
+            None if stable is None else int(stable),
+            tuple(gone),
+        )
     except (KeyError, TypeError, AttributeError) as trouble:
         raise ValueError(f"no word of what was seen: {trouble!r}") from None
 
@@ -50,6 +60,7 @@
 @dataclass(frozen=True)
 class Plan:
     """The state to go on from. `condemned`: builds never to be started anew."""
+
     build: int
     stage: int
     phase: str
@@ -60,8 +71,10 @@
 
 @dataclass
 class Returning:
-    """`told`: the mark that the journal told last, None without a journal's record. `expected`: who is asked after, any
-    hashable names. `caps`: of the stages. `bound`: collecting ends after so long, whoever is missing."""
+    """`told`: the mark that the journal told last, None without a journal's record. `expected`: who is asked
+    after, any hashable names. `caps`: of the stages. `bound`: collecting ends after so long, whoever is
+    missing."""
+
     told: tuple[int, int] | None
     expected: tuple
     caps: tuple[float, ...]
@@ -76,7 +89,7 @@
     def __post_init__(self):
         self.until = self.now + self.bound
 
-    # --- collecting --------------------------------------------------------------------------------------------
+    # --- collecting -----------------------------------------------------------------------------------------
 
     def heard(self, who, word: Word | None) -> None:
         """The newest word of each; who has seen nothing has spoken too."""
@@ -99,44 +112,65 @@
         """No epoch that anybody has seen, or before, may be used again."""
         return max([word.mark[0] for word in self.words.values() if word is not None], default=0)
 
-    # --- concluding --------------------------------------------------------------------------------------------
+    # --- concluding -----------------------------------------------------------------------------------------
 
     def conclude(self, running: tuple[int, ...] = ()) -> str:
-        """Ends the collecting. `running`: builds that hosts say they run, for a desk that knows nothing and hears of no
-        mark: a single one is taken for released, as it stands."""
+        """Ends the collecting. `running`: builds that hosts say they run, for a desk that knows nothing and
+        hears of no mark: a single one is taken for released, as it stands."""
         newer = self.newer()
         if newer:
             return self.judge(newer)
         builds = sorted(set(running))
         if self.told is None and len(builds) == 1:
-            return self.settle(RESUMED, Plan(builds[0], 0, RELEASED, None), "nobody knows of a release; one build runs")
+            return self.settle(
+                RESUMED, Plan(builds[0], 0, RELEASED, None), "nobody knows of a release; one build runs"
+            )
         if self.told is None and builds:
-            return self.settle(WAITING, Plan(builds[-1], 0, TRIAL, builds[0], (), self.caps[0]),
-                               f"nobody knows of a release, and builds {builds} run")
+            return self.settle(
+                WAITING,
+                Plan(builds[-1], 0, TRIAL, builds[0], (), self.caps[0]),
+                f"nobody knows of a release, and builds {builds} run",
+            )
         return self.settle(CARRIED, None, "nobody has seen more than the journal holds")
 
     def judge(self, newer: dict) -> str:
         top = max(word.mark for word in newer.values())
         at_top = {who: word for who, word in newer.items() if word.mark == top}
-        gone = sorted({build for word in self.words.values() if word is not None for build in (
-            *word.gone, *([word.build] if word.phase in SHUT else []))})
+        gone = sorted(
+            {
+                build
+                for word in self.words.values()
+                if word is not None
+                for build in (*word.gone, *([word.build] if word.phase in SHUT else []))
+            }
+        )
         states = sorted({word.state for word in at_top.values()})
         if len(states) > 1:
             return self.settle(WAITING, self.doubted(newer), f"at one mark {list(top)} {self.named(at_top)}")
         first = next(iter(at_top.values()))
-        later = {who: word for who, word in newer.items() if word.build > first.build and word.build not in gone}
+        later = {
+            who: word for who, word in newer.items() if word.build > first.build and word.build not in gone
+        }
         if later:
-            return self.settle(WAITING, self.doubted(newer),
-                               f"the newest mark is of build {first.build}, but {self.named(later)}")
+            return self.settle(
+                WAITING,
+                self.doubted(newer),
+                f"the newest mark is of build {first.build}, but {self.named(later)}",
+            )
         stables = sorted({word.stable for word in at_top.values() if word.stable is not None})
         if len(stables) > 1:
-            return self.settle(WAITING, self.doubted(newer), f"builds {stables} are called the one to return to")
-        return self.settle(RESUMED, self.safest(first, stables[0] if stables else None, gone, newer),
-                           f"{len(newer)} have seen more than the journal holds, up to {list(top)}")
+            return self.settle(
+                WAITING, self.doubted(newer), f"builds {stables} are called the one to return to"
+            )
+        return self.settle(
+            RESUMED,
+            self.safest(first, stables[0] if stables else None, gone, newer),
+            f"{len(newer)} have seen more than the journal holds, up to {list(top)}",
+        )
 
     def safest(self, first: Word, stable: int | None, gone: list, newer: dict) -> Plan:
-        """No cap above the lowest one heard of that build, no stage above what that cap allows; a build that anybody
-        saw go back goes back."""
+        """No cap above the lowest one heard of that build, no stage above what that cap allows; a build that
+        anybody saw go back goes back."""
         lowest = min([word.cap for word in newer.values() if word.build == first.build], default=first.cap)
         phase, stage = first.phase, min(first.stage, len(self.caps) - 1)
         if first.build in gone and phase not in SHUT:
@@ -148,28 +182,42 @@
         return Plan(first.build, stage, phase, stable, tuple(gone), lowest if phase == TRIAL else 1.0)
 
     def doubted(self, newer: dict) -> Plan:
-        """What is told while the operator is waited for: the newest build on trial, at the lowest cap heard of any."""
+        """What is told while the operator is waited for: the newest build on trial, at the lowest cap heard
+        of any."""
         build = max(word.build for word in newer.values())
         shut = any(word.phase in SHUT or build in word.gone for word in newer.values())
         stables = [word.stable for word in newer.values() if word.stable is not None and word.stable < build]
-        return Plan(build, 0, TRIAL, min(stables, default=None), (), 0.0 if shut else min(
-            word.cap for word in newer.values()))
+        return Plan(
+            build,
+            0,
+            TRIAL,
+            min(stables, default=None),
+            (),
+            0.0 if shut else min(word.cap for word in newer.values()),
+        )
 
     def settle(self, state: str, plan: Plan | None, why: str) -> str:
         self.state, self.plan, self.why = state, plan, why
         return state
 
     def named(self, words: dict) -> str:
-        rows = [f"{who}: build {w.build} stage {w.stage} {w.phase}" for who, w in sorted(words.items(), key=str)]
+        rows = [
+            f"{who}: build {w.build} stage {w.stage} {w.phase}" for who, w in sorted(words.items(), key=str)
+        ]
         return "; ".join(rows[:8]) + (f"; and {len(rows) - 8} more" if len(rows) > 8 else "")
 
-    # --- afterwards --------------------------------------------------------------------------------------------
+    # --- afterwards -----------------------------------------------------------------------------------------
 
     def late(self, who, word: Word | None, build: int, epoch: int) -> str:
-        """A word that comes after the end of the collecting, from somebody who was cut off. "": nothing new in it, or
-        this very desk's own (`epoch`: since it has come back); "back": it saw the build that is out now go back;
-        "waiting": it saw what nobody told of."""
-        if word is None or self.state == COLLECTING or word.mark <= (self.told or NOTHING) or word.mark[0] >= epoch:
+        """A word that comes after the end of the collecting, from somebody who was cut off. "": nothing new
+        in it, or this very desk's own (`epoch`: since it has come back); "back": it saw the build that is out
+        now go back; "waiting": it saw what nobody told of."""
+        if (
+            word is None
+            or self.state == COLLECTING
+            or word.mark <= (self.told or NOTHING)
+            or word.mark[0] >= epoch
+        ):
             return ""
         before = max([w.mark for w in self.words.values() if w is not None], default=NOTHING)
         self.heard(who, word)
@@ -179,5 +227,9 @@
             return ""
         if self.plan is not None and word.state == (self.plan.build, self.plan.stage, self.plan.phase):
             return ""
-        self.settle(WAITING, self.doubted({who: word}), f"late, with mark {list(word.mark)}, {self.named({who: word})}")
+        self.settle(
+            WAITING,
+            self.doubted({who: word}),
+            f"late, with mark {list(word.mark)}, {self.named({who: word})}",
+        )
         return WAITING
--- a/cobaltpond/recovery/measure.py
+++ b/cobaltpond/recovery/measure.py
@@ -1,9 +1,10 @@
 """Time to full service, defined here and nowhere else: from records of what passed over sockets. Free of I/O.
 
-Full service after a fault at `fault`: the first moment from which, over one second, the share of hits that were
-delivered in time is at least 0.95 of what it was over the last five seconds before the fault, and every gateway that
-lives is settled.
+Full service after a fault at `fault`: the first moment from which, over one second, the share of hits that
+were delivered in time is at least 0.95 of what it was over the last five seconds before the fault, and every
+gateway that lives is settled.
 """
+
 SHARE, WINDOW, BEFORE, STEP = 0.95, 1_000_000, 5_000_000, 100_000
 
 
@@ -14,8 +15,8 @@
 
 
 def time_to_full_service(hits: list, fault: int, end: int, settled_at: int | None) -> int | None:
-    """Microseconds after the fault; None where it was not reached by `end`. `settled_at`: when the last gateway that
-    lives was settled, None if one was not."""
+    """Microseconds after the fault; None where it was not reached by `end`. `settled_at`: when the last
+    gateway that lives was settled, None if one was not."""
     before = in_time_share(hits, fault - BEFORE, fault)
     if before is None or settled_at is None:
         return None
--- a/cobaltpond/recovery/pace.py
+++ b/cobaltpond/recovery/pace.py
@@ -1,16 +1,18 @@
 """What the whole fleet together may ask of one target, and which part of it is ours. Free of I/O.
 
-Two shapes. Who wants the same thing once, at its start, waits for a drawn moment (`Spread`). Who wants it again and
-again has turns (`Turns`): a period in which each gateway has one, at an offset drawn from its seed, and a turn that is
-not taken at once is lost. Saved ones would be spent together, by hundreds, in the moment in which a zone comes back.
+Two shapes. Who wants the same thing once, at its start, waits for a drawn moment (`Spread`). Who wants it
+again and again has turns (`Turns`): a period in which each gateway has one, at an offset drawn from its seed,
+and a turn that is not taken at once is lost. Saved ones would be spent together, by hundreds, in the moment
+in which a zone comes back.
 """
-TURN_SHARE, TURN_LEAST = 0.05, 20_000                  # of the period: how long a turn waits to be taken
-RECENT = 5_000_000                                     # a start so lately is one of those that come back now
+
+TURN_SHARE, TURN_LEAST = 0.05, 20_000  # of the period: how long a turn waits to be taken
+RECENT = 5_000_000  # a start so lately is one of those that come back now
 
 
 class Fresh:
-    """How many gateways have just begun. `declared`: how many the sheet has. `starts`: those that membership knows to
-    be there, number -> start, in calendar microseconds; empty before any was heard."""
+    """How many gateways have just begun. `declared`: how many the sheet has. `starts`: those that membership
+    knows to be there, number -> start, in calendar microseconds; empty before any was heard."""
 
     def __init__(self, declared: int):
         self.declared, self.starts = max(1, declared), {}
@@ -19,19 +21,21 @@
         self.starts = starts
 
     def there(self) -> int:
-        """Never fewer than half of the sheet's: a view that is split must not double what the fleet asks for."""
+        """Never fewer than half of the sheet's: a view that is split must not double what the fleet asks
+        for."""
         return self.declared if not self.starts else max(len(self.starts), -(-self.declared // 2))
 
     def count(self, wall: int) -> int:
-        """Of all that the sheet has. Of those never heard the same share is taken to be fresh as of those heard, ours
-        being one of them: with nobody heard, everybody."""
+        """Of all that the sheet has. Of those never heard the same share is taken to be fresh as of those
+        heard, ours being one of them: with nobody heard, everybody."""
         recent = sum(wall - start < RECENT for start in self.starts.values())
         known = len(self.starts)
         return max(1, min(self.declared, -(-self.declared * (recent + 1) // (known + 1))))
 
 
 class Spread:
-    """The first call of each gateway that has just begun, to one target that bears `rate` of them a second."""
+    """The first call of each gateway that has just begun, to one target that bears `rate` of them a
+    second."""
 
     def __init__(self, rate: float, chance):
         self.rate, self.chance = rate, chance
@@ -42,8 +46,8 @@
 
 
 class Turns:
-    """New connections to each of many targets, each of which bears `rate` a second from all gateways together.
-    `members()`: how many gateways there are now."""
+    """New connections to each of many targets, each of which bears `rate` a second from all gateways
+    together. `members()`: how many gateways there are now."""
 
     def __init__(self, rate: float, members, chance):
         self.rate, self.members, self.chance = rate, members, chance
@@ -84,8 +88,8 @@
 
 
 class Answers:
-    """How often one asks us, and all together: a donor answers no more than `each` and `most` a second. Guards those
-    who are settled when two hundred ask the three that have lived."""
+    """How often one asks us, and all together: a donor answers no more than `each` and `most` a second.
+    Guards those who are settled when two hundred ask the three that have lived."""
 
     def __init__(self, most: int, each: int = 4):
         self.most, self.each, self.second, self.counts, self.all = most, each, None, {}, 0
--- a/cobaltpond/recovery/phases.py
+++ b/cobaltpond/recovery/phases.py
@@ -1,16 +1,24 @@
 """What a gateway that begins knows, and what it may do by it: one table, one function. Free of I/O.
 
-The door is not the phases' matter beyond the first one: a gateway is never shut for want of knowledge. What the table
-holds back is what others would rest on: a vote that says *on*, samples for the judges, counts and figures for those
-who begin later, a snapshot.
+The door is not the phases' matter beyond the first one: a gateway is never shut for want of knowledge. What
+the table holds back is what others would rest on: a vote that says *on*, samples for the judges, counts and
+figures for those who begin later, a snapshot.
 """
+
 BLANK, HEARING, WARMING, SERVING, SETTLED = "blank", "hearing", "warming", "serving", "settled"
 ORDER = (BLANK, HEARING, WARMING, SERVING, SETTLED)
 HEARD, ALL_HEARD, WARMED, IN_STEP, TIME, STOOD_STILL = (
-    "heard", "all heard", "warmed", "in step", "its time is up", "stood still")
+    "heard",
+    "all heard",
+    "warmed",
+    "in step",
+    "its time is up",
+    "stood still",
+)
 
-# Blank knows the sheet, perhaps a kept list; hearing has one of list and news, or neither in time; warming has both and
-# asks others what they know; serving goes by what it sees; settled has seen enough for others to rest on.
+# Blank knows the sheet, perhaps a kept list; hearing has one of list and news, or neither in time; warming
+# has both and asks others what they know; serving goes by what it sees; settled has seen enough for others to
+# rest on.
 NEXT = {
     BLANK: {HEARD: HEARING, ALL_HEARD: WARMING, TIME: HEARING},
     HEARING: {ALL_HEARD: WARMING, TIME: WARMING},
@@ -19,7 +27,15 @@
     SETTLED: {STOOD_STILL: WARMING},
 }
 ADMIT, DIAL, ASK, TELL, VOTE_BACK, VOTE_ON, ANSWER, KEEP = (
-    "admit", "dial", "ask", "tell", "vote back", "vote on", "answer", "keep")
+    "admit",
+    "dial",
+    "ask",
+    "tell",
+    "vote back",
+    "vote on",
+    "answer",
+    "keep",
+)
 MAY = {
     BLANK: (),
     HEARING: (ADMIT, DIAL),
@@ -30,8 +46,8 @@
 
 
 class Life:
-    """One start of a gateway. `longest`: phase -> how long it may stay there, microseconds; none for SETTLED. `moved`:
-    called with (phase before, cause) at each change."""
+    """One start of a gateway. `longest`: phase -> how long it may stay there, microseconds; none for SETTLED.
+    `moved`: called with (phase before, cause) at each change."""
 
     def __init__(self, now: int, longest: dict[str, int], moved=lambda before, cause: None):
         self.phase, self.since, self.began, self.longest, self.moved = BLANK, now, now, longest, moved
@@ -48,7 +64,8 @@
         return True
 
     def tick(self, now: int) -> None:
-        """Nobody stays longer in a phase than it may; each one that is due is left, however late this is called."""
+        """Nobody stays longer in a phase than it may; each one that is due is left, however late this is
+        called."""
         while self.phase in self.longest and now - self.since >= self.longest[self.phase]:
             self.on(self.since + self.longest[self.phase], TIME)
 
@@ -56,18 +73,23 @@
         return what in MAY[self.phase]
 
     def status(self, now: int) -> dict:
-        return {"phase": self.phase, "since_us": now - self.since, "up_us": now - self.began,
-                "may": list(MAY[self.phase]), "story": [[at - self.began, phase, cause]
-                                                        for at, phase, cause in self.story]}
+        return {
+            "phase": self.phase,
+            "since_us": now - self.since,
+            "up_us": now - self.began,
+            "may": list(MAY[self.phase]),
+            "story": [[at - self.began, phase, cause] for at, phase, cause in self.story],
+        }
 
 
 class Step:
-    """Is a gateway in step: were nearly all its hits of the last second answered in time? `least`: of the second's hits
-    so many must be there to speak of a share; with fewer, time alone decides."""
+    """Is a gateway in step: were nearly all its hits of the last second answered in time? `least`: of the
+    second's hits so many must be there to speak of a share; with fewer, time alone decides."""
+
     SHARE, WINDOW, LEAST = 0.95, 1_000_000, 8
 
     def __init__(self):
-        self.rows = []                                 # (at, answered by then, delivered by then)
+        self.rows = []  # (at, answered by then, delivered by then)
 
     def enter(self, now: int, answered: int, delivered: int) -> None:
         self.rows.append((now, answered, delivered))
@@ -79,4 +101,5 @@
         (first, answered, delivered), (last, all_answered, all_delivered) = self.rows[0], self.rows[-1]
         count = all_answered - answered
         return last - first >= self.WINDOW and (
-            count < self.LEAST or all_delivered - delivered >= self.SHARE * count)
+            count < self.LEAST or all_delivered - delivered >= self.SHARE * count
+        )
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -1,4 +1,6 @@
-"""The running gateway's part of coming back: its phase, its turns to dial, what it asks and tells, its snapshot."""
+"""The running gateway's part of coming back: its phase, its turns to dial, what it asks and tells, its
+snapshot."""
+
 from cobaltpond.loop import Sleep
 from cobaltpond.members import wire
 from cobaltpond.recovery import snapshot
@@ -25,21 +27,30 @@
 )
 from cobaltpond.recovery.warm import SILENT, WarmStart, mark_of, remarkable
 
-LOOK, SLOW_LOOK = 20_000, 100_000                      # between looks; once settled
-COLD_TIMES = 3                                         # so old a word or a snapshot is worth nothing
-EAR = 100_000                                          # how long members are listened to before the first calls
+LOOK, SLOW_LOOK = 20_000, 100_000  # between looks; once settled
+COLD_TIMES = 3  # so old a word or a snapshot is worth nothing
+EAR = 100_000  # how long members are listened to before the first calls
 
 
 class Recovery:
-    """`gateway`: the running `gateway.main.GatewayProcess`; its sheet has a `recovery`. `chance`: as `Chance`."""
+    """`gateway`: the running `gateway.main.GatewayProcess`; its sheet has a `recovery`. `chance`: as
+    `Chance`."""
 
     def __init__(self, gateway, chance):
         self.gateway, self.loop, self.log, self.chance = gateway, gateway.loop, gateway.log, chance
         sheet, self.sheet = gateway.sheet, gateway.sheet.recovery
         self.window, self.began = COLD_TIMES * sheet.rules.cold_time, self.loop.now()
         self.settings, self.step = sheet.digest(), Step()
-        self.life = Life(self.began, {BLANK: self.sheet.hear, HEARING: self.sheet.hear, WARMING: self.sheet.warming,
-                                      SERVING: self.sheet.settle}, self.moved)
+        self.life = Life(
+            self.began,
+            {
+                BLANK: self.sheet.hear,
+                HEARING: self.sheet.hear,
+                WARMING: self.sheet.warming,
+                SERVING: self.sheet.settle,
+            },
+            self.moved,
+        )
         self.fresh, self.answers = Fresh(len(sheet.gateways)), Answers(self.sheet.asks)
         self.spread = Spread(self.sheet.calls, chance) if self.sheet.calls else None
         if self.sheet.dials:
@@ -51,8 +62,13 @@
             gateway.members.view.warm = self.spoken
 
     def moved(self, before: str, cause: str) -> None:
-        self.log.info("phase", phase=self.life.phase, before=before, cause=cause,
-                      up_ms=(self.loop.now() - self.began) // 1000)
+        self.log.info(
+            "phase",
+            phase=self.life.phase,
+            before=before,
+            cause=cause,
+            up_ms=(self.loop.now() - self.began) // 1000,
+        )
 
     def may(self, what: str, verdict: str = "") -> bool:
         """Asked by the host before it carries out a vote or tells a sample."""
@@ -64,7 +80,7 @@
         self.counts["held samples"] += held
         return not held
 
-    # --- the first calls ---------------------------------------------------------------------------------------
+    # --- the first calls ------------------------------------------------------------------------------------
 
     def spaced(self, generator):
         """The first call to the list, or to the desk, at a drawn moment; what follows goes its own way."""
@@ -74,7 +90,7 @@
             yield Sleep(self.spread.wait(self.fresh.count(self.loop.kernel.wall())))
         yield from generator
 
-    # --- time --------------------------------------------------------------------------------------------------
+    # --- time -----------------------------------------------------------------------------------------------
 
     def run(self):
         """For ever; begun before the door opens."""
@@ -89,9 +105,14 @@
                 last = now
                 counts = self.gateway.door.counts
                 delivered = counts.get("delivered", 0)
-                self.step.enter(now, delivered + counts.get("bounced", 0) + counts.get("errored", 0), delivered)
-                if self.life.phase == SERVING and now - self.life.since >= self.window // COLD_TIMES and (
-                        self.step.fine()):
+                self.step.enter(
+                    now, delivered + counts.get("bounced", 0) + counts.get("errored", 0), delivered
+                )
+                if (
+                    self.life.phase == SERVING
+                    and now - self.life.since >= self.window // COLD_TIMES
+                    and (self.step.fine())
+                ):
                     self.life.on(now, IN_STEP)
             self.life.tick(now)
             yield from self.keep(now)
@@ -100,10 +121,11 @@
         """What has been heard of, and whether we stood still meanwhile."""
         gateway = self.gateway
         if gateway.members is not None:
-            self.fresh.heard({n: start for n, start in gateway.members.view.living().items()
-                              if n != gateway.number})
+            self.fresh.heard(
+                {n: start for n, start in gateway.members.view.living().items() if n != gateway.number}
+            )
         if now - self.looked > self.window // COLD_TIMES:
-            self.life.on(now, STOOD_STILL)             # all that we know is as old as that: as good as begun anew
+            self.life.on(now, STOOD_STILL)  # all that we know is as old as that: as good as begun anew
         self.looked = now
         heard = gateway.follower.heard, gateway.news.heard
         if all(heard):
@@ -113,12 +135,16 @@
         if gateway.places.turns is not None:
             gateway.places.turns.keep(gateway.places.by_id)
 
-    # --- warm start --------------------------------------------------------------------------------------------
+    # --- warm start -----------------------------------------------------------------------------------------
 
     def donors(self) -> list[int]:
         """Those that say of themselves that they are settled."""
         view = self.gateway.members.view
-        return [n for n, member in view.members.items() if member.there and member.facts.get("flags", 0) & wire.SETTLED]
+        return [
+            n
+            for n, member in view.members.items()
+            if member.there and member.facts.get("flags", 0) & wire.SETTLED
+        ]
 
     def ask(self, now: int) -> None:
         if not self.life.may(ASK):
@@ -141,10 +167,13 @@
         now = self.loop.now()
         if kind == wire.WARM_ASK:
             if self.life.may(ANSWER) and self.answers.allows(now, sender):
-                told = remarkable([(mark_of(id, build, start), *rest) for id, build, start, *rest in self.rows(now)])
+                told = remarkable(
+                    [(mark_of(id, build, start), *rest) for id, build, start, *rest in self.rows(now)]
+                )
                 for at in range(0, max(1, len(told)), wire.WARM_MOST):
-                    self.gateway.members.view.send(wire.WARM_TOLD, sender, sequence,
-                                                   more=wire.warm_field(told[at:at + wire.WARM_MOST]))
+                    self.gateway.members.view.send(
+                        wire.WARM_TOLD, sender, sequence, more=wire.warm_field(told[at : at + wire.WARM_MOST])
+                    )
                 self.counts["told"] += 1
         elif self.warm is not None:
             self.warm.answered(sender, rows)
@@ -153,7 +182,8 @@
             self.recall(self.warm.believed(marks), [])
 
     def rows(self, now: int) -> list[tuple]:
-        """(id, build, the list's mark of its start, pace, load, faults, flags, age) of what we know of ourselves."""
+        """(id, build, the list's mark of its start, pace, load, faults, flags, age) of what we know of
+        ourselves."""
         fleet, held = self.gateway.host.decisions.fleet, self.gateway.follower.held.rows
         out = []
         for instance in fleet.up:
@@ -162,8 +192,18 @@
             if row is None or not instance.heard_at and not silent:
                 continue
             age = now - instance.heard_at if instance.heard_at and not silent else 0
-            out.append((instance.id, instance.build.number, row["start"], instance.pace, instance.others,
-                        instance.faults, SILENT if silent else 0, age))
+            out.append(
+                (
+                    instance.id,
+                    instance.build.number,
+                    row["start"],
+                    instance.pace,
+                    instance.others,
+                    instance.faults,
+                    SILENT if silent else 0,
+                    age,
+                )
+            )
         return out
 
     def recall(self, rows: list, keys: list) -> None:
@@ -171,7 +211,7 @@
             self.counts["recalled"] += len(rows)
             self.gateway.host.post("on_recalled", rows, keys)
 
-    # --- the snapshot ------------------------------------------------------------------------------------------
+    # --- the snapshot ---------------------------------------------------------------------------------------
 
     def read_snapshot(self) -> None:
         path, kernel = self.gateway.place.snapshot, self.loop.kernel
@@ -181,8 +221,13 @@
             size = kernel.size(path)
             if size is not None and size > snapshot.MOST_BYTES:
                 raise snapshot.Unfit(f"{size} bytes are more than one has")
-            self.snapshot = snapshot.read(kernel.read_file(path), number=self.gateway.number, settings=self.settings,
-                                          wall=kernel.wall(), worth=self.window)
+            self.snapshot = snapshot.read(
+                kernel.read_file(path),
+                number=self.gateway.number,
+                settings=self.settings,
+                wall=kernel.wall(),
+                worth=self.window,
+            )
             self.gateway.news.seen = self.snapshot["head"].get("seen") or self.gateway.news.seen
         except (snapshot.Unfit, OSError) as why:
             self.refuse(why)
@@ -202,22 +247,31 @@
             self.refuse(why)
             return
         rows = snapshot.believed(told, {id: (row["build"], row["start"]) for id, row in held.rows.items()})
-        self.log.info("snapshot taken", rows=len(rows), keys=len(told["keys"]), weight=round(told["weight"], 3))
+        self.log.info(
+            "snapshot taken", rows=len(rows), keys=len(told["keys"]), weight=round(told["weight"], 3)
+        )
         self.recall(rows, told["keys"])
 
     def keep(self, now: int):
-        """Writes it now and then, line by line with a turn of the loop between: no sync, the end of the file tells
-        whether it is whole. A disk that is full or fails costs the snapshot, nothing else."""
+        """Writes it now and then, line by line with a turn of the loop between: no sync, the end of the file
+        tells whether it is whole. A disk that is full or fails costs the snapshot, nothing else."""
         path, kernel = self.gateway.place.snapshot, self.loop.kernel
         due = self.written is None or now - self.written >= self.sheet.snapshot_every
         if path is None or not due or not self.life.may(KEEP):
             return
         self.written = now
         held, decisions = self.gateway.follower.held, self.gateway.host.decisions
-        head = {"number": self.gateway.number, "settings": self.settings, "wall": kernel.wall(), "epoch": held.epoch,
-                "seen": self.gateway.news.seen}
-        rows = [[id, build, start, round(pace, 3), round(load, 2), round(faults, 3), bool(flags), age]
-                for id, build, start, pace, load, faults, flags, age in self.rows(now)]
+        head = {
+            "number": self.gateway.number,
+            "settings": self.settings,
+            "wall": kernel.wall(),
+            "epoch": held.epoch,
+            "seen": self.gateway.news.seen,
+        }
+        rows = [
+            [id, build, start, round(pace, 3), round(load, 2), round(faults, 3), bool(flags), age]
+            for id, build, start, pace, load, faults, flags, age in self.rows(now)
+        ]
         keys = [[key, build.number] for key, build in decisions.kept_keys.items()]
         file = None
         try:
@@ -242,11 +296,15 @@
             except OSError:
                 continue
 
-    # --- what is shown -----------------------------------------------------------------------------------------
+    # --- what is shown --------------------------------------------------------------------------------------
 
     def status(self) -> dict:
         now, turns = self.loop.now(), self.gateway.places.turns
-        return {**self.life.status(now), "fresh": self.fresh.count(self.loop.kernel.wall()),
-                "counts": self.counts, "asked": self.warm.counts if self.warm else None,
-                "snapshot": {"refused": self.refused, "taken": self.snapshot is not None},
-                "turns": {**turns.counts, "period_us": turns.period} if turns else None}
+        return {
+            **self.life.status(now),
+            "fresh": self.fresh.count(self.loop.kernel.wall()),
+            "counts": self.counts,
+            "asked": self.warm.counts if self.warm else None,
+            "snapshot": {"refused": self.refused, "taken": self.snapshot is not None},
+            "turns": {**turns.counts, "period_us": turns.period} if turns else None,
+        }
--- a/cobaltpond/recovery/snapshot.py
+++ b/cobaltpond/recovery/snapshot.py
@@ -1,8 +1,11 @@
-"""What a gateway keeps of what it learned, over its own death: written in pieces, read in bounded time. Free of I/O.
+"""What a gateway keeps of what it learned, over its own death: written in pieces, read in bounded time. Free
+of I/O.
 
-Lines as `keep/journal.py` frames them: a head, rows, an end that counts them. A file without its end is torn, and
-nothing of it is taken. Each reason for which a snapshot is refused has a text; a gateway that refuses one begins blank.
+Lines as `keep/journal.py` frames them: a head, rows, an end that counts them. A file without its end is torn,
+and nothing of it is taken. Each reason for which a snapshot is refused has a text; a gateway that refuses one
+begins blank.
 """
+
 from cobaltpond.keep.journal import framed, unframed
 
 FORMAT = 1
@@ -21,13 +24,13 @@
     for what, every, each in (("rows", rows, ROWS_A_LINE), ("keys", keys[-KEYS_MOST:], KEYS_A_LINE)):
         for at in range(0, len(every), each):
             number += 1
-            yield framed(number, {what: every[at:at + each]})
+            yield framed(number, {what: every[at : at + each]})
     yield framed(number + 1, {"end": number + 1})
 
 
 def read(data: bytes | None, *, number: int, settings: int, wall: int, worth: int) -> dict:
-    """{"head", "rows", "keys", "weight"}. Raises Unfit. `settings`: the sheet's digest; `wall`: the calendar now;
-    `worth`: how old one may be, microseconds."""
+    """{"head", "rows", "keys", "weight"}. Raises Unfit. `settings`: the sheet's digest; `wall`: the calendar
+    now; `worth`: how old one may be, microseconds."""
     if data is None:
         raise Unfit("there is none")
     if len(data) > MOST_BYTES:
@@ -51,8 +54,10 @@
         age = wall - int(head["wall"])
         rows = [tuple(row) for value in values[1:-1] for row in value.get("rows", ())]
         keys = [(int(key), int(build)) for value in values[1:-1] for key, build in value.get("keys", ())]
-        rows = [(str(id), int(build), start, float(pace), float(load), float(faults), bool(silent), int(heard))
-                for id, build, start, pace, load, faults, silent, heard in rows]
+        rows = [
+            (str(id), int(build), start, float(pace), float(load), float(faults), bool(silent), int(heard))
+            for id, build, start, pace, load, faults, silent, heard in rows
+        ]
     except (KeyError, ValueError, TypeError, AttributeError) as trouble:
         raise Unfit(f"makes no sense: {trouble!r}") from None
     if age < 0:
@@ -73,6 +78,13 @@
     weight, out = told["weight"], []
     for id, build, start, pace, load, faults, silent, _ in told["rows"]:
         if listed.get(id) == (build, start):
-            out.append((id, 1 + (max(1.0, pace) - 1) * weight, max(0.0, load) * weight,
-                        min(1.0, max(0.0, faults)) * weight, silent and weight > 0.5))
+            out.append(
+                (
+                    id,
+                    1 + (max(1.0, pace) - 1) * weight,
+                    max(0.0, load) * weight,
+                    min(1.0, max(0.0, faults)) * weight,
+                    silent and weight > 0.5,
+                )
+            )
     return out
--- a/cobaltpond/recovery/warm.py
+++ b/cobaltpond/recovery/warm.py
@@ -1,15 +1,17 @@
-"""What a gateway that begins asks of living ones about instances, and what of the answers it believes. Free of I/O.
+"""What a gateway that begins asks of living ones about instances, and what of the answers it believes. Free
+of I/O.
 
-Only what speaks against an instance is asked, told and believed: that it is slow, full, failing or silent. A word that
-makes an instance look better than nothing known would send everybody there. A row names instance, build and start by
-one mark, so that a word about a former start finds nobody; its weight falls with its age.
+Only what speaks against an instance is asked, told and believed: that it is slow, full, failing or silent. A
+word that makes an instance look better than nothing known would send everybody there. A row names instance,
+build and start by one mark, so that a word about a former start finds nobody; its weight falls with its age.
 """
+
 from zlib import crc32
 
-ASKED, TIMES, EVERY = 2, 3, 100_000                    # donors; times each; so long apart, until one answers
-ROWS_MOST = 48                                         # the most remarkable ones are told, no more
-PACE, FAULTY = 1.5, 0.2                                # from here on an instance is worth a word
-SILENT = 1                                             # flag
+ASKED, TIMES, EVERY = 2, 3, 100_000  # donors; times each; so long apart, until one answers
+ROWS_MOST = 48  # the most remarkable ones are told, no more
+PACE, FAULTY = 1.5, 0.2  # from here on an instance is worth a word
+SILENT = 1  # flag
 
 
 def mark_of(id: str, build: int, start) -> int:
@@ -32,8 +34,8 @@
         self.counts = {"asked": 0, "answers": 0, "rows": 0, "stale": 0}
 
     def due(self, now: int, donors: list[int]) -> list[int]:
-        """Whom to ask now, of those that say of themselves that they are settled. Nobody: there is no donor, and nobody
-        waits for one."""
+        """Whom to ask now, of those that say of themselves that they are settled. Nobody: there is no donor,
+        and nobody waits for one."""
         if now < self.next_at or self.over(now):
             return []
         self.next_at = now + EVERY
@@ -70,12 +72,13 @@
             self.rows.setdefault(mark, {})[sender] = (pace, load, faults, flags, weight)
 
     def believed(self, marks: dict[int, str]) -> list[tuple]:
-        """(instance id, pace, load, faults, silent), worse than unknown in each or not at all; `marks`: those that are
-        listed now, mark -> id. Of two words the worse holds; silent is one only if all who speak of it say so."""
+        """(instance id, pace, load, faults, silent), worse than unknown in each or not at all; `marks`: those
+        that are listed now, mark -> id. Of two words the worse holds; silent is one only if all who speak of
+        it say so."""
         out = []
         for mark in sorted(self.rows):
             if mark not in marks:
-                self.counts["stale"] += 1              # it has restarted since, or has gone
+                self.counts["stale"] += 1  # it has restarted since, or has gone
                 continue
             said = self.rows[mark].values()
             pace = max(1 + (max(1.0, pace) - 1) * weight for pace, _, _, _, weight in said)
--- a/cobaltpond/sheet/limits.py
+++ b/cobaltpond/sheet/limits.py
@@ -1,4 +1,5 @@
 """`limit(...)` of a sheet: one allowance, in the users' words, checked when it is read."""
+
 from typing import Annotated, Literal
 
 import msgspec
@@ -7,7 +8,7 @@
 from cobaltpond.sheet.parts import Name, Part, Share
 
 Milli = Annotated[int, Meta(ge=1, description="a rate: per_second(...) or per_minute(...)")]
-MOST = 200                                             # limits of a sheet
+MOST = 200  # limits of a sheet
 
 
 class Where(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -22,9 +23,10 @@
 
 
 class Limit(Part, kw_only=True):
-    """`counts`: hits, first tries or repeats. `rate` or `share_of` and `most`. `scope`: of one gateway, or of all
-    together. `within` another limit above this line, with `least` of its rate as a guarantee. `trial`: counted,
-    bouncing nobody."""
+    """`counts`: hits, first tries or repeats. `rate` or `share_of` and `most`. `scope`: of one gateway, or of
+    all together. `within` another limit above this line, with `least` of its rate as a guarantee. `trial`:
+    counted, bouncing nobody."""
+
     name: Name
     counts: Literal["hits", "tries", "repeats"] = "hits"
     where: Where = Where()
@@ -54,14 +56,19 @@
             return f"{self.counts} as a share of {self.share_of}: a count cannot be a share of itself"
         if self.where.group is not None and not any(g.name == self.where.group for g in sheet["path_group"]):
             return f"no path group {self.where.group!r} above this line"
-        if self.where.customer is not None and not any(c.name == self.where.customer for c in sheet["customer"]):
+        if self.where.customer is not None and not any(
+            c.name == self.where.customer for c in sheet["customer"]
+        ):
             return f"no customer {self.where.customer!r} above this line"
         if self.where.customer is not None and self.by == "customer":
             return "by customer, where there is one customer: leave out one of the two"
         if self.scope == "fleet" and self.share_of:
-            return "a share is of what one gateway sees: scope = \"gateway\""
+            return 'a share is of what one gateway sees: scope = "gateway"'
         if self.scope == "fleet" and not sheet["members"]:
-            return "a limit of the fleet needs members(...) above this line: its gateways have to know each other"
+            return (
+                "a limit of the fleet needs members(...) above this line: "
+                "its gateways have to know each other"
+            )
         return self.wrong_within(known, sheet) or self.wrong_beside(known)
 
     def wrong_within(self, known, sheet):
@@ -75,14 +82,23 @@
         if not parent.counts_all_of(self):
             return f"{self.within!r} does not count all that {self.name!r} counts: it cannot be within it"
         if self.rate >= parent.rate and not self.least and parent.by == "nothing":
-            return f"{self.name!r} never binds: {self.within!r} is over first; give it a lower rate or leave it out"
+            return (
+                f"{self.name!r} never binds: {self.within!r} is over first; "
+                "give it a lower rate or leave it out"
+            )
         if self.least:
             values = len(sheet["customer"]) if self.by == "customer" else 1
-            others = sum(limit.least * (len(sheet["customer"]) if limit.by == "customer" else 1)
-                         for limit in known.values() if limit.within == self.within)
+            others = sum(
+                limit.least * (len(sheet["customer"]) if limit.by == "customer" else 1)
+                for limit in known.values()
+                if limit.within == self.within
+            )
             if others + self.least * values > 1.0001:
-                return (f"the guarantees within {self.within!r} come to {others + self.least * values:.2f} of it: "
-                        "they may come to 1 at most")
+                return (
+                    f"the guarantees within {self.within!r} come to "
+                    f"{others + self.least * values:.2f} of it: "
+                    "they may come to 1 at most"
+                )
             if self.by == "key":
                 return "a guarantee by key: nobody knows how many keys there are; give it by customer"
             if self.least * parent.rate > self.rate:
@@ -93,37 +109,64 @@
         """Another limit on the same thing: only the stricter one ever binds."""
         for other in known.values():
             same = (other.counts, other.where, other.by, other.scope, other.share_of) == (
-                self.counts, self.where, self.by, self.scope, self.share_of)
+                self.counts,
+                self.where,
+                self.by,
+                self.scope,
+                self.share_of,
+            )
             if same and self.rate is not None and not self.trial and not other.trial:
                 lower = self if (self.rate, self.burst) <= (other.rate, other.burst) else other
                 never = other if lower is self else self
                 if never.rate >= lower.rate and never.burst >= lower.burst:
-                    return f"{never.name!r} never binds beside {lower.name!r}, which counts the same: leave one out"
+                    return (
+                        f"{never.name!r} never binds beside {lower.name!r}, "
+                        "which counts the same: leave one out"
+                    )
         return None
 
     def counts_all_of(self, other) -> bool:
-        wider = all(getattr(self.where, name) in (None, getattr(other.where, name)) for name in (
-            "group", "kind", "customer"))
+        wider = all(
+            getattr(self.where, name) in (None, getattr(other.where, name))
+            for name in ("group", "kind", "customer")
+        )
         return wider and self.counts in ("hits", other.counts) and self.by in ("nothing", other.by)
 
     def plain(self, parents: dict) -> dict:
         """The fields of `limits.rules.Limit`."""
         parent = parents.get(self.within)
-        return {"name": self.name, "counts": self.counts, "by": self.by, "rate": self.rate or 0, "burst": self.burst,
-                "share_of": self.share_of, "share": round(self.most * 1000), "within": self.within,
-                "least": round(self.least * parent.rate) if parent else 0, "over": self.over.do,
-                "advice": self.over.advice, "trial": self.trial, "fleet": self.scope == "fleet", "keys": self.keys,
-                "group": self.where.group, "kind": self.where.kind, "customer": self.where.customer}
+        return {
+            "name": self.name,
+            "counts": self.counts,
+            "by": self.by,
+            "rate": self.rate or 0,
+            "burst": self.burst,
+            "share_of": self.share_of,
+            "share": round(self.most * 1000),
+            "within": self.within,
+            "least": round(self.least * parent.rate) if parent else 0,
+            "over": self.over.do,
+            "advice": self.over.advice,
+            "trial": self.trial,
+            "fleet": self.scope == "fleet",
+            "keys": self.keys,
+            "group": self.where.group,
+            "kind": self.where.kind,
+            "customer": self.where.customer,
+        }
 
 
 def canonical(limits) -> bytes:
     """The same for the same limits, in whatever order they stand: what the digest is of."""
-    return msgspec.json.encode(sorted((msgspec.to_builtins(limit) for limit in limits), key=lambda row: row["name"]),
-                               order="sorted")
+    return msgspec.json.encode(
+        sorted((msgspec.to_builtins(limit) for limit in limits), key=lambda row: row["name"]), order="sorted"
+    )
 
 
 WORDS = {
-    "per_second": lambda count: round(count * 1000), "per_minute": lambda count: round(count * 1000 / 60),
-    "where": lambda **fields: fields, "bounce": lambda advice=True: {"do": "bounce", "advice": advice},
+    "per_second": lambda count: round(count * 1000),
+    "per_minute": lambda count: round(count * 1000 / 60),
+    "where": lambda **fields: fields,
+    "bounce": lambda advice=True: {"do": "bounce", "advice": advice},
     "only_count": lambda: {"do": "count"},
 }
--- a/cobaltpond/sheet/parts.py
+++ b/cobaltpond/sheet/parts.py
@@ -1,4 +1,5 @@
 """What a sheet consists of: one frozen record a call of the Starlark file. Times are whole microseconds."""
+
 from typing import Annotated, Literal
 from zlib import crc32
 
@@ -46,6 +47,7 @@
 
 class Route(Part, kw_only=True):
     """`path` as sent, with `*` at its end for all below; the first route that fits holds."""
+
     path: Annotated[str, Meta(pattern=r"^/[^*]*\*?$")]
     group: Name
     method: Literal["*", "GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS"] = "*"
@@ -66,6 +68,7 @@
 
 class Release(Part, kw_only=True):
     """How a build goes out, and what the desk and the gateways hold each other to."""
+
     gate: Literal["any", "count", "clock"]
     layout: Literal["beside", "in place"]
     shares: list[Share]
@@ -105,6 +108,7 @@
 
 class Rules(Part, kw_only=True):
     """The figures behind the five rules."""
+
     drain_grace: Span
     cold_time: Span
     cold_share: Share
@@ -137,6 +141,7 @@
 class Door(Part, kw_only=True):
     """Limits towards clients: bytes, counts, times. `hold` is what of a body is kept to be sent again, and of
     an answer before its first byte goes out (the point of no return)."""
+
     head_limit: Annotated[int, Meta(ge=512)] = 16 << 10
     target_limit: Annotated[int, Meta(ge=64)] = 4 << 10
     field_limit: Count = 100
@@ -156,8 +161,9 @@
 
 
 class Instances(Part, kw_only=True):
-    """Limits towards instances. `rest_time`: how long a connection rests after an answer before the next hit goes over
-    it; for instances that may answer a hit twice."""
+    """Limits towards instances. `rest_time`: how long a connection rests after an answer before the next hit
+    goes over it; for instances that may answer a hit twice."""
+
     dial_time: Span = 250_000
     idle_time: Span = 15_000_000
     rest_time: Pause = 0
@@ -182,8 +188,10 @@
 
 
 class GatewayPlace(Part, kw_only=True):
-    """`door` for clients, `peers` for datagrams of other gateways (`bind`: where it takes them itself, if they come
-    another way than straight), `memory`: the file of the kept list, `snapshot`: that of what it has learned."""
+    """`door` for clients, `peers` for datagrams of other gateways (`bind`: where it takes them itself, if
+    they come another way than straight), `memory`: the file of the kept list, `snapshot`: that of what it has
+    learned."""
+
     number: Many
     zone: Name
     door: Address
@@ -200,8 +208,9 @@
 
 
 class Membership(Part, kw_only=True):
-    """Gateways that know each other (docs/members.md). `period`: one probe so often; `wait`: for its answer, before
-    others are asked to help; `judges`: of a build are chosen among those who are there."""
+    """Gateways that know each other (docs/members.md). `period`: one probe so often; `wait`: for its answer,
+    before others are asked to help; `judges`: of a build are chosen among those who are there."""
+
     period: Span = 1_000_000
     wait: Span = 300_000
     judges: bool = True
@@ -213,9 +222,12 @@
             return "membership needs two gateways above this line"
         without = [g.number for g in sheet["gateway"] if g.peers is None]
         if without:
-            return f"gateway {without[0]} has no address for datagrams: give it peers = \"host:port\""
-        doubled = [g.peers for n, g in enumerate(sheet["gateway"]) if g.peers in [
-            other.peers for other in sheet["gateway"][:n]]]
+            return f'gateway {without[0]} has no address for datagrams: give it peers = "host:port"'
+        doubled = [
+            g.peers
+            for n, g in enumerate(sheet["gateway"])
+            if g.peers in [other.peers for other in sheet["gateway"][:n]]
+        ]
         if doubled:
             return f"two gateways take datagrams at {doubled[0]}"
         if len(sheet["gateway"]) > 65_535:
@@ -223,10 +235,12 @@
 
 
 class Recovery(Part, kw_only=True):
-    """Coming back (docs/recovery.md). `dials`: new connections a second that one instance bears from all gateways
-    together, 0 for no bound; `calls`: first calls a second that the list bears, and the desk, 0 for no bound; `warm`:
-    ask settled gateways; `asks`: answers a second that one of them gives; `hear`, `warming`, `settle`: the longest in
-    each phase; `snapshot_every`: between two snapshots, where a gateway has a place for one."""
+    """Coming back (docs/recovery.md). `dials`: new connections a second that one instance bears from all
+    gateways together, 0 for no bound; `calls`: first calls a second that the list bears, and the desk, 0 for
+    no bound; `warm`: ask settled gateways; `asks`: answers a second that one of them gives; `hear`,
+    `warming`, `settle`: the longest in each phase; `snapshot_every`: between two snapshots, where a gateway
+    has a place for one."""
+
     dials: Price = 0.0
     calls: Price = 0.0
     warm: bool = True
@@ -244,8 +258,9 @@
 
 
 class Builds(Part, kw_only=True):
-    """Where agents get builds, and what they may cost. `keys`: the file of the first key ring; `rate`: bytes a
-    second, 0 for no bound; `most`: bytes of the store."""
+    """Where agents get builds, and what they may cost. `keys`: the file of the first key ring; `rate`: bytes
+    a second, 0 for no bound; `most`: bytes of the store."""
+
     sources: list[Address]
     keys: str
     rate: Many = 0
@@ -258,6 +273,7 @@
 
 class Host(Part, kw_only=True):
     """One place of the fleet: `ports` is the first of eight that its instances use in turn."""
+
     place: Name
     zone: Name
     folder: str
@@ -274,6 +290,7 @@
 
 class Sheet(Struct, frozen=True):
     """All of it. `runsheet(number)` is the plain map that the module gets."""
+
     path_groups: tuple[PathGroup, ...]
     routes: tuple[Route, ...]
     customers: tuple[Customer, ...]
@@ -291,15 +308,21 @@
     hosts: tuple[Host, ...] = ()
     members: Membership | None = None
     recovery: Recovery | None = None
-    limits: tuple = ()                                 # of `sheet.limits.Limit`
+    limits: tuple = ()  # of `sheet.limits.Limit`
     tick: int = 1000
     over_share_benefit: float = 0.1
 
     def digest(self) -> int:
         """Of all that the gateways must have alike; where each of them stands does not count."""
-        alike = msgspec.structs.replace(self, gateways=tuple(
-            GatewayPlace(number=g.number, zone=g.zone, door="0.0.0.0:0") for g in self.gateways))
-        ordered = msgspec.structs.replace(alike, limits=tuple(sorted(alike.limits, key=lambda limit: limit.name)))
+        alike = msgspec.structs.replace(
+            self,
+            gateways=tuple(
+                GatewayPlace(number=g.number, zone=g.zone, door="0.0.0.0:0") for g in self.gateways
+            ),
+        )
+        ordered = msgspec.structs.replace(
+            alike, limits=tuple(sorted(alike.limits, key=lambda limit: limit.name))
+        )
         return crc32(msgspec.json.encode(ordered))
 
     @property
@@ -308,33 +331,75 @@
 
     def runsheet(self, number: int) -> dict:
         release, rules, allow = self.release, self.rules, self.allow
-        groups = [{"name": g.name, "kind": g.kind, "scope": g.scope, "repeat_window": g.repeat_window,
-                   "target_latency": g.target_latency, "client_timeout": g.client_timeout,
-                   "benefit": g.benefit, "late_benefit": g.late_benefit,
-                   "target_stretch": g.target_stretch} for g in self.path_groups]
+        groups = [
+            {
+                "name": g.name,
+                "kind": g.kind,
+                "scope": g.scope,
+                "repeat_window": g.repeat_window,
+                "target_latency": g.target_latency,
+                "client_timeout": g.client_timeout,
+                "benefit": g.benefit,
+                "late_benefit": g.late_benefit,
+                "target_stretch": g.target_stretch,
+            }
+            for g in self.path_groups
+        ]
         return {
-            "path_groups": groups, "customers": [{"name": c.name, "share": c.share} for c in self.customers],
-            "gateways": len(self.gateways), "number": number, "zone": self.gateways[number].zone,
-            "zones": self.zones, "tick": self.tick, "over_share_benefit": self.over_share_benefit,
-            "benefit_by": "request", "weights": "nominal", "reports": self.reports.how,
-            "report_names": list(self.reports.names), "gate": release.gate, "layout": release.layout,
-            "stage_shares": list(release.shares), "stage_caps": list(release.caps),
-            "exposure_window": release.exposure_window, "exposure_free": release.exposure_free,
-            "exposure_by": release.exposure_by, "shielded_stages": release.shielded_stages,
-            "keys_stay": release.keys_stay, "vote_life": release.vote_life, "vote_wait": release.vote_wait,
-            "vote_rate": release.vote_rate, "on_votes": release.on_votes, "back_votes": release.back_votes,
-            "hold_votes": release.hold_votes, "dwell": release.dwell, "step": release.step,
-            "news_period": release.news_period, "delay_price": release.delay_price,
-            "harm_price": release.harm_price, "tally_period": release.tally_period,
-            "tally_sample": release.tally_sample, "wrong_reported": release.wrong_reported,
-            "warm_keys": release.warm_keys, "may_cancel": allow.cancel, "may_duplicate": False,
-            "may_probe": allow.probe, "may_tell": allow.tell and len(self.gateways) > 1,
-            "may_advise": allow.advise, "most_advice": allow.most_advice, "most_forwards": allow.most_forwards,
-            "dial_time_out": self.instances.dial_time, "drain_grace": rules.drain_grace,
-            "cold_time": rules.cold_time, "cold_share": rules.cold_share,
-            "overload_factor": rules.overload_factor, "tip_time": rules.tip_time,
-            "ask_within": self.listing.ask_within, "list_by": self.listing.by,
-            "crossing_price": self.prices.crossing, "probe_price": self.prices.probe,
-            "tell_price": self.prices.tell, "waste_price": self.prices.waste,
+            "path_groups": groups,
+            "customers": [{"name": c.name, "share": c.share} for c in self.customers],
+            "gateways": len(self.gateways),
+            "number": number,
+            "zone": self.gateways[number].zone,
+            "zones": self.zones,
+            "tick": self.tick,
+            "over_share_benefit": self.over_share_benefit,
+            "benefit_by": "request",
+            "weights": "nominal",
+            "reports": self.reports.how,
+            "report_names": list(self.reports.names),
+            "gate": release.gate,
+            "layout": release.layout,
+            "stage_shares": list(release.shares),
+            "stage_caps": list(release.caps),
+            "exposure_window": release.exposure_window,
+            "exposure_free": release.exposure_free,
+            "exposure_by": release.exposure_by,
+            "shielded_stages": release.shielded_stages,
+            "keys_stay": release.keys_stay,
+            "vote_life": release.vote_life,
+            "vote_wait": release.vote_wait,
+            "vote_rate": release.vote_rate,
+            "on_votes": release.on_votes,
+            "back_votes": release.back_votes,
+            "hold_votes": release.hold_votes,
+            "dwell": release.dwell,
+            "step": release.step,
+            "news_period": release.news_period,
+            "delay_price": release.delay_price,
+            "harm_price": release.harm_price,
+            "tally_period": release.tally_period,
+            "tally_sample": release.tally_sample,
+            "wrong_reported": release.wrong_reported,
+            "warm_keys": release.warm_keys,
+            "may_cancel": allow.cancel,
+            "may_duplicate": False,
+            "may_probe": allow.probe,
+            "may_tell": allow.tell and len(self.gateways) > 1,
+            "may_advise": allow.advise,
+            "most_advice": allow.most_advice,
+            "most_forwards": allow.most_forwards,
+            "dial_time_out": self.instances.dial_time,
+            "drain_grace": rules.drain_grace,
+            "cold_time": rules.cold_time,
+            "cold_share": rules.cold_share,
+            "overload_factor": rules.overload_factor,
+            "tip_time": rules.tip_time,
+            "ask_within": self.listing.ask_within,
+            "list_by": self.listing.by,
+            "crossing_price": self.prices.crossing,
+            "probe_price": self.prices.probe,
+            "tell_price": self.prices.tell,
+            "waste_price": self.prices.waste,
             "paced": bool(self.recovery and self.recovery.dials),
         }
--- a/cobaltpond/sheet/read.py
+++ b/cobaltpond/sheet/read.py
@@ -1,4 +1,6 @@
-"""Evaluates a Starlark file whose calls build up parts; every fault names file, line and what was expected."""
+"""Evaluates a Starlark file whose calls build up parts; every fault names file, line and what was
+expected."""
+
 import re
 from collections.abc import Callable
 
@@ -36,6 +38,7 @@
             if trouble := part.wrong(self.calls):
                 raise ValueError(f"{name}: {trouble}")
             self.calls[name].append(part)
+
         return call
 
     @staticmethod
@@ -60,8 +63,11 @@
         try:
             # extended: loops and conditions at the top level, as operators expect of a settings file
             dialect = starlark.Dialect.extended()
-            starlark.eval(module, starlark.parse(path, text, dialect), starlark.Globals.extended_by(
-                [starlark.LibraryExtension.Print]))
+            starlark.eval(
+                module,
+                starlark.parse(path, text, dialect),
+                starlark.Globals.extended_by([starlark.LibraryExtension.Print]),
+            )
         except starlark.StarlarkError as trouble:
             raise BadSheet(self.located(path, str(trouble))) from None
         for name, (_, how) in self.parts.items():
@@ -82,14 +88,30 @@
     """A `Sheet` from the text of a file. Raises BadSheet."""
     from cobaltpond.sheet import parts as p
     from cobaltpond.sheet.limits import WORDS, Limit
-    calls = Reader({
-        "path_group": (p.PathGroup, MANY), "route": (p.Route, MANY), "customer": (p.Customer, MANY),
-        "gateway": (p.GatewayPlace, MANY), "release": (p.Release, NEEDED), "rules": (p.Rules, NEEDED),
-        "allow": (p.Allow, ONE), "reports": (p.Reports, ONE), "prices": (p.Prices, ONE),
-        "door": (p.Door, ONE), "instances": (p.Instances, ONE), "listing": (p.Listing, NEEDED),
-        "desk": (p.DeskAddress, NEEDED), "builds": (p.Builds, ONE), "host": (p.Host, MANY),
-        "members": (p.Membership, ONE), "recovery": (p.Recovery, ONE),
-        "limit": (Limit, MANY)}, WORDS).run(path, text)
+
+    calls = Reader(
+        {
+            "path_group": (p.PathGroup, MANY),
+            "route": (p.Route, MANY),
+            "customer": (p.Customer, MANY),
+            "gateway": (p.GatewayPlace, MANY),
+            "release": (p.Release, NEEDED),
+            "rules": (p.Rules, NEEDED),
+            "allow": (p.Allow, ONE),
+            "reports": (p.Reports, ONE),
+            "prices": (p.Prices, ONE),
+            "door": (p.Door, ONE),
+            "instances": (p.Instances, ONE),
+            "listing": (p.Listing, NEEDED),
+            "desk": (p.DeskAddress, NEEDED),
+            "builds": (p.Builds, ONE),
+            "host": (p.Host, MANY),
+            "members": (p.Membership, ONE),
+            "recovery": (p.Recovery, ONE),
+            "limit": (Limit, MANY),
+        },
+        WORDS,
+    ).run(path, text)
     if calls["host"] and not calls["builds"]:
         raise BadSheet(f"{path}: host(...) needs a call of builds(...): where builds come from")
     for name in ("path_group", "route", "gateway"):
@@ -100,10 +122,22 @@
         return calls[name][0] if calls[name] else kind()
 
     return p.Sheet(
-        path_groups=tuple(calls["path_group"]), routes=tuple(calls["route"]), customers=tuple(calls["customer"]),
-        gateways=tuple(calls["gateway"]), release=calls["release"][0], rules=calls["rules"][0],
-        allow=one("allow", p.Allow), reports=one("reports", p.Reports), prices=one("prices", p.Prices),
-        door=one("door", p.Door), instances=one("instances", p.Instances), listing=calls["listing"][0],
-        desk=calls["desk"][0], builds=calls["builds"][0] if calls["builds"] else None, hosts=tuple(calls["host"]),
+        path_groups=tuple(calls["path_group"]),
+        routes=tuple(calls["route"]),
+        customers=tuple(calls["customer"]),
+        gateways=tuple(calls["gateway"]),
+        release=calls["release"][0],
+        rules=calls["rules"][0],
+        allow=one("allow", p.Allow),
+        reports=one("reports", p.Reports),
+        prices=one("prices", p.Prices),
+        door=one("door", p.Door),
+        instances=one("instances", p.Instances),
+        listing=calls["listing"][0],
+        desk=calls["desk"][0],
+        builds=calls["builds"][0] if calls["builds"] else None,
+        hosts=tuple(calls["host"]),
         members=calls["members"][0] if calls["members"] else None,
-        recovery=calls["recovery"][0] if calls["recovery"] else None, limits=tuple(calls["limit"]))
+        recovery=calls["recovery"][0] if calls["recovery"] else None,
+        limits=tuple(calls["limit"]),
+    )
--- a/cobaltpond/sim/datagrams.py
+++ b/cobaltpond/sim/datagrams.py
@@ -1,9 +1,10 @@
 """Datagrams of the simulated network: late, lost, twice or out of order, as the link between two has it."""
+
 from collections import deque
 
 from cobaltpond.sim.net import Handle
 
-DATAGRAMS = 256                                        # of a socket, unread
+DATAGRAMS = 256  # of a socket, unread
 
 
 class Datagrams(Handle):
--- a/cobaltpond/sim/disk.py
+++ b/cobaltpond/sim/disk.py
@@ -1,9 +1,11 @@
 """A simulated disk: what a program sees, and what is left of it after a power cut.
 
-A file's bytes are safe once synced, a name once its folder is synced; renames too (rename(2), fsync(2)). After a power
-cut each change that was not safe is there or not by chance, and of bytes that were not synced a part from the front.
-Faults: no room (ENOSPC, half of the write done), a sync that fails (EIO; what was to be synced is not safe).
+A file's bytes are safe once synced, a name once its folder is synced; renames too (rename(2), fsync(2)).
+After a power cut each change that was not safe is there or not by chance, and of bytes that were not synced a
+part from the front. Faults: no room (ENOSPC, half of the write done), a sync that fails (EIO; what was to be
+synced is not safe).
 """
+
 import errno
 
 
@@ -20,10 +22,10 @@
 class Disk:
     def __init__(self, world):
         self.world, self.root, self.chance = world, Folder(), world.chance("disk")
-        self.full, self.failing, self.writes = {}, {}, 0      # folder path -> faults that strike below it
+        self.full, self.failing, self.writes = {}, {}, 0  # folder path -> faults that strike below it
         self.space = 1 << 40
 
-    # --- finding things ----------------------------------------------------------------------------------------
+    # --- finding things -------------------------------------------------------------------------------------
 
     @staticmethod
     def parts(path: str) -> list:
@@ -52,8 +54,10 @@
         return found
 
     def struck(self, faults: dict, path: str) -> bool:
-        return any(count and ("/" + path.strip("/") + "/").startswith(folder.rstrip("/") + "/")
-                   for folder, count in faults.items())
+        return any(
+            count and ("/" + path.strip("/") + "/").startswith(folder.rstrip("/") + "/")
+            for folder, count in faults.items()
+        )
 
     def room(self, path: str) -> None:
         if self.struck(self.full, path):
@@ -63,7 +67,7 @@
         if self.struck(self.failing, path):
             raise OSError(errno.EIO, "Input/output error", path)
 
-    # --- what programs do --------------------------------------------------------------------------------------
+    # --- what programs do -----------------------------------------------------------------------------------
 
     def create(self, path: str) -> File:
         folder, name = self.parent(path)
@@ -81,7 +85,7 @@
         try:
             self.room(path)
         except OSError:
-            file.data[:] = data[:len(data) // 2]
+            file.data[:] = data[: len(data) // 2]
             raise
         file.data[:] = data
         if sync:
@@ -125,7 +129,7 @@
         if folder.entries.pop(name, None) is not None:
             self.writes += 1
 
-    # --- a power cut -------------------------------------------------------------------------------------------
+    # --- a power cut ----------------------------------------------------------------------------------------
 
     def power_cut(self, path: str) -> None:
         """What lies under a folder is as its disk has it."""
@@ -140,11 +144,12 @@
         seen.add(id(node))
         if isinstance(node, File):
             if bytes(node.data) != node.safe:
-                if bytes(node.data[:len(node.safe)]) == node.safe:
-                    node.data[:] = node.data[:self.chance.randrange(len(node.safe), len(node.data) + 1)]
-                else:                                  # written over in place: some of the new, or the old
-                    kept = self.chance.choice((node.safe, bytes(node.data[:self.chance.randrange(
-                        0, len(node.data) + 1)])))
+                if bytes(node.data[: len(node.safe)]) == node.safe:
+                    node.data[:] = node.data[: self.chance.randrange(len(node.safe), len(node.data) + 1)]
+                else:  # written over in place: some of the new, or the old
+                    kept = self.chance.choice(
+                        (node.safe, bytes(node.data[: self.chance.randrange(0, len(node.data) + 1)]))
+                    )
                     node.data[:] = kept
                 node.safe = bytes(node.data)
             return
--- a/cobaltpond/sim/faults.py
+++ b/cobaltpond/sim/faults.py
@@ -1,19 +1,25 @@
 """Carries out the faults of a scenario, at their times or aimed at a moment, on the simulated machine."""
+
 from cobaltpond.sim.links import part_of
 from cobaltpond.sim.net import Stream
 
-LOOK = 250_000                                         # how often parts that a disk fault has ended are started again
-COPY_EVERY = 200_000                                   # between copies of what may be put back
+LOOK = 250_000  # how often parts that a disk fault has ended are started again
+COPY_EVERY = 200_000  # between copies of what may be put back
 
 
 class Faults:
     """`day`: the running DayRun; `met(kind, part)`: told of each fault as it strikes, for the coverage."""
 
     def __init__(self, machine, day, plan, met=lambda kind, part: None):
-        self.machine, self.world, self.network, self.disk = machine, machine.world, machine.network, machine.disk
+        self.machine, self.world, self.network, self.disk = (
+            machine,
+            machine.world,
+            machine.network,
+            machine.disk,
+        )
         self.day, self.plan, self.met, self.aimed, self.over_at = day, plan, met, [], 0
-        self.struck, self.back_at = 0, {}              # part -> when a kill of its own starts it again
-        self.copies = {}                               # folder -> [(when, name -> bytes)]
+        self.struck, self.back_at = 0, {}  # part -> when a kill of its own starts it again
+        self.copies = {}  # folder -> [(when, name -> bytes)]
 
     def begin(self, begin: int) -> None:
         self.begun = begin
@@ -47,12 +53,18 @@
         if aim == "vote" and what == "vote":
             return at + self.plan["release"]["vote_wait"]
         if aim == "window" and what == "forward":
-            group = next((g for g in self.plan["groups"] if g["kind"] == "tagged"
-                          and f"standin-group: {g['name']}\r".encode() in value), None)
+            group = next(
+                (
+                    g
+                    for g in self.plan["groups"]
+                    if g["kind"] == "tagged" and f"standin-group: {g['name']}\r".encode() in value
+                ),
+                None,
+            )
             return None if group is None else at + group["repeat_window"]
         return None
 
-    # --- striking ----------------------------------------------------------------------------------------------
+    # --- striking -------------------------------------------------------------------------------------------
 
     def strike(self, row) -> None:
         self.struck += 1
@@ -68,8 +80,12 @@
         return [p for p in self.world.alive() if part_of(p.name) == part]
 
     def links(self, row) -> list:
-        return [self.network.link(a.name, b.name) for a in self.processes(row["on"])
-                for b in self.processes(row["to"]) if a is not b]
+        return [
+            self.network.link(a.name, b.name)
+            for a in self.processes(row["on"])
+            for b in self.processes(row["to"])
+            if a is not b
+        ]
 
     def do_cut(self, row) -> None:
         links = self.links(row)
@@ -86,6 +102,7 @@
             for link in links:
                 for name in names:
                     link.one_way(name, begins)
+
         to(True)
         self.later(row, lambda: to(False))
 
@@ -101,6 +118,7 @@
         def to(share):
             for link in links:
                 link.lose = link.repeat = link.shuffle = share
+
         to(min(1.0, row["size"]) / 2)
         self.later(row, lambda: to(0.0))
 
@@ -108,7 +126,11 @@
         """Something between the two forgets all that goes through it: both ends are told."""
         for process in self.processes(row["on"]):
             for handle in list(process.kernel.handles):
-                if isinstance(handle, Stream) and handle.state == "open" and part_of(handle.there) == row["to"]:
+                if (
+                    isinstance(handle, Stream)
+                    and handle.state == "open"
+                    and part_of(handle.there) == row["to"]
+                ):
                     handle.flow.pieces.clear()
                     handle.flow.sink.flow.pieces.clear()
                     handle.flow.sink.takes("reset", b"")
@@ -122,6 +144,7 @@
         def over():
             for name in names:
                 table[name] -= 1
+
         self.later(row, over)
 
     def do_refuse(self, row) -> None:
@@ -158,7 +181,12 @@
         which = int(number.rpartition("-")[2] or 0)
         if not self.processes(row["on"]):
             return
-        kill = {"what": kinds[what], "gateway": which, "at": self.world.time - self.begun, "back_after": row["length"]}
+        kill = {
+            "what": kinds[what],
+            "gateway": which,
+            "at": self.world.time - self.begun,
+            "back_after": row["length"],
+        }
         self.back_at[row["on"]] = self.world.time + row["length"] + LOOK
         self.day.loop.spawn(self.day.kill(self.begun, kill), "kill")
 
@@ -169,7 +197,7 @@
             process.signal("TERM")
             self.stand_by(row["on"], self.world.time + 8_000_000)
 
-    # --- disks -------------------------------------------------------------------------------------------------
+    # --- disks ----------------------------------------------------------------------------------------------
 
     def folder(self, on: str) -> str:
         if on == "desk":
@@ -182,7 +210,7 @@
     def disk_fault(self, row, table) -> None:
         folder, part = self.folder(row["on"]), self.part(row["on"])
         table[folder] = table.get(folder, 0) + 1
-        self.day.act("killed", part=part)              # it may end over it, by design; see `stand_by`
+        self.day.act("killed", part=part)  # it may end over it, by design; see `stand_by`
         self.world.after(row["length"], lambda: table.update({folder: table[folder] - 1}))
         self.stand_by(part, self.world.time + row["length"] + 5_000_000)
 
@@ -204,7 +232,7 @@
         self.disk.power_cut(self.folder(row["on"]))
         self.stand_by(part, self.world.time + row["length"] + LOOK, self.world.time + row["length"])
 
-    # --- state that is lost, or put back from a copy ------------------------------------------------------------
+    # --- state that is lost, or put back from a copy --------------------------------------------------------
 
     def journal(self, on: str) -> str:
         return self.folder(on) if on == "desk" else f"{self.folder(on)}/journal"
@@ -240,7 +268,9 @@
         self.stand_by(part, self.world.time + row["length"] + LOOK, self.world.time + row["length"])
 
     def stand_by(self, part, until, since=0) -> None:
-        """What a supervisor does: a part that has ended is started again, unless the day itself is ending them."""
+        """What a supervisor does: a part that has ended is started again, unless the day itself is ending
+        them."""
+
         def look():
             child = self.day.children.get(part)
             due = self.world.time >= max(since, self.back_at.get(part, 0))
@@ -248,9 +278,13 @@
                 if part.startswith("gateway-"):
                     self.day.start_gateway(int(part[8:]))
                 else:
-                    words = ["desk", self.day.sheet_path] if part == "desk" else [
-                        "agent", self.day.sheet_path, "--place", part.removeprefix("agent-")]
+                    words = (
+                        ["desk", self.day.sheet_path]
+                        if part == "desk"
+                        else ["agent", self.day.sheet_path, "--place", part.removeprefix("agent-")]
+                    )
                     self.day.spawn(part, *words)
             if self.world.time < until:
                 self.world.after(LOOK, look)
+
         look()
--- a/cobaltpond/sim/kernel.py
+++ b/cobaltpond/sim/kernel.py
@@ -1,4 +1,5 @@
 """The kernel of one simulated process: the same questions as `loop/kernel.py` answers, asked of a `World`."""
+
 import errno
 import os
 import shlex
@@ -10,8 +11,8 @@
 from cobaltpond.sim.net import Listener, Stream
 from cobaltpond.sim.world import Process
 
-WALL = 1_750_000_000_000_000                           # what the calendar shows when a world begins, microseconds
-START_LEAST, START_MOST = 5_000, 60_000                # from spawn to the first line of a program
+WALL = 1_750_000_000_000_000  # what the calendar shows when a world begins, microseconds
+START_LEAST, START_MOST = 5_000, 60_000  # from spawn to the first line of a program
 
 
 class VirtualKernel:
@@ -22,10 +23,10 @@
         self.network, self.disk = machine.network, machine.disk
         self.handles, self.ready, self.signalled, self.signal_call = {}, {}, [], None
         self.files, self.locks, self.most = [], [], 1 << 30
-        self.rate, self.here, self.there = 1.0, 0, 0   # its clock drifts from the world's: ahead by, since
+        self.rate, self.here, self.there = 1.0, 0, 0  # its clock drifts from the world's: ahead by, since
         process.kernel = self
 
-    # --- time and turns ----------------------------------------------------------------------------------------
+    # --- time and turns -------------------------------------------------------------------------------------
 
     def now(self) -> int:
         if self.rate == 1.0:
@@ -65,7 +66,7 @@
     def wall(self) -> int:
         return WALL + self.world.time - self.world.begin
 
-    # --- sockets -----------------------------------------------------------------------------------------------
+    # --- sockets --------------------------------------------------------------------------------------------
 
     def enter(self, handle) -> None:
         self.handles[handle] = True
@@ -104,7 +105,7 @@
             raise OSError(errno.EADDRINUSE, "Address already in use")
         return Datagrams(self, (host, port))
 
-    # --- processes ---------------------------------------------------------------------------------------------
+    # --- processes ------------------------------------------------------------------------------------------
 
     def spawn(self, argv, output, mark="") -> "Child":
         words = self.script(argv) if argv[0] != sys.executable else argv
@@ -114,11 +115,14 @@
         process = Process(self.world, name, words, mark, output)
         VirtualKernel(self.machine, process)
         self.world.note("spawn", name, process.pid)
-        self.world.after(process.chance.randrange(START_LEAST, START_MOST), lambda: self.machine.begin(process))
+        self.world.after(
+            process.chance.randrange(START_LEAST, START_MOST), lambda: self.machine.begin(process)
+        )
         return Child(process)
 
     def script(self, argv) -> list:
-        """A program of ours that a shell script in the store starts, or ends at once: all that builds here are."""
+        """A program of ours that a shell script in the store starts, or ends at once: all that builds here
+        are."""
         file = self.disk.find(argv[0])
         if not isinstance(file, File):
             raise Unreachable(f"{argv[0]}: [Errno 2] No such file or directory")
@@ -157,7 +161,7 @@
             handle.close()
         self.ready = {}
 
-    # --- files -------------------------------------------------------------------------------------------------
+    # --- files ----------------------------------------------------------------------------------------------
 
     def dead(self) -> bool:
         """A task of a process that was killed, unwound: it has no effect any more."""
@@ -267,7 +271,7 @@
             try:
                 self.kernel.disk.room(self.path)
             except OSError:
-                self.file.data += data[:len(data) // 2]
+                self.file.data += data[: len(data) // 2]
                 raise
             self.file.data += data
             self.file.at = self.kernel.world.time
--- a/cobaltpond/sim/links.py
+++ b/cobaltpond/sim/links.py
@@ -7,8 +7,8 @@
     def __init__(self, delay: tuple[int, int]):
         self.delay, self.cuts, self.slow = delay, 0, 1.0
         self.lose, self.repeat, self.shuffle = 0.0, 0.0, 0.0  # shares of datagrams
-        self.deaf = {}                                 # names of processes that nothing reaches over this link
-        self.healed = []                               # called when the last cut ends
+        self.deaf = {}  # names of processes that nothing reaches over this link
+        self.healed = []  # called when the last cut ends
 
     def cut(self, begins: bool) -> None:
         self.cuts += 1 if begins else -1
--- a/cobaltpond/sim/machine.py
+++ b/cobaltpond/sim/machine.py
@@ -1,4 +1,6 @@
-"""One machine: a world, a network, a disk and the programs of this project, as the command line would start them."""
+"""One machine: a world, a network, a disk and the programs of this project, as the command line would start
+them."""
+
 import json
 import traceback
 from functools import lru_cache
@@ -15,12 +17,12 @@
 from cobaltpond.standins.solo import run_builds, run_solo
 from cobaltpond.standins.yard import run_yard
 
-read_once = lru_cache(maxsize=64)(read_sheet)          # a sheet is frozen: all that read the same text may share it
+read_once = lru_cache(maxsize=64)(read_sheet)  # a sheet is frozen: all that read the same text may share it
 
 
 class Log:
-    """Lines of a process, kept where somebody asked for them; what must not happen becomes a trouble of the world.
-    `expected`: types of exceptions that faults on disks bring about by design."""
+    """Lines of a process, kept where somebody asked for them; what must not happen becomes a trouble of the
+    world. `expected`: types of exceptions that faults on disks bring about by design."""
 
     def __init__(self, process: Process, machine: "Machine"):
         self.process, self.machine = process, machine
@@ -64,7 +66,7 @@
         """The first lines of a program; an exception in them ends it, as it would end the interpreter."""
         if process.code is not None:
             return
-        if process.frozen:                             # stopped before it began: looked at again when it goes on
+        if process.frozen:  # stopped before it began: looked at again when it goes on
             self.world.after(1_000, lambda: self.begin(process))
             return
         process.log = Log(process, self)
@@ -105,6 +107,8 @@
         elif words[0] == "builds":
             run_builds(kernel, self.plan(kernel, words[1]), int(words[2]), log)
         elif words[0] == "solo":
-            run_solo(kernel, self.plan(kernel, words[1]), int(words[2]), int(words[3]), words[4], words[5], log)
+            run_solo(
+                kernel, self.plan(kernel, words[1]), int(words[2]), int(words[3]), words[4], words[5], log
+            )
         else:
             raise FileNotFoundError(f"no program {argv}")
--- a/cobaltpond/sim/many.py
+++ b/cobaltpond/sim/many.py
@@ -1,4 +1,5 @@
 """Many seeds, what they covered, the smallest scenario that still fails, and the time line of one hit."""
+
 import json
 import re
 from functools import partial
@@ -8,10 +9,12 @@
 from cobaltpond.sim.run import Verdict, run_seed, run_text
 from cobaltpond.sim.script import FAULTS
 
-STATES = (*(f"hit {state}" for state in (State.TAKEN, State.HELD, State.OUT)),
-          *(f"instance {state} {warmth}" for state in ("up", "draining") for warmth in ("cold", "warm")),
-          *(f"release {phase}" for phase in ("trial", "going back", "released", "withdrawn")))
-MOST_RUNS = 150                                        # of one shrinking
+STATES = (
+    *(f"hit {state}" for state in (State.TAKEN, State.HELD, State.OUT)),
+    *(f"instance {state} {warmth}" for state in ("up", "draining") for warmth in ("cold", "warm")),
+    *(f"release {phase}" for phase in ("trial", "going back", "released", "withdrawn")),
+)
+MOST_RUNS = 150  # of one shrinking
 SPARE = ("fault(", "trouble(", "kill(", "offer(", "clients(", "reports(", "allow(", "registry(", "customer(")
 
 
@@ -65,7 +68,7 @@
     spare = [n for n, line in enumerate(lines) if line.startswith(SPARE)]
     for size in (len(spare) // 2, len(spare) // 4, 1):
         for at in range(0, len(spare), max(1, size)):
-            out = set(spare[at:at + max(1, size)])
+            out = set(spare[at : at + max(1, size)])
             if out:
                 yield [line for n, line in enumerate(lines) if n not in out]
     for n, line in enumerate(lines):
@@ -74,15 +77,15 @@
             length = int(said[2]) * (1_000_000 if said[1] else 1)
             for less in (length // 2, length * 3 // 4, length - 1_000_000):
                 if less >= 2_000_000:
-                    yield [*lines[:n], line.replace(said[0], f"length = {less}"), *lines[n + 1:]]
+                    yield [*lines[:n], line.replace(said[0], f"length = {less}"), *lines[n + 1 :]]
     gateways = [n for n, line in enumerate(lines) if line.startswith("gateway(")]
     if len(gateways) > 1:
         yield [line for n, line in enumerate(lines) if n != gateways[-1]]
 
 
 def shrink(text: str, say=lambda line: None, most: int = MOST_RUNS, **more) -> str:
-    """The smallest scenario found that breaks what this one breaks: fewest faults, shortest day, fewest gateways.
-    `more` as for `run_text`. Raises ValueError where it breaks nothing."""
+    """The smallest scenario found that breaks what this one breaks: fewest faults, shortest day, fewest
+    gateways. `more` as for `run_text`. Raises ValueError where it breaks nothing."""
     wrong, runs = sort_of(run_text(text, **more).found), 0
     if not wrong:
         raise ValueError("this scenario breaks nothing")
@@ -95,7 +98,7 @@
                 break
             try:
                 found = run_text("\n".join(fewer) + "\n", **more).found
-            except Exception:                          # a scenario that makes no sense is not a smaller one
+            except Exception:  # a scenario that makes no sense is not a smaller one
                 continue
             if wrong & sort_of(found):
                 lines, again = fewer, True
@@ -107,29 +110,52 @@
 def as_test(name: str, found: list, scenario: str) -> str:
     """A ready regression test."""
     what = sorted(sort_of(found))
-    return (f"def test_{name}():\n    \"\"\"Found by simulation: {', '.join(what)}.\"\"\"\n"
-            f"    assert run_text(SCENARIO).found == []\n\n\nSCENARIO = '''\n{scenario}'''\n")
+    return (
+        f"def test_{name}():\n    \"\"\"Found by simulation: {', '.join(what)}.\"\"\"\n"
+        f"    assert run_text(SCENARIO).found == []\n\n\nSCENARIO = '''\n{scenario}'''\n"
+    )
 
 
 def explain(verdict: Verdict, hit: str = "", instance: str = "") -> list[str]:
     """The time line of one hit (its name, or the client's op), or of one instance; seconds into the day."""
     result = verdict.result
     crowd, yard, begin = result["crowd"], result["yard"], result["begin"]
-    ops = {hit, *(e["op"] for e in yard if e["kind"] == "arrive" and e["hit"] == hit),
-           *(e["op"] for e in crowd if e["kind"] == "answer" and e.get("hit") == hit)} if hit else set()
-    names = {hit, *(e["hit"] for e in yard if e["kind"] == "arrive" and e["op"] in ops),
-             *(e["hit"] for e in crowd if e["kind"] == "answer" and e["op"] in ops)} - {None, ""}
+    ops = (
+        {
+            hit,
+            *(e["op"] for e in yard if e["kind"] == "arrive" and e["hit"] == hit),
+            *(e["op"] for e in crowd if e["kind"] == "answer" and e.get("hit") == hit),
+        }
+        if hit
+        else set()
+    )
+    names = {
+        hit,
+        *(e["hit"] for e in yard if e["kind"] == "arrive" and e["op"] in ops),
+        *(e["hit"] for e in crowd if e["kind"] == "answer" and e["op"] in ops),
+    } - {None, ""}
     rows = []
     for who, entries in (("client", crowd), ("yard", yard)):
         for e in entries:
             if e["kind"] == "list":
                 told = [r for r in e["rows"] if r["id"] == instance]
                 if told:
-                    rows.append((e["at"], f"gateway {e['gateway']} reads", f"list {e['revision']}: {told[0]}"))
-            elif hit and (e.get("op") in ops or e.get("hit") in names) or instance and e.get("instance") == instance:
-                shown = {k: v for k, v in e.items() if k not in ("kind", "at", "from", "about") and v is not None}
+                    rows.append(
+                        (e["at"], f"gateway {e['gateway']} reads", f"list {e['revision']}: {told[0]}")
+                    )
+            elif (
+                hit
+                and (e.get("op") in ops or e.get("hit") in names)
+                or instance
+                and e.get("instance") == instance
+            ):
+                shown = {
+                    k: v for k, v in e.items() if k not in ("kind", "at", "from", "about") and v is not None
+                }
                 rows.append((e["at"], who, f"{e['kind']} {shown}"))
     for at, process, level, event, fields in verdict.lines or []:
         if any(name and name in str(fields) for name in (*names, instance)):
             rows.append((at, process, f"{level} {event} {fields}"))
-    return [f"{(at - begin) / 1e6:10.6f}  {who:<16} {what}" for at, who, what in sorted(rows, key=lambda r: r[0])]
+    return [
+        f"{(at - begin) / 1e6:10.6f}  {who:<16} {what}" for at, who, what in sorted(rows, key=lambda r: r[0])
+    ]
--- a/cobaltpond/sim/net.py
+++ b/cobaltpond/sim/net.py
@@ -1,30 +1,32 @@
 """The simulated network: TCP streams, listeners and datagrams as a socket of Linux shows them to a program.
 
-What a program can see of a real socket and of these is compared by one conformance suite (`tests/test_conform.py`).
-A flow (one direction of a stream) keeps order; segments are cut anywhere, wait for the link's delay and for its cuts
-to end, and are taken by a receive buffer of bounded size. A cut link loses nothing of a stream: what was sent comes,
-late, as retransmission (RFC 9293, 3.8) brings it; a dial over it hangs.
+What a program can see of a real socket and of these is compared by one conformance suite
+(`tests/test_conform.py`). A flow (one direction of a stream) keeps order; segments are cut anywhere, wait for
+the link's delay and for its cuts to end, and are taken by a receive buffer of bounded size. A cut link loses
+nothing of a stream: what was sent comes, late, as retransmission (RFC 9293, 3.8) brings it; a dial over it
+hangs.
 """
+
 from collections import deque
 
 from cobaltpond.loop.trouble import HandlesUsedUp, PeerLost, Refused, Unreachable
 from cobaltpond.sim.links import Link, part_of
 
-BUFFER = 128 << 10                                     # bytes of one flow that may be on their way or unread
-SYN_AGAIN = (1_000_000, 3_000_000, 7_000_000, 15_000_000)     # after the first: RFC 6298, 2 and 5
-NO_ANSWER = 31_000_000                                 # then a dial ends with Unreachable
+BUFFER = 128 << 10  # bytes of one flow that may be on their way or unread
+SYN_AGAIN = (1_000_000, 3_000_000, 7_000_000, 15_000_000)  # after the first: RFC 6298, 2 and 5
+NO_ANSWER = 31_000_000  # then a dial ends with Unreachable
 
 
 class Network:
     def __init__(self, world):
         self.world, self.listeners, self.bound, self.links = world, {}, {}, {}
         self.chance, self.ports = world.chance("network"), 40_000
-        self.near, self.far = (15, 60), (300, 900)     # delays within a zone and between zones
-        self.zones = {}                                # name of a process -> zone, where it has one
-        self.refusing, self.silent = {}, {}            # names of processes -> faults that strike their dials
+        self.near, self.far = (15, 60), (300, 900)  # delays within a zone and between zones
+        self.zones = {}  # name of a process -> zone, where it has one
+        self.refusing, self.silent = {}, {}  # names of processes -> faults that strike their dials
         self.streams, self.last_owner = 0, {}
-        self.sniff = None                              # called with each piece as it is sent and as it is read
-        self.tap = None                                # called with (how, from, to, data) of each piece that comes
+        self.sniff = None  # called with each piece as it is sent and as it is read
+        self.tap = None  # called with (how, from, to, data) of each piece that comes
 
     def link(self, one: str, other: str) -> Link:
         key = (one, other) if one < other else (other, one)
@@ -43,7 +45,7 @@
             if self.ports not in taken:
                 return self.ports
 
-    # --- dials -------------------------------------------------------------------------------------------------
+    # --- dials ----------------------------------------------------------------------------------------------
 
     def syn(self, stream, address, attempt=0) -> None:
         """One SYN on its way; lost where the link is cut, the listener's queue is full or a fault says so."""
@@ -73,14 +75,19 @@
 
     def syn_lost(self, stream, address, attempt) -> None:
         if attempt < len(SYN_AGAIN):
-            self.world.after(SYN_AGAIN[attempt], lambda: self.syn(stream, address, attempt + 1)
-                             if not stream.closed and stream.state == "dialling" else None)
+            self.world.after(
+                SYN_AGAIN[attempt],
+                lambda: self.syn(stream, address, attempt + 1)
+                if not stream.closed and stream.state == "dialling"
+                else None,
+            )
         else:
             self.world.after(NO_ANSWER, stream.no_answer)
 
 
 class Flow:
-    """One direction of a stream: pieces in order, (kind, data). `held`: bytes sent that the reader has not taken."""
+    """One direction of a stream: pieces in order, (kind, data). `held`: bytes sent that the reader has not
+    taken."""
 
     def __init__(self, network: Network, source: "Stream", sink: "Stream"):
         self.network, self.source, self.sink, self.link = network, source, sink, source.link
@@ -115,7 +122,7 @@
         if not self.pieces:
             return
         if self.link.blocked(self.sink.kernel.process.name):
-            if self.pieces[0][0] == "reset":           # nobody sends a reset again: the peer stays half-open
+            if self.pieces[0][0] == "reset":  # nobody sends a reset again: the peer stays half-open
                 self.pieces.popleft()
             else:
                 self.link.healed.append(self.again)
@@ -172,7 +179,7 @@
         self.network = kernel.network
         self.network.streams += 1
 
-    # --- what the network tells it -----------------------------------------------------------------------------
+    # --- what the network tells it --------------------------------------------------------------------------
 
     def refused(self) -> None:
         if not self.closed and self.state == "dialling":
@@ -203,7 +210,7 @@
                 self.state = "open"
             self.edge()
         elif self.closed:
-            if kind == "data":                         # nobody is there to read it: RFC 9293, 3.10.7.1
+            if kind == "data":  # nobody is there to read it: RFC 9293, 3.10.7.1
                 self.lost = True
                 self.flow.reset()
         elif not self.lost:
@@ -214,14 +221,18 @@
                 self.unread += len(data)
             self.edge()
 
-    # --- what a program asks -----------------------------------------------------------------------------------
+    # --- what a program asks --------------------------------------------------------------------------------
 
     def readable(self) -> bool:
         return bool(self.inbox) or self.ended or self.trouble is not None
 
     def writable(self) -> bool:
-        return self.trouble is not None or self.lost or self.finished or (
-            self.state == "open" and self.flow.room() > 0)
+        return (
+            self.trouble is not None
+            or self.lost
+            or self.finished
+            or (self.state == "open" and self.flow.room() > 0)
+        )
 
     def connected(self) -> bool:
         trouble, self.trouble = self.trouble, None
@@ -237,8 +248,8 @@
             while self.inbox and got < size:
                 data = self.inbox.popleft()
                 if got + len(data) > size:
-                    self.inbox.appendleft(data[size - got:])
-                    data = data[:size - got]
+                    self.inbox.appendleft(data[size - got :])
+                    data = data[: size - got]
                 parts.append(data)
                 got += len(data)
             self.unread -= got
@@ -319,7 +330,7 @@
         kernel.network.last_owner[address] = kernel.process.name
 
     def full(self) -> bool:
-        return len(self.queue) > self.backlog          # the queue holds one more than asked for, as Linux has it
+        return len(self.queue) > self.backlog  # the queue holds one more than asked for, as Linux has it
 
     def arrived(self, stream: Stream) -> None:
         self.queue.append(stream)
--- a/cobaltpond/sim/run.py
+++ b/cobaltpond/sim/run.py
@@ -1,4 +1,5 @@
 """One scenario from its first event to its verdict."""
+
 from dataclasses import dataclass, field
 
 from cobaltpond.audit.check import check_all
@@ -12,28 +13,29 @@
 from cobaltpond.sim.world import Stuck
 
 FOLDER = "/day"
-OVER = 150_000_000                                     # beyond its length a day must end within this
-BACK_AFTER = 4_000_000                                 # faults over for so long, hits must be answered well again
+OVER = 150_000_000  # beyond its length a day must end within this
+BACK_AFTER = 4_000_000  # faults over for so long, hits must be answered well again
 BACK_SHARE = 0.8
-AGREED_AFTER = 5_000_000                               # and gateways that know each other must agree again
-EPS = 5_000                                            # turns and delays; a link slowed 20 times takes up to 1.2 ms
+AGREED_AFTER = 5_000_000  # and gateways that know each other must agree again
+EPS = 5_000  # turns and delays; a link slowed 20 times takes up to 1.2 ms
 
 
 @dataclass
 class Verdict:
     """What became of a scenario. `found`: every breach, as text; empty: none. `service` by benefit."""
+
     seed: object
     found: list
     digest: str
     events: int
-    simulated: int                                     # microseconds
+    simulated: int  # microseconds
     hits: int = 0
     forwards: int = 0
     service: float = 0.0
     checked: int = 0
-    struck: int = 0                                    # faults that came to strike
+    struck: int = 0  # faults that came to strike
     met: dict = field(default_factory=dict)
-    result: dict = field(default_factory=dict)         # of the day, where it came to its end
+    result: dict = field(default_factory=dict)  # of the day, where it came to its end
     lines: list | None = None
 
 
@@ -56,7 +58,7 @@
 
     def make(self, loop):
         self.day = DayRun(loop, self.plan, FOLDER, self.said.append)
-        self.day.python = "python3"                    # the same bytes wherever this is played
+        self.day.python = "python3"  # the same bytes wherever this is played
         self.faults = Faults(self.machine, self.day, self.plan, self.meet)
         self.truth = Truth(self.world, self.faults.heard)
         self.machine.network.sniff = self.truth.sniff
@@ -66,6 +68,7 @@
             self.begin = begin
             self.faults.begin(begin)
             return script(begin)
+
         self.day.script = begun
         return self.day
 
@@ -74,7 +77,11 @@
         for process in self.world.alive():
             if process.main is None or not process.name.startswith("gateway-"):
                 continue
-            gateway = process.main.generator.gi_frame.f_locals.get("self") if process.main.generator.gi_frame else None
+            gateway = (
+                process.main.generator.gi_frame.f_locals.get("self")
+                if process.main.generator.gi_frame
+                else None
+            )
             decisions = getattr(getattr(gateway, "host", None), "decisions", None)
             for hit in getattr(decisions, "hits", {}).values():
                 self.count(kind, f"hit {hit.state}")
@@ -99,8 +106,15 @@
             # what is left of them goes now, not in the midst of another run
             for left in world.alive():
                 left.exit(-9)
-        verdict = Verdict(self.plan["seed"], found, world.digest.hexdigest(), world.events, world.time - world.begin,
-                          met=self.met, lines=self.machine.lines)
+        verdict = Verdict(
+            self.plan["seed"],
+            found,
+            world.digest.hexdigest(),
+            world.events,
+            world.time - world.begin,
+            met=self.met,
+            lines=self.machine.lines,
+        )
         found += [f"trouble: {text}" for text in world.troubles]
         failure = getattr(process, "failure", None)
         if failure is not None:
@@ -116,8 +130,13 @@
         verdict.found += [f"{rule}: {text}" for rule, rows in rules.broken.items() for text in rows]
         answers = [e for e in crowd if e["kind"] == "answer"]
         asked = {e["op"]: e for e in crowd if e["kind"] == "asked"}
-        good = {a["op"] for a in answers if a["seen"] == "delivered" and a["status"] < 500
-                and a["at"] - asked[a["op"]]["begun"] <= asked[a["op"]]["target"]}
+        good = {
+            a["op"]
+            for a in answers
+            if a["seen"] == "delivered"
+            and a["status"] < 500
+            and a["at"] - asked[a["op"]]["begun"] <= asked[a["op"]]["target"]
+        }
         whole = sum(e["benefit"] for e in asked.values()) or 1.0
         verdict.struck = self.faults.struck
         verdict.hits, verdict.service = len(asked), sum(asked[op]["benefit"] for op in good) / whole
@@ -125,77 +144,117 @@
         late = [e["op"] for e in asked.values() if e["begun"] > self.calm_from(yard) + BACK_AFTER]
         news = result["desk"]["news"]
         bad_out = news["phase"] == "released" and self.plan["flaws"].get(str(news["build"]), {}).get("how")
-        if len(late) >= 20 and not bad_out:            # a bad build that a clock has let out is the judging's matter
+        if len(late) >= 20 and not bad_out:  # a bad build that a clock has let out is the judging's matter
             share = sum(op in good for op in late) / len(late)
             if share < BACK_SHARE:
-                verdict.found.append(f"liveness: of {len(late)} hits {BACK_AFTER} us after the last fault "
-                                     f"{share:.2f} were delivered in time")
+                verdict.found.append(
+                    f"liveness: of {len(late)} hits {BACK_AFTER} us after the last fault "
+                    f"{share:.2f} were delivered in time"
+                )
         if result["final"] is not None and result["final"]["settled"] and not result["final"]["exact"]:
-            verdict.found.append(f"final state: build {result['final']['meant']} is meant, running: "
-                                 f"{result['final']['running']}")
+            verdict.found.append(
+                f"final state: build {result['final']['meant']} is meant, running: "
+                f"{result['final']['running']}"
+            )
         self.kept_promises(verdict, result, yard)
         for status in result["statuses"]:
             if status["hits"]["open"] > 20:
-                verdict.found.append(f"leak: gateway {status['gateway']} has {status['hits']['open']} hits open")
+                verdict.found.append(
+                    f"leak: gateway {status['gateway']} has {status['hits']['open']} hits open"
+                )
             members, quiet = status.get("members"), self.begin + self.plan["length"] - self.faults.over_at
-            if members and quiet > AGREED_AFTER and (members["alive"] < len(self.plan["gateways"]) or members["alone"]):
-                verdict.found.append(f"membership: gateway {status['gateway']} sees {members['alive']} alive, suspect "
-                                     f"{members['suspect']}, failed {members['failed']}, at a quiet end")
+            if (
+                members
+                and quiet > AGREED_AFTER
+                and (members["alive"] < len(self.plan["gateways"]) or members["alone"])
+            ):
+                verdict.found.append(
+                    f"membership: gateway {status['gateway']} sees {members['alive']} alive, suspect "
+                    f"{members['suspect']}, failed {members['failed']}, at a quiet end"
+                )
         verdict.result = {**result, "yard": yard, "found": rules}
 
     def kept_promises(self, verdict, result, yard) -> None:
-        """What no client's record shows: a take-back that was forgotten, answers that only the host's guard gave, an
-        instance that was ended without a drain."""
+        """What no client's record shows: a take-back that was forgotten, answers that only the host's guard
+        gave, an instance that was ended without a drain."""
         struck = {row["on"] for row in self.plan["fault"]} | {
             self.plan["places"][kill["gateway"] % len(self.plan["places"])]["name"]
-            for kill in self.plan["kills"] if kill.get("what") == "instance"}
+            for kill in self.plan["kills"]
+            if kill.get("what") == "instance"
+        }
         news = result["desk"]["news"]
         for act in self.day.acts:
-            if act["kind"] == "sent back" and act["build"] == news["build"] and news["phase"] in ("trial", "released"):
+            if (
+                act["kind"] == "sent back"
+                and act["build"] == news["build"]
+                and news["phase"] in ("trial", "released")
+            ):
                 verdict.found.append(f"take-back forgotten: build {news['build']} is {news['phase']}")
         self.one_word(verdict)
         stalled = any(row["kind"] in ("stall", "drift") for row in self.plan["fault"])
         if self.machine.counts.get("answer overdue") and not stalled:
-            verdict.found.append(f"overdue: {self.machine.counts['answer overdue']} hits were answered by the guard")
+            verdict.found.append(
+                f"overdue: {self.machine.counts['answer overdue']} hits were answered by the guard"
+            )
         if not self.plan["agents"]:
             return
-        rough = {place["name"] for place in self.plan["places"] if {place["name"], f"solo-{place['name']}"} & struck}
+        rough = {
+            place["name"]
+            for place in self.plan["places"]
+            if {place["name"], f"solo-{place['name']}"} & struck
+        }
         states = {}
         for row in (row for e in yard if e["kind"] == "list" for row in e["rows"]):
             mark = row["id"], row["start"]
-            if row["state"] == "gone" and states.get(mark) == "up" and row["id"].partition(".")[0] not in rough:
+            if (
+                row["state"] == "gone"
+                and states.get(mark) == "up"
+                and row["id"].partition(".")[0] not in rough
+            ):
                 verdict.found.append(f"no drain: {row['id']} was up and then gone")
             states[mark] = row["state"]
 
     def one_word(self, verdict) -> None:
-        """What the desk said to gateways, over all its starts: one state at each mark, and no build that went back is
-        on trial or released at a later one."""
+        """What the desk said to gateways, over all its starts: one state at each mark, and no build that went
+        back is on trial or released at a later one."""
         states, gone = {}, {}
         for _, number, news in self.truth.news:
             if "mark" in news:
                 mark, state = tuple(news["mark"]), (news["build"], news["stage"], news["phase"])
                 if states.setdefault(mark, state) != state:
-                    verdict.found.append(f"one mark, two states: {list(mark)}: {states[mark]} and {state} "
-                                         f"(gateway {number})")
+                    verdict.found.append(
+                        f"one mark, two states: {list(mark)}: {states[mark]} and {state} "
+                        f"(gateway {number})"
+                    )
         for mark, (build, _, phase) in sorted(states.items()):
             if phase in ("going back", "withdrawn"):
                 gone.setdefault(build, mark)
             elif build in gone:
-                verdict.found.append(f"condemned build anew: {build} went back at {list(gone[build])}, is {phase} at "
-                                     f"{list(mark)}")
+                verdict.found.append(
+                    f"condemned build anew: {build} went back at {list(gone[build])}, is {phase} at "
+                    f"{list(mark)}"
+                )
 
     def calm_from(self, yard) -> int:
         """When the last fault and trouble were over, and the last instance that had come up was warm."""
-        ends = [self.faults.over_at, *(self.begin + t["at"] + t["len"] for t in self.plan["troubles"]),
-                *(e["at"] + e["cold_time"] for e in yard if e["kind"] == "up" and not e["warm"]),
-                *(at for at, _, news in self.truth.news if news["age_us"] < 100_000)]
+        ends = [
+            self.faults.over_at,
+            *(self.begin + t["at"] + t["len"] for t in self.plan["troubles"]),
+            *(e["at"] + e["cold_time"] for e in yard if e["kind"] == "up" and not e["warm"]),
+            *(at for at, _, news in self.truth.news if news["age_us"] < 100_000),
+        ]
         return max(ends)
 
     def sheet_map(self) -> dict:
         sheet = self.day.sheet
-        return {**sheet.runsheet(0), "rules": {
-            "tip_time": sheet.rules.tip_time, "overload_factor": sheet.rules.overload_factor,
-            "answer_slack": sheet.rules.answer_slack}}
+        return {
+            **sheet.runsheet(0),
+            "rules": {
+                "tip_time": sheet.rules.tip_time,
+                "overload_factor": sheet.rules.overload_factor,
+                "answer_slack": sheet.rules.answer_slack,
+            },
+        }
 
 
 def run_text(text: str, path: str = "scenario", seed=None, **more) -> Verdict:
--- a/cobaltpond/sim/society.py
+++ b/cobaltpond/sim/society.py
@@ -1,7 +1,10 @@
-"""Gateways that do nothing but know each other, on the virtual kernel: membership's service at any size, with faults.
+"""Gateways that do nothing but know each other, on the virtual kernel: membership's service at any size, with
+faults.
 
-What runs is `members/service.py` over `gateway/peers.py`, as in a gateway; only the parts around them are left out.
+What runs is `members/service.py` over `gateway/peers.py`, as in a gateway; only the parts around them are
+left out.
 """
+
 from cobaltpond.decisions.records import Chance
 from cobaltpond.gateway.peers import Peers
 from cobaltpond.loop import Sleep, run_part
@@ -20,8 +23,19 @@
     def __init__(self, loop, society, number, log):
         self.loop, self.society, self.stop_asked, self.said = loop, society, False, []
         self.peers = Peers(loop, society.addresses, society.addresses[number], number, self)
-        self.members = Members(loop, society.zones, number, society.settings, self.peers, self.post, self.about, log,
-                               Chance(loop.kernel.seed()), 0, society.view)
+        self.members = Members(
+            loop,
+            society.zones,
+            number,
+            society.settings,
+            self.peers,
+            self.post,
+            self.about,
+            log,
+            Chance(loop.kernel.seed()),
+            0,
+            society.view,
+        )
 
     def post(self, name, *arguments):
         self.said.append((self.loop.now(), name, arguments))
@@ -46,14 +60,25 @@
 class Society:
     """`count` members in `zones` zones; `view`: what each of them runs."""
 
-    def __init__(self, count: int, seed=1, zones: int = 1, settings: Settings | None = None, view=View,
-                 lines: bool = False):
-        self.machine, self.settings, self.view = Machine(f"society/{seed}", lines), settings or Settings(), view
+    def __init__(
+        self,
+        count: int,
+        seed=1,
+        zones: int = 1,
+        settings: Settings | None = None,
+        view=View,
+        lines: bool = False,
+    ):
+        self.machine, self.settings, self.view = (
+            Machine(f"society/{seed}", lines),
+            settings or Settings(),
+            view,
+        )
         self.world, self.network = self.machine.world, self.machine.network
         self.zones = {n: f"zone-{n % zones}" for n in range(count)}
         self.addresses = {n: ("127.0.0.1", PORT + n) for n in range(count)}
         self.parts, self.processes, self.sent, self.bytes = {}, {}, 0, 0
-        self.changes = []                              # (at, in whose eyes, member, state before, state)
+        self.changes = []  # (at, in whose eyes, member, state before, state)
         for n in self.zones:
             self.network.zones[self.name(n)] = self.zones[n]
 
@@ -69,6 +94,7 @@
             self.watch(number, part)
             self.parts[number] = part
             return part
+
         self.processes[number] = kernel.process
         run_part(kernel, make, kernel.process.log, self.name(number))
 
@@ -84,6 +110,7 @@
             for member, before in part.members.view.changes:
                 self.changes.append((self.world.time, number, member.number, before, member.state))
             flush()
+
         part.peers.send_members, part.members.flush = counted, noted
 
     def start_all(self, within: int = SECOND) -> None:
@@ -97,7 +124,8 @@
         self.world.run(lambda: self.world.time >= end, end)
 
     def until(self, what, bound: int) -> int:
-        """Runs until it is so; gives how long that took, in microseconds. Raises AssertionError past the bound."""
+        """Runs until it is so; gives how long that took, in microseconds. Raises AssertionError past the
+        bound."""
         begin = self.world.time
         while not what():
             if self.world.time - begin > bound:
@@ -105,7 +133,7 @@
             self.run(20_000)
         return self.world.time - begin
 
-    # --- faults ------------------------------------------------------------------------------------------------
+    # --- faults ---------------------------------------------------------------------------------------------
 
     def signal(self, name: str, *numbers: int) -> None:
         for number in numbers:
@@ -141,10 +169,11 @@
         def go(number):
             self.processes[number].signal("CONT")
             self.world.after(chance.randrange(*runs), lambda: stop(number))
+
         for number in numbers:
             self.world.after(chance.randrange(*stands), lambda number=number: stop(number))
 
-    # --- what is so --------------------------------------------------------------------------------------------
+    # --- what is so -----------------------------------------------------------------------------------------
 
     def living(self) -> list[int]:
         return sorted(n for n, process in self.processes.items() if process.code is None)
@@ -157,15 +186,20 @@
         eyes = self.living() if eyes is None else eyes
         numbers = self.living() if numbers is None else numbers
         return all(n in self.parts and at in self.parts for n in numbers for at in eyes) and all(
-            self.state(at, n) == state for at in eyes for n in numbers if at != n)
+            self.state(at, n) == state for at in eyes for n in numbers if at != n
+        )
 
     def declared(self, since: int = 0, eyes=None) -> list[tuple]:
         """Who was called failed, by whom, when."""
-        return [(at, by, number) for at, by, number, _, state in self.changes
-                if state == FAILED and at >= since and (eyes is None or by in eyes)]
+        return [
+            (at, by, number)
+            for at, by, number, _, state in self.changes
+            if state == FAILED and at >= since and (eyes is None or by in eyes)
+        ]
 
     def wrong(self, since: int = 0) -> list[int]:
-        """For how long each living one was held for failed by another living one, from `since` on, microseconds."""
+        """For how long each living one was held for failed by another living one, from `since` on,
+        microseconds."""
         began, lengths, living = {}, [], self.living()
         for at, by, number, _, state in self.changes:
             if by not in living or number not in living or at < since:
--- a/cobaltpond/sim/transcript.py
+++ b/cobaltpond/sim/transcript.py
@@ -1,10 +1,12 @@
-"""All that passes between the parts of a simulated day, as text: one line a message, in the order in which it came.
+"""All that passes between the parts of a simulated day, as text: one line a message, in the order in which it
+came.
 
-What a reader does not need is left out by rules that stand here: a day's own looking at its parts (`LOOKS`), calls
-that are asked again and again while the answer is the same (`POLLED`), and what goes beyond `WIDTH`. Times are those
-of the world's clock since its begin, in seconds. Bytes of a stream are put together again, whatever pieces they came
-in, and shown once a message is whole.
+What a reader does not need is left out by rules that stand here: a day's own looking at its parts (`LOOKS`),
+calls that are asked again and again while the answer is the same (`POLLED`), and what goes beyond `WIDTH`.
+Times are those of the world's clock since its begin, in seconds. Bytes of a stream are put together again,
+whatever pieces they came in, and shown once a message is whole.
 """
+
 import json
 from urllib.parse import unquote
 
@@ -12,14 +14,32 @@
 from cobaltpond.wire import http1
 
 WIDTH = 400
-LOOKS = ("day",)                                       # who only looks
+LOOKS = ("day",)  # who only looks
 POLLED = ("GET /v1/machines",)
-KINDS = {wire.PING: "ping", wire.ACK: "ack", wire.ASK: "ask for", wire.NACK: "nack", wire.LEAVE: "leave",
-         wire.TRIAL_ASK: "what of the trial?", wire.TRIAL_TOLD: "of the trial", wire.WARM_ASK: "what of instances?",
-         wire.WARM_TOLD: "of instances", wire.LEASE_ASK: "lend me", wire.LEASE_TOLD: "lent"}
+KINDS = {
+    wire.PING: "ping",
+    wire.ACK: "ack",
+    wire.ASK: "ask for",
+    wire.NACK: "nack",
+    wire.LEAVE: "leave",
+    wire.TRIAL_ASK: "what of the trial?",
+    wire.TRIAL_TOLD: "of the trial",
+    wire.WARM_ASK: "what of instances?",
+    wire.WARM_TOLD: "of instances",
+    wire.LEASE_ASK: "lend me",
+    wire.LEASE_TOLD: "lent",
+}
 LIMITS = http1.Limits(head=64 << 10, body=1 << 30)
-SHOWN = ("cobaltpond-hit", "cobaltpond-forward", "cobaltpond-timeout-ms", "cobaltpond-try", "cobaltpond-via",
-         "retry-after", "cobaltpond-retry", "idempotency-key")
+SHOWN = (
+    "cobaltpond-hit",
+    "cobaltpond-forward",
+    "cobaltpond-timeout-ms",
+    "cobaltpond-try",
+    "cobaltpond-via",
+    "retry-after",
+    "cobaltpond-retry",
+    "idempotency-key",
+)
 
 
 class Half:
@@ -30,7 +50,9 @@
 
     def feed(self, data: bytes) -> list[str]:
         if self.parser is None:
-            self.parser = http1.ResponseParser(LIMITS) if data.startswith(b"HTTP/") else http1.RequestParser(LIMITS)
+            self.parser = (
+                http1.ResponseParser(LIMITS) if data.startswith(b"HTTP/") else http1.RequestParser(LIMITS)
+            )
         out = []
         try:
             for kind, value in self.parser.feed(data):
@@ -59,8 +81,11 @@
         begin = str(head.status)
         if getattr(head, "method", None):
             begin = f"{head.method} {unquote(head.target.decode('latin-1'))}"
-        more = [f"{name}: {value.decode('latin-1')}" for name, value in (
-            (name, head.get(name.encode())) for name in SHOWN) if value is not None]
+        more = [
+            f"{name}: {value.decode('latin-1')}"
+            for name, value in ((name, head.get(name.encode())) for name in SHOWN)
+            if value is not None
+        ]
         return " ".join([begin, *([f"[{', '.join(more)}]"] if more else [])])
 
 
@@ -83,25 +108,38 @@
     try:
         kind, sequence, _, fields = wire.opened(sender, receiver, body)
         facts, rows = wire.facts_of(fields), wire.rows_of(fields)
-        flags = [name for bit, name in ((1, "ready"), (2, "draining"), (4, "alone"), (8, "settled"))
-                 if facts["flags"] & bit]
+        flags = [
+            name
+            for bit, name in ((1, "ready"), (2, "draining"), (4, "alone"), (8, "settled"))
+            if facts["flags"] & bit
+        ]
         parts = [KINDS.get(kind, f"kind {kind}"), f"#{sequence}"]
         about = wire.number_of(fields, wire.ABOUT, ">H")
         parts += [f"about {about}"] if about is not None else []
         parts.append(f"I am {wire.NAMES[facts['state']]} {facts['incarnation']} {' '.join(flags)}".rstrip())
-        parts += [f"{number} is {state} {incarnation} says {by}" for number, _, incarnation, state, by in rows]
+        parts += [
+            f"{number} is {state} {incarnation} says {by}" for number, _, incarnation, state, by in rows
+        ]
         news = wire.news_of(fields)
         if news is not None:
             build, stage, phase, cap, _ = news
-            parts.append(f"build {build} stage {stage} {('trial', 'released', 'going back', 'withdrawn')[phase]} "
-                         f"cap {cap:.2f}")
+            parts.append(
+                f"build {build} stage {stage} {('trial', 'released', 'going back', 'withdrawn')[phase]} "
+                f"cap {cap:.2f}"
+            )
         parts += [f"drains {len(wire.drains_of(fields))}"] if wire.drains_of(fields) else []
-        parts += [f"build {build} group {group}: {errored} of {hits} errored"
-                  for build, group, hits, errored, _ in wire.trial_of(fields)]
-        parts += [f"{mark:08x} pace {pace:.2f} load {load} faults {faults:.2f}{' silent' if quiet else ''}"
-                  for mark, pace, load, faults, quiet, _ in wire.warm_of(fields)]
-        parts += [f"limit {place} value {digest:016x} {amount / 1000:g} a second"
-                  for place, digest, amount, _, _ in wire.leases_of(fields)]
+        parts += [
+            f"build {build} group {group}: {errored} of {hits} errored"
+            for build, group, hits, errored, _ in wire.trial_of(fields)
+        ]
+        parts += [
+            f"{mark:08x} pace {pace:.2f} load {load} faults {faults:.2f}{' silent' if quiet else ''}"
+            for mark, pace, load, faults, quiet, _ in wire.warm_of(fields)
+        ]
+        parts += [
+            f"limit {place} value {digest:016x} {amount / 1000:g} a second"
+            for place, digest, amount, _, _ in wire.leases_of(fields)
+        ]
         return "; ".join(parts)
     except wire.Odd as why:
         return f"odd: {why}"
@@ -112,7 +150,7 @@
 
     def __init__(self, machine, leave_out=lambda sender, receiver, what: False):
         self.world, self.lines, self.halves, self.leave_out = machine.world, [], {}, leave_out
-        self.polled, self.answers = {}, {}             # (who asks, whom) -> call; the last answer to it
+        self.polled, self.answers = {}, {}  # (who asks, whom) -> call; the last answer to it
         machine.network.tap = self.heard
 
     def heard(self, how: str, sender: str, receiver: str, data: bytes, handle) -> None:
@@ -125,7 +163,7 @@
         elif how == "reset":
             said = ["(reset)"]
         else:
-            said = []                                  # an end of file says nothing that the next line does not show
+            said = []  # an end of file says nothing that the next line does not show
         for what in said:
             if not self.leave_out(sender, receiver, what) and not self.again(sender, receiver, what):
                 self.lines.append((self.world.time, sender, receiver, what))
@@ -144,5 +182,11 @@
     def text(self, begin: int = 0, end: int = 1 << 62) -> str:
         """What came in a stretch of the world's time."""
         since = self.world.begin
-        return "\n".join(f"{(at - since) / 1e6:11.6f}  {sender} > {receiver}  {what}"
-                         for at, sender, receiver, what in self.lines if begin <= at < end) + "\n"
+        return (
+            "\n".join(
+                f"{(at - since) / 1e6:11.6f}  {sender} > {receiver}  {what}"
+                for at, sender, receiver, what in self.lines
+                if begin <= at < end
+            )
+            + "\n"
+        )
--- a/cobaltpond/sim/truth.py
+++ b/cobaltpond/sim/truth.py
@@ -1,8 +1,10 @@
 """What really passed: read off the simulated sockets, where no record of a stand-in could know it.
 
-On real sockets the auditor has to allow for what it cannot see: when bytes were sent, when a gateway read them. Here
-both are known to the microsecond, also where a link was cut for seconds, and take the place of the records' own times.
+On real sockets the auditor has to allow for what it cannot see: when bytes were sent, when a gateway read
+them. Here both are known to the microsecond, also where a link was cut for seconds, and take the place of the
+records' own times.
 """
+
 import json
 import re
 
@@ -15,8 +17,9 @@
 
 
 class Truth:
-    """`sent`: (hit, forward) -> when its first byte went out. `lists`: (gateway, revision, base) -> times at which it
-    read that. `news`: (at, gateway, news). `heard`: called with (what, gateway, at, value) as it happens."""
+    """`sent`: (hit, forward) -> when its first byte went out. `lists`: (gateway, revision, base) -> times at
+    which it read that. `news`: (at, gateway, news). `heard`: called with (what, gateway, at, value) as it
+    happens."""
 
     def __init__(self, world, heard):
         self.world, self.heard, self.tails = world, heard, {}
@@ -55,7 +58,7 @@
                 self.news.append((now, number, told["news"]))
                 self.heard("news", number, now, told["news"])
 
-    # --- in place of the records' own times ---------------------------------------------------------------------
+    # --- in place of the records' own times -----------------------------------------------------------------
 
     def corrected(self, yard: list) -> list:
         """The yard's records with the times at which forwards were sent and gateways read."""
@@ -68,13 +71,15 @@
                 times = told.get((int(entry["gateway"]), entry["revision"], entry["base"]))
                 at = next((t for t in times or () if t >= entry["at"]), None)
                 if at is None:
-                    continue                           # it never read that
+                    continue  # it never read that
                 times.remove(at)
                 entry = {**entry, "at": at, "exact": True}
             elif entry["kind"] == "news":
                 continue
             rows.append(entry)
-        rows += [{"kind": "news", "at": at, "from": at, "gateway": number, "exact": True, **news}
-                 for at, number, news in self.news]
+        rows += [
+            {"kind": "news", "at": at, "from": at, "gateway": number, "exact": True, **news}
+            for at, number, news in self.news
+        ]
         rows.sort(key=lambda e: e["at"])
         return rows
