--- a/cobaltpond/sim/world.py
+++ b/cobaltpond/sim/world.py
@@ -1,16 +1,18 @@
 """Time, what is due, and processes: the operating system of a simulated network.
 
-Time jumps from one event to the next; events of one moment happen in the order in which they were entered. Every draw
-comes from a stream named by the seed and its use, so that one more draw in one place moves nothing elsewhere. Each
-event that the outside could see goes into a digest: two runs are the same if their digests are.
+Time jumps from one event to the next; events of one moment happen in the order in which they were entered.
+Every draw comes from a stream named by the seed and its use, so that one more draw in one place moves nothing
+elsewhere. Each event that the outside could see goes into a digest: two runs are the same if their digests
+are.
 """
+
 import hashlib
 import heapq
 from itertools import count
 
 from cobaltpond.loop.chance import seeded
 
-TURN_LEAST, TURN_MOST = 20, 120                        # microseconds of work that a turn of a loop takes
+TURN_LEAST, TURN_MOST = 20, 120  # microseconds of work that a turn of a loop takes
 CLOSING_TURNS = 1000
 
 
@@ -19,14 +21,15 @@
 
 
 class World:
-    """`seed`: whatever `seeded` takes. `time`: microseconds, the same for all but those whose clocks drift."""
+    """`seed`: whatever `seeded` takes. `time`: microseconds, the same for all but those whose clocks
+    drift."""
 
     def __init__(self, seed, begin: int = 1_000_000_000):
         self.seed, self.time, self.heap, self.number = seed, begin, [], count()
         self.begin, self.processes, self.pids = begin, {}, count(100)
         self.digest, self.events, self.watch = hashlib.blake2b(digest_size=16), 0, None
-        self.starts = {}                               # how often a name was started
-        self.troubles = []                             # what no part may do: an exception nobody caught, a leak
+        self.starts = {}  # how often a name was started
+        self.troubles = []  # what no part may do: an exception nobody caught, a leak
 
     def chance(self, use: str):
         return seeded(f"{self.seed}/{use}")
@@ -75,7 +78,7 @@
         self.result = None
         world.processes[self.pid] = self
 
-    # --- its turns ---------------------------------------------------------------------------------------------
+    # --- its turns ------------------------------------------------------------------------------------------
 
     def drive(self, loop, main) -> None:
         self.loop, self.main = loop, main
@@ -103,14 +106,14 @@
 
     def turn(self, at: int) -> None:
         if self.due != at or self.code is not None or self.frozen:
-            return                                     # another one took its place, or nobody is there any more
+            return  # another one took its place, or nobody is there any more
         self.due = None
         self.free_at = at + self.chance.randrange(TURN_LEAST, TURN_MOST)
         try:
             if self.closing:
                 self.loop.cancel_all()
             self.loop.turn()
-        except Exception as trouble:                   # what a handler of tasks that died let through
+        except Exception as trouble:  # what a handler of tasks that died let through
             self.fail(trouble)
             return
         if self.code is not None:
@@ -121,7 +124,9 @@
         elif self.closing:
             self.closing += 1
             if self.closing > CLOSING_TURNS:
-                self.world.troubles.append(f"{self.name}: tasks do not end: {[t.name for t in self.loop.tasks][:5]}")
+                self.world.troubles.append(
+                    f"{self.name}: tasks do not end: {[t.name for t in self.loop.tasks][:5]}"
+                )
         if self.closing and (not self.loop.tasks or self.closing > CLOSING_TURNS):
             if self.main.trouble is not None:
                 self.fail(self.main.trouble)
@@ -137,7 +142,7 @@
             self.log.error("ended by an exception", exc_info=(type(trouble), trouble, trouble.__traceback__))
         self.exit(1)
 
-    # --- its end -----------------------------------------------------------------------------------------------
+    # --- its end --------------------------------------------------------------------------------------------
 
     def exit(self, code: int) -> None:
         if self.code is not None:
@@ -149,7 +154,7 @@
             for task in list(self.loop.tasks):
                 try:
                     task.generator.close()
-                except BaseException:                  # noqa: S110 - its `finally` asks a world that is gone
+                except BaseException:  # noqa: S110 - its `finally` asks a world that is gone
                     pass
         self.loop = self.main = None
 
--- a/cobaltpond/standins/buildserver.py
+++ b/cobaltpond/standins/buildserver.py
@@ -1,4 +1,6 @@
-"""A build server of chunks and manifests, with ranges, that can be told to misbehave; and a maker of builds."""
+"""A build server of chunks and manifests, with ranges, that can be told to misbehave; and a maker of
+builds."""
+
 from cobaltpond.builds.manifest import Earlier, File, Manifest, cut, digest, write_manifest
 from cobaltpond.loop import PeerLost, Sleep, serve
 from cobaltpond.wire import http1
@@ -12,14 +14,22 @@
         chunks.update((digest(piece), piece) for piece in pieces)
         mode = 0o755 if path == next(iter(files)) else 0o644
         rows.append(File(path, len(data), [digest(piece) for piece in pieces], mode))
-    manifest = Manifest(build, made, expires, chunk, rows, entry or [next(iter(files))], health,
-                        Earlier(*earlier) if earlier else None)
+    manifest = Manifest(
+        build,
+        made,
+        expires,
+        chunk,
+        rows,
+        entry or [next(iter(files))],
+        health,
+        Earlier(*earlier) if earlier else None,
+    )
     return write_manifest(manifest, signers), chunks
 
 
 class BuildServer:
-    """`ways`: what goes wrong, by path or for all (`*`), each for so many requests: cut (after `n` bytes), lie
-    (a length that is not so), slow, redirect, junk, status, none."""
+    """`ways`: what goes wrong, by path or for all (`*`), each for so many requests: cut (after `n` bytes),
+    lie (a length that is not so), slow, redirect, junk, status, none."""
 
     def __init__(self, loop, listener):
         self.loop, self.manifests, self.chunks, self.ways = loop, {}, {}, {}
@@ -67,7 +77,9 @@
             yield from connection.write(http1.response(404 if body is None else 500, [], b"", False))
             return
         if what == "redirect":
-            yield from connection.write(http1.response(302, [(b"location", size.encode() or head.target)], b"", False))
+            yield from connection.write(
+                http1.response(302, [(b"location", size.encode() or head.target)], b"", False)
+            )
             return
         if what == "junk":
             body = bytes(len(body))
@@ -81,7 +93,7 @@
         if start:
             fields.append((b"content-range", b"bytes %d-%d/%d" % (start, len(body) - 1, len(body))))
         if what == "cut":
-            part = part[:int(size)]
+            part = part[: int(size)]
         self.sent += len(part)
         try:
             yield from connection.write(http1.bare(206 if start else 200, fields, False))
@@ -92,5 +104,3 @@
             yield from connection.write(part)
         except PeerLost:
             pass
-
-
--- a/cobaltpond/standins/crowd.py
+++ b/cobaltpond/standins/crowd.py
@@ -1,25 +1,36 @@
 """Clients: hits arrive in open loop, tries are repeated as the contract allows, all that is seen is recorded.
 
-What a client may repeat: a repeatable hit after anything; a tagged one whose repeats all instances drop, while a
-try can end within the window from its first; else only after a bounce, or where no byte got through.
+What a client may repeat: a repeatable hit after anything; a tagged one whose repeats all instances drop,
+while a try can end within the window from its first; else only after a bounce, or where no byte got through.
 """
+
 import json
 import math
 from collections import deque
 
 from cobaltpond.calls import FAILED, call
-from cobaltpond.loop import Deadline, HandlesUsedUp, PeerLost, Refused, Sleep, TimedOut, Unreachable, dial, run_part
+from cobaltpond.loop import (
+    Deadline,
+    HandlesUsedUp,
+    PeerLost,
+    Refused,
+    Sleep,
+    TimedOut,
+    Unreachable,
+    dial,
+    run_part,
+)
 from cobaltpond.loop.chance import seeded
 from cobaltpond.standins.record import Record
 from cobaltpond.wire import http1
 
 LIMITS = http1.Limits(body=64 << 20)
-LEAST_LEFT = 200_000                                   # a try with less time than this is not begun
+LEAST_LEFT = 200_000  # a try with less time than this is not begun
 
 
 class Crowd:
-    """`plan`: seed, number (of this process), rate, length, gateways, groups, customers, keys, clients, troubles,
-    begin (when the day began, on the common clock)."""
+    """`plan`: seed, number (of this process), rate, length, gateways, groups, customers, keys, clients,
+    troubles, begin (when the day began, on the common clock)."""
 
     def __init__(self, loop, plan, path):
         self.loop, self.plan, self.record = loop, plan, Record(loop, path)
@@ -55,8 +66,10 @@
         at, most = 0, 1 + sum(t["size"] for t in plan["troubles"] if t["kind"] in ("burst", "tenant_burst"))
         while at < plan["length"] and not self.stop_asked:
             at += max(1, int(chance.expovariate(plan["rate"] * most) * 1e6))
-            draw, customer = chance.random() * most, chance.choices(
-                range(len(customers)), [c["traffic"] for c in customers])[0]
+            draw, customer = (
+                chance.random() * most,
+                chance.choices(range(len(customers)), [c["traffic"] for c in customers])[0],
+            )
             if draw >= self.factor(at) * self.factor(at, customer):
                 continue
             wait = plan["begin"] + at - self.loop.kernel.now()
@@ -82,7 +95,7 @@
             work = self.chance.expovariate(1.0) * group["work"]
         else:
             spread = math.sqrt(math.log(1 + group["cv"] ** 2))
-            work = self.chance.lognormvariate(math.log(group["work"]) - spread ** 2 / 2, spread)
+            work = self.chance.lognormvariate(math.log(group["work"]) - spread**2 / 2, spread)
         for t in self.active("heavy_tail"):
             if self.chance.random() < t["extra"]:
                 work *= t["size"]
@@ -96,26 +109,42 @@
         key = None
         if self.key_weights:
             key = chance.choices(range(len(self.key_weights)), self.key_weights)[0]
-        fields = [(b"host", b"day"), (b"standin-op", op.encode()), (b"standin-group", group["name"].encode()),
-                  (b"standin-kind", group["kind"].encode()), (b"standin-work", b"%d" % self.work(group))]
+        fields = [
+            (b"host", b"day"),
+            (b"standin-op", op.encode()),
+            (b"standin-group", group["name"].encode()),
+            (b"standin-kind", group["kind"].encode()),
+            (b"standin-work", b"%d" % self.work(group)),
+        ]
         if key is not None:
             fields.append((b"cobaltpond-key", b"%d" % key))
         if customer:
             fields.append((b"cobaltpond-customer", customer.encode()))
         if group["kind"] == "tagged":
             fields.append((b"idempotency-key", op.encode()))
-        if self.active("bad_requests") and chance.random() < max(t["size"] for t in self.active("bad_requests")):
+        if self.active("bad_requests") and chance.random() < max(
+            t["size"] for t in self.active("bad_requests")
+        ):
             fields.append((b"standin-bad", b"1"))
         home = chance.choices(range(len(self.weights)), self.weights)[0]
         left = group["client_timeout"]
-        self.record("asked", op=op, group=group["name"], type=group["kind"], customer=customer, begun=began,
-                    day=at, benefit=group["benefit"], target=group["target_latency"])
+        self.record(
+            "asked",
+            op=op,
+            group=group["name"],
+            type=group["kind"],
+            customer=customer,
+            begun=began,
+            day=at,
+            benefit=group["benefit"],
+            target=group["target_latency"],
+        )
         backoff = clients["backoff"]
         for number in range(1 + clients["retries"]):
             now = self.loop.kernel.now()
             this = int(left * clients["try_share"]) if number < clients["retries"] else left
             this = min(this, began + left - now)
-            if number and group["kind"] == "tagged":   # past the window nobody would drop it
+            if number and group["kind"] == "tagged":  # past the window nobody would drop it
                 this = min(this, began + group["repeat_window"] - 100_000 - now)
             if this < LEAST_LEFT:
                 break
@@ -125,11 +154,14 @@
             outcome, advice = yield from self.once(op, number, group, home, fields, this, give_up)
             if outcome in ("delivered", "gave up"):
                 break
-            again = group["kind"] == "repeatable" or outcome in ("bounced", "not sent") or (
-                group["kind"] == "tagged" and group["scope"] == "all")
+            again = (
+                group["kind"] == "repeatable"
+                or outcome in ("bounced", "not sent")
+                or (group["kind"] == "tagged" and group["scope"] == "all")
+            )
             if not again:
                 break
-            wait = backoff if clients["style"] == "fixed" else backoff * 2 ** number
+            wait = backoff if clients["style"] == "fixed" else backoff * 2**number
             if advice and chance.random() < clients["honour"]:
                 wait = max(wait, advice)
             if outcome in ("not sent", "lost"):
@@ -137,7 +169,8 @@
             yield Sleep(int(wait * chance.uniform(0.8, 1.2)))
 
     def once(self, op, number, group, home, fields, left, give_up):
-        """One try. (delivered | bounced | errored | late | lost | not sent | gave up, advice in microseconds)."""
+        """One try. (delivered | bounced | errored | late | lost | not sent | gave up, advice in
+        microseconds)."""
         gateway = self.plan["gateways"][home]
         fields = fields + [(b"cobaltpond-timeout-ms", b"%d" % (left // 1000))]
         if number and self.plan["clients"]["marks"]:
@@ -149,26 +182,37 @@
         try:
             with Deadline(self.loop, give_up or left + 200_000):
                 connection, kept = yield from self.connect(home, gateway)
-                self.record("try", op=op, number=number, gateway=home, left=left, type=group["kind"],
-                            group=group["name"], sent=self.loop.kernel.now())
+                self.record(
+                    "try",
+                    op=op,
+                    number=number,
+                    gateway=home,
+                    left=left,
+                    type=group["kind"],
+                    group=group["name"],
+                    sent=self.loop.kernel.now(),
+                )
                 wrote = True
                 yield from connection.write(data)
                 head, size = None, 0
                 parser = http1.ResponseParser(LIMITS)
                 while seen == "not sent":
                     got = yield from connection.read()
-                    for kind, value in (parser.feed(got) if got else parser.closed()):
+                    for kind, value in parser.feed(got) if got else parser.closed():
                         if kind == "head":
                             head = value
                         elif kind == "body":
                             size += len(value)
                         else:
                             seen = self.outcome(head)
-                            more = {"status": head.status, "hit": (head.get(b"cobaltpond-hit") or b"").decode(),
-                                    "via": (head.get(b"cobaltpond-via") or b"").decode(),
-                                    "promise": head.get(b"cobaltpond-retry") == b"harmless",
-                                    "wrong": head.get(b"standin-wrong") is not None,
-                                    "build": int(head.get(b"standin-build") or 0)}
+                            more = {
+                                "status": head.status,
+                                "hit": (head.get(b"cobaltpond-hit") or b"").decode(),
+                                "via": (head.get(b"cobaltpond-via") or b"").decode(),
+                                "promise": head.get(b"cobaltpond-retry") == b"harmless",
+                                "wrong": head.get(b"standin-wrong") is not None,
+                                "build": int(head.get(b"standin-build") or 0),
+                            }
                             advice = int(head.get(b"cobaltpond-retry-after-ms") or 0) * 1000
                 if head.keep_alive:
                     self.idle.setdefault(home, deque()).append(connection)
@@ -214,8 +258,14 @@
         body = {"gateway": gateway, "instance": instance, "group": group, "age_us": self.loop.now() - sent}
         try:
             with Deadline(self.loop, 2_000_000):
-                yield from call(self.loop, tuple(self.plan["desk"]), "POST", "/v1/wrong", json.dumps(body).encode(),
-                                500_000)
+                yield from call(
+                    self.loop,
+                    tuple(self.plan["desk"]),
+                    "POST",
+                    "/v1/wrong",
+                    json.dumps(body).encode(),
+                    500_000,
+                )
         except (*FAILED, TimedOut):
             pass
 
--- a/cobaltpond/standins/instance.py
+++ b/cobaltpond/standins/instance.py
@@ -1,10 +1,11 @@
 """A stand-in instance on its socket: HTTP/1.1, load reports, drops of repeats, and ways to misbehave."""
+
 from cobaltpond.loop import Connection, HandlesUsedUp, PeerLost, Readable, Sleep
 from cobaltpond.standins.machine import Job
 from cobaltpond.wire import http1, orca
 
 LIMITS = http1.Limits(body=64 << 20)
-CHEAP = 0.1                                            # share of its work that a known repeat costs
+CHEAP = 0.1  # share of its work that a known repeat costs
 
 
 class Marks:
@@ -27,7 +28,14 @@
     """`yard` gives loop, record, chance, groups of marks and the troubles that go beyond one instance."""
 
     def __init__(self, yard, id, place, zone, cell, machine, listener):
-        self.yard, self.loop, self.id, self.place, self.zone, self.cell = yard, yard.loop, id, place, zone, cell
+        self.yard, self.loop, self.id, self.place, self.zone, self.cell = (
+            yard,
+            yard.loop,
+            id,
+            place,
+            zone,
+            cell,
+        )
         self.machine, self.listener, self.start = machine, listener, machine.started
         self.silent, self.most, self.shake, self.lie = False, 100_000, 0, 1.0
         self.connections, self.timer, self.over = {}, None, False
@@ -39,7 +47,7 @@
         try:
             while True:
                 if self.silent or len(self.connections) >= self.most:
-                    yield Sleep(20_000)                # the backlog fills, then dials hang
+                    yield Sleep(20_000)  # the backlog fills, then dials hang
                     waited = False
                     continue
                 try:
@@ -87,7 +95,7 @@
                         yield Sleep(10_000)
                     since = 0
                     if connection.read_now() is not None:
-                        return                         # reset meanwhile: over a real cut it would not have come
+                        return  # reset meanwhile: over a real cut it would not have come
                 if not data:
                     return
                 for kind, value in parser.feed(data):
@@ -112,31 +120,47 @@
         finally:
             if job[0] is not None:
                 self.machine.advance(self.loop.now())
-            if job[0] is not None:                     # its work may just have ended
+            if job[0] is not None:  # its work may just have ended
                 self.machine.cancel(job[0])
                 self.yard.record("left", instance=self.id, **job[0].about | {"from": read_at})
                 self.plan()
             self.connections.pop(connection, None)
             connection.close()
 
-    # --- hits ------------------------------------------------------------------------------------------------
+    # --- hits -----------------------------------------------------------------------------------------------
 
     def note(self, kind, job, **more):
-        self.yard.record(kind, instance=self.id, start=self.start, build=self.machine.build, **job.about, **more)
+        self.yard.record(
+            kind, instance=self.id, start=self.start, build=self.machine.build, **job.about, **more
+        )
 
     def take(self, connection, head, slot, zone, since):
         def text(name):
             value = head.get(name)
             return value.decode("latin-1") if value is not None else None
+
         now, effect = self.loop.now(), text(b"standin-kind") or "repeatable"
         work = float(text(b"standin-work") or 1000.0)
         timeout = text(b"cobaltpond-timeout-ms")
-        about = {"gateway": (text(b"cobaltpond-from") or "//").split("/")[1], "hit": text(b"cobaltpond-hit"),
-                 "forward": int(text(b"cobaltpond-forward") or 0), "op": text(b"standin-op"),
-                 "group": text(b"standin-group"), "since": since, "type": effect, "key": text(b"cobaltpond-key")}
+        about = {
+            "gateway": (text(b"cobaltpond-from") or "//").split("/")[1],
+            "hit": text(b"cobaltpond-hit"),
+            "forward": int(text(b"cobaltpond-forward") or 0),
+            "op": text(b"standin-op"),
+            "group": text(b"standin-group"),
+            "since": since,
+            "type": effect,
+            "key": text(b"cobaltpond-key"),
+        }
         mark = text(b"idempotency-key") if effect == "tagged" else None
-        job = Job(work, about["group"] or "", mark, about["op"] or "", about=about,
-                  deadline=now + int(timeout) * 1000 if timeout else None)
+        job = Job(
+            work,
+            about["group"] or "",
+            mark,
+            about["op"] or "",
+            about=about,
+            deadline=now + int(timeout) * 1000 if timeout else None,
+        )
         if head.get(b"standin-bad"):
             job.bad = "bad request"
         marks = self.yard.marks_of(self, about["group"])
@@ -172,7 +196,11 @@
         if connection.closed:
             return
         status = 504 if how == "dropped" else 500 if how == "error" else 200
-        fields = [self.report(), (b"content-type", b"text/plain"), (b"standin-build", b"%d" % self.machine.build)]
+        fields = [
+            self.report(),
+            (b"content-type", b"text/plain"),
+            (b"standin-build", b"%d" % self.machine.build),
+        ]
         if how == "wrong":
             fields.append((b"standin-wrong", b"1"))
         size = min(int(head.get(b"standin-size") or 64), 32 << 20)
@@ -212,12 +240,18 @@
             self.plan()
 
     def report(self):
-        """Refreshed now and then, a period late, a little noisy; a lying one says it has less to do than it has."""
+        """Refreshed now and then, a period late, a little noisy; a lying one says it has less to do than it
+        has."""
         yard = self.yard
         if self.loop.now() - self.shown_at > yard.report_period:
             self.shown_at = self.loop.now()
             noise = 1 + yard.chance.uniform(-0.1, 0.1)
-            self.shown, self.coming = self.coming, {
-                name: value * noise * self.lie for name, value in self.machine.report().items()
-                if name in yard.report_names}
+            self.shown, self.coming = (
+                self.coming,
+                {
+                    name: value * noise * self.lie
+                    for name, value in self.machine.report().items()
+                    if name in yard.report_names
+                },
+            )
         return orca.HEADER, orca.write(self.shown)
--- a/cobaltpond/standins/listing.py
+++ b/cobaltpond/standins/listing.py
@@ -3,6 +3,7 @@
 Each gateway hears of a change after its own lateness (`notice` plus `added`); within that, changes keep their
 order, and none is left out. `cut(number)` says whether a gateway is out of reach.
 """
+
 from cobaltpond.calls import Refusal, Stream, json_answer
 from cobaltpond.loop import Sleep
 
@@ -14,7 +15,7 @@
         self.loop, self.record, self.chance = loop, record, chance
         self.notice, self.spread, self.added, self.cut = notice, spread, 0, lambda number: False
         self.epoch, self.revision, self.rows, self.history = f"e{loop.now()}", 0, {}, []
-        self.streams, self.heard, self.late = [], {}, {}   # gateway -> revision it may know, own lateness
+        self.streams, self.heard, self.late = [], {}, {}  # gateway -> revision it may know, own lateness
 
     def change(self, rows: list) -> None:
         """`rows` as they are told, with `up_at` in place of an age."""
@@ -24,7 +25,9 @@
                 self.rows.pop(row["id"], None)
             else:
                 self.rows[row["id"]] = row
-        self.record("published", rows=[{k: row[k] for k in ("id", "state", "build", "start")} for row in rows])
+        self.record(
+            "published", rows=[{k: row[k] for k in ("id", "state", "build", "start")} for row in rows]
+        )
         self.history.append((self.loop.now(), base, rows, {id: dict(row) for id, row in self.rows.items()}))
         del self.history[:-HISTORY]
 
@@ -40,24 +43,40 @@
 
     def told(self, number, base, revision, rows) -> dict:
         now = self.loop.now()
-        shown = [{**{k: v for k, v in row.items() if k != "up_at"}, "age_us": now - row["up_at"]} for row in rows]
-        self.record("list", gateway=number, base=base, revision=revision,
-                    rows=[{k: row[k] for k in ("id", "state", "build", "start")} | {"up_at": row["up_at"]}
-                          for row in rows])
+        shown = [
+            {**{k: v for k, v in row.items() if k != "up_at"}, "age_us": now - row["up_at"]} for row in rows
+        ]
+        self.record(
+            "list",
+            gateway=number,
+            base=base,
+            revision=revision,
+            rows=[
+                {k: row[k] for k in ("id", "state", "build", "start")} | {"up_at": row["up_at"]}
+                for row in rows
+            ],
+        )
         return {"epoch": self.epoch, "revision": revision, "base": base, "rows": shown}
 
     def since(self, number: int, after: int | None, revision: int) -> list:
         """Objects that bring a gateway from `after` (None: nothing) to `revision`."""
-        steps = [(base, rows) for _, base, rows, _ in self.history if after is not None and after <= base < revision]
-        if after is not None and after <= revision and (not steps and after == revision
-                                                        or steps and steps[0][0] == after):
+        steps = [
+            (base, rows)
+            for _, base, rows, _ in self.history
+            if after is not None and after <= base < revision
+        ]
+        if (
+            after is not None
+            and after <= revision
+            and (not steps and after == revision or steps and steps[0][0] == after)
+        ):
             return [self.told(number, base, base + 1, rows) for base, rows in steps]
         whole = next((rows for _, base, _, rows in self.history if base + 1 == revision), {})
         return [self.told(number, None, revision, list(whole.values()))]
 
     def handle(self, request):
         if (request.method, request.path) == ("POST", "/v1/instances"):
-            row = request.json()                       # an agent says how one of its instances stands
+            row = request.json()  # an agent says how one of its instances stands
             shown = {k: v for k, v in row.items() if k != "age_us"}
             self.change([{**shown, "up_at": self.loop.now() - row["age_us"]}])
             return json_answer(200, {})
@@ -70,6 +89,7 @@
             raise Refusal(503, "out of reach")
         if "watch" not in request.query:
             from cobaltpond.wire.lines import line
+
             lines = [line(one) for one in self.since(number, after, self.known(number))]
             return 200, [(b"content-type", b"application/x-ndjson")], b"".join(lines)
         stream = Stream()
@@ -93,5 +113,3 @@
                     stream.put({"beat": True})
             self.streams = [entry for entry in self.streams if not entry[2].over]
             yield Sleep(10_000)
-
-
--- a/cobaltpond/standins/machine.py
+++ b/cobaltpond/standins/machine.py
@@ -1,8 +1,9 @@
 """A model of one instance: cores, slots, a waiting room, cold start, overload; free of I/O.
 
-Work is time on one core at speed 1, in microseconds. Hits in slots share the cores evenly (processor sharing):
-each runs at min(1, cores / in slots) of the instance's present rate.
+Work is time on one core at speed 1, in microseconds. Hits in slots share the cores evenly (processor
+sharing): each runs at min(1, cores / in slots) of the instance's present rate.
 """
+
 from collections import deque
 from dataclasses import dataclass, field
 
@@ -12,13 +13,14 @@
 @dataclass(eq=False)
 class Job:
     """One forward at an instance."""
+
     work: float
     group: str
     mark: str | None = None
     op: str = ""
     left: float = 0.0
     deadline: int | None = None
-    done: object = None                                # called with "ok", "error", "wrong" or "dropped"
+    done: object = None  # called with "ok", "error", "wrong" or "dropped"
     bad: str | None = None
     about: dict = field(default_factory=dict)
 
@@ -26,15 +28,16 @@
 @dataclass
 class Kind:
     """What a machine is made of."""
+
     cores: int = 2
     slots: int = 8
     queue: int = 20
     speed: float = 1.0
     cold_share: float = 0.4
     cold_time: int = 3_000_000
-    thrash: float = 0.05                               # share of the rate lost for each hit held beyond the knee
+    thrash: float = 0.05  # share of the rate lost for each hit held beyond the knee
     knee: float = 12.0
-    cancel: str = "queued"                             # none, queued, all
+    cancel: str = "queued"  # none, queued, all
     drops_expired: bool = True
     error_rate: float = 0.0
 
@@ -46,17 +49,19 @@
         self.warm_from = now - (kind.cold_time if warm else 0)
         self.factor, self.tip_time = factor, tip_time
         self.active, self.waiting, self.at, self.fallen = [], deque(), now, False
-        self.shared = [1.0]                            # slowness that all machines share
-        self.slow, self.taken, self.errors, self.flaw = 1.0, 0.0, 0.0, None     # troubles; flaw: a bad build's
+        self.shared = [1.0]  # slowness that all machines share
+        self.slow, self.taken, self.errors, self.flaw = 1.0, 0.0, 0.0, None  # troubles; flaw: a bad build's
         self.arrivals, self.busy, self.took = deque(), 0.0, 0.0
         self.served = self.served_work = 0
 
-    # --- capacity --------------------------------------------------------------------------------------------
+    # --- capacity -------------------------------------------------------------------------------------------
 
     def warmth(self, now: int) -> float:
         """Rises evenly with time from the cold share to 1."""
         age, kind = now - self.warm_from, self.kind
-        return WARM if age >= kind.cold_time else kind.cold_share + (1 - kind.cold_share) * age / kind.cold_time
+        return (
+            WARM if age >= kind.cold_time else kind.cold_share + (1 - kind.cold_share) * age / kind.cold_time
+        )
 
     def capacity(self, now: int) -> float:
         """Work it can do in a microsecond when all cores run."""
@@ -73,7 +78,7 @@
     def util(self) -> float:
         return min(1.0, len(self.active) / self.kind.cores)
 
-    # --- what happens ----------------------------------------------------------------------------------------
+    # --- what happens ---------------------------------------------------------------------------------------
 
     def advance(self, now: int) -> None:
         """Work done since the last call; finished jobs are told. Steps are short enough for the warmth to be
@@ -142,11 +147,17 @@
         """When something will finish if nothing else happens."""
         if not self.active:
             return None
-        return self.at + min(50_000, max(1, int(min(job.left for job in self.active) / self.rate(self.at)) + 1))
+        return self.at + min(
+            50_000, max(1, int(min(job.left for job in self.active) / self.rate(self.at)) + 1)
+        )
 
     def report(self) -> dict:
-        return {"util": self.util(), "inflight": len(self.active) + len(self.waiting), "queue": len(self.waiting),
-                "latency_ms": self.served_work / max(1, self.served) / 1000 / self.kind.speed}
+        return {
+            "util": self.util(),
+            "inflight": len(self.active) + len(self.waiting),
+            "queue": len(self.waiting),
+            "latency_ms": self.served_work / max(1, self.served) / 1000 / self.kind.speed,
+        }
 
 
 class Flaw:
@@ -154,7 +165,7 @@
 
     def __init__(self, how: str, strength: float, group: str, chance):
         self.how, self.strength, self.group, self.chance = how, strength, group, chance
-        self.crowd = None                              # for the shared form: the share of traffic it gets
+        self.crowd = None  # for the shared form: the share of traffic it gets
 
     def between(self, low: float, high: float) -> float:
         return low + (high - low) * self.strength
@@ -170,11 +181,13 @@
         return 1.0
 
     def result(self, machine, job, now) -> str:
-        share = {"errors": self.between(0.08, 0.36), "wrong": self.between(0.08, 0.36),
-                 "class": self.between(0.44, 0.9) if job.group == self.group else 0.0,
-                 "load": self.between(0.2, 0.5) if machine.util() > 0.45 else 0.0,
-                 "late": self.between(0.2, 0.5) if now - machine.started > self.between(9.0, 5.0) * 1e6 else 0.0,
-                 }.get(self.how, 0.0)
+        share = {
+            "errors": self.between(0.08, 0.36),
+            "wrong": self.between(0.08, 0.36),
+            "class": self.between(0.44, 0.9) if job.group == self.group else 0.0,
+            "load": self.between(0.2, 0.5) if machine.util() > 0.45 else 0.0,
+            "late": self.between(0.2, 0.5) if now - machine.started > self.between(9.0, 5.0) * 1e6 else 0.0,
+        }.get(self.how, 0.0)
         if self.chance.random() >= share:
             return "ok"
         return "wrong" if self.how == "wrong" else "error"
--- a/cobaltpond/standins/record.py
+++ b/cobaltpond/standins/record.py
@@ -1,8 +1,9 @@
 """What passed over a stand-in's sockets, one JSON line each, with monotonic times in microseconds.
 
-`at` is when it was read or written. `from` is when the turn before began: what is read in this turn had not been
-there then, so that the true time of arrival lies between the two.
+`at` is when it was read or written. `from` is when the turn before began: what is read in this turn had not
+been there then, so that the true time of arrival lies between the two.
 """
+
 import json
 
 
--- a/cobaltpond/standins/relay.py
+++ b/cobaltpond/standins/relay.py
@@ -1,5 +1,7 @@
-"""A relay of bytes between gateways and the release desk that can be told to fail, as the desk or the way to it
-would: nothing gets through, answers are lost, errors, lateness. Writes down the news that it lets through."""
+"""A relay of bytes between gateways and the release desk that can be told to fail, as the desk or the way to
+it would: nothing gets through, answers are lost, errors, lateness. Writes down the news that it lets
+through."""
+
 import json
 import re
 from collections import deque
@@ -10,8 +12,8 @@
 
 class Relay:
     """`mode`: pass, cut (nothing gets through, both ways wait), errors (503 to every new connection), silent
-    (half of the new connections lose what is asked, half the answer; old ones wait); `late`: microseconds that
-    what the desk says is held back."""
+    (half of the new connections lose what is asked, half the answer; old ones wait); `late`: microseconds
+    that what the desk says is held back."""
 
     def __init__(self, loop, listener, target, chance, record):
         self.loop, self.target, self.chance, self.record = loop, target, chance, record
--- a/cobaltpond/standins/solo.py
+++ b/cobaltpond/standins/solo.py
@@ -1,4 +1,5 @@
 """One stand-in instance as a process of its own, as an agent starts it; and the server of such builds."""
+
 import base64
 import os
 from shlex import quote
@@ -14,7 +15,7 @@
 from cobaltpond.standins.machine import Flaw, Kind, Machine
 from cobaltpond.standins.record import Record
 
-CRASH_AFTER = 1_500_000                                # a build that crashes has served for so long
+CRASH_AFTER = 1_500_000  # a build that crashes has served for so long
 SERVE = """#!/bin/sh
 exec %s -m cobaltpond standin solo %s %d "$1" "$2" "$3"
 """
@@ -30,18 +31,37 @@
         self.report_period, self.report_names = plan["report"]["period"], plan["report"]["names"]
         place, flaw = plan["places"][name.partition(".")[0]], plan["flaws"].get(str(build), {})
         kind = Kind(**{**plan["kind"], "speed": place["speed"] * flaw.get("speed", 1.0)})
-        machine = Machine(kind, build, loop.now(), self.chance, False, plan["rules"]["factor"],
-                          plan["rules"]["tip_time"])
+        machine = Machine(
+            kind, build, loop.now(), self.chance, False, plan["rules"]["factor"], plan["rules"]["tip_time"]
+        )
         self.how, self.crash_at = flaw.get("how"), loop.now() + CRASH_AFTER
         if flaw.get("how"):
             machine.flaw = Flaw(flaw["how"], flaw["strength"], flaw.get("group", ""), self.chance)
-        self.instance = Instance(self, name, place["name"], place["zone"], place["cell"], machine,
-                                 loop.kernel.listen(("127.0.0.1", port), 64))
+        self.instance = Instance(
+            self,
+            name,
+            place["name"],
+            place["zone"],
+            place["cell"],
+            machine,
+            loop.kernel.listen(("127.0.0.1", port), 64),
+        )
         self.instance.start = mark
         self.instance.silent = self.how == "deaf"
-        self.record("up", instance=name, start=mark, began=machine.started, build=build, warm=False,
-                    zone=place["zone"], cell=place["cell"], cores=kind.cores, speed=kind.speed,
-                    cold_share=kind.cold_share, cold_time=kind.cold_time)
+        self.record(
+            "up",
+            instance=name,
+            start=mark,
+            began=machine.started,
+            build=build,
+            warm=False,
+            zone=place["zone"],
+            cell=place["cell"],
+            cores=kind.cores,
+            speed=kind.speed,
+            cold_share=kind.cold_share,
+            cold_time=kind.cold_time,
+        )
 
     def zone_cut(self, one, other):
         return False
@@ -89,11 +109,21 @@
         self.server = BuildServer(loop, loop.kernel.listen(("127.0.0.1", port), 128))
         for build in plan["builds"]:
             how = plan.get("broken", {}).get(str(build), "")
-            serve = "#!/bin/sh\nexit 3\n" if how == "exit" else SERVE % (
-                quote(plan["python"]), quote(plan["solo"]), build)
+            serve = (
+                "#!/bin/sh\nexit 3\n"
+                if how == "exit"
+                else SERVE % (quote(plan["python"]), quote(plan["solo"]), build)
+            )
             files = {"serve": serve.encode(), "data": b"%d " % build * 20_000}
-            signed, chunks = make_build(build, files, {"day": stranger if how == "forged" else key}, now,
-                                        now + 36_000, 16_384, ["serve", "{port}", "{id}", "{mark}"])
+            signed, chunks = make_build(
+                build,
+                files,
+                {"day": stranger if how == "forged" else key},
+                now,
+                now + 36_000,
+                16_384,
+                ["serve", "{port}", "{id}", "{mark}"],
+            )
             self.server.add(build, signed, chunks)
             if how in ("cut", "corrupt"):
                 way = "junk" if how == "corrupt" else "cut 0"
--- a/cobaltpond/standins/town.py
+++ b/cobaltpond/standins/town.py
@@ -1,5 +1,6 @@
-"""Hosts with real agents and a real desk as child processes, beside a registry and build servers in this one: to
-order releases, break builds, kill whoever it may be, and look at what runs in the end."""
+"""Hosts with real agents and a real desk as child processes, beside a registry and build servers in this one:
+to order releases, break builds, kill whoever it may be, and look at what runs in the end."""
+
 import base64
 import json
 import sys
@@ -59,7 +60,12 @@
     """`record`: what happened at the registry: (time, instance, build, state, start)."""
 
     def __init__(self, loop, folder, hosts=6, layout="beside", servers=2, gateways=1):
-        self.loop, self.folder, self.children, self.places = loop, str(folder), {}, [f"h{n}" for n in range(hosts)]
+        self.loop, self.folder, self.children, self.places = (
+            loop,
+            str(folder),
+            {},
+            [f"h{n}" for n in range(hosts)],
+        )
         kernel = loop.kernel
         kernel.make_folder(self.folder)
         self.key = Ed25519PrivateKey.from_private_bytes(b"k" * 32)
@@ -76,13 +82,21 @@
         public = base64.b64encode(self.key.public_key().public_bytes_raw()).decode()
         ring = Ring(1, [Key("town", public, 0, 1 << 40)])
         import msgspec
+
         kernel.replace_file(f"{self.folder}/keys.json", msgspec.json.encode(ring), sync=False)
         sources = ", ".join(f'"127.0.0.1:{s.address[1]}"' for s in self.servers)
-        text = SHEET % {"layout": layout, "list": listener.address()[1], "desk": self.desk[1],
-                        "folder": self.folder, "sources": sources}
+        text = SHEET % {
+            "layout": layout,
+            "list": listener.address()[1],
+            "desk": self.desk[1],
+            "folder": self.folder,
+            "sources": sources,
+        }
         for n, place in enumerate(self.places):
-            text += (f'host(place = "{place}", zone = "a", folder = "{self.folder}/{place}", '
-                     f'ports = {self.ports[0] + 8 * n})\n')
+            text += (
+                f'host(place = "{place}", zone = "a", folder = "{self.folder}/{place}", '
+                f"ports = {self.ports[0] + 8 * n})\n"
+            )
         for n, (_, port) in enumerate(self.doors):
             text += f'gateway(number = {n}, zone = "a", door = "127.0.0.1:{port}")\n'
         self.sheet = f"{self.folder}/town.star"
@@ -107,9 +121,15 @@
         body = (salt or b"%d" % number) * (size // max(1, len(salt or b"%d" % number)))
         id, key = key if isinstance(key, tuple) else ("town", key or self.key)
         now = self.loop.kernel.wall() // SECOND
-        signed, chunks = make_build(number, {"serve": (SERVE % sys.executable).encode(), "flaw": flaw.encode(),
-                                             "data": body}, {id: key}, now, now + 10_000, 16384,
-                                    ["serve", "{port}"])
+        signed, chunks = make_build(
+            number,
+            {"serve": (SERVE % sys.executable).encode(), "flaw": flaw.encode(), "data": body},
+            {id: key},
+            now,
+            now + 10_000,
+            16384,
+            ["serve", "{port}"],
+        )
         for server in self.servers:
             server.add(number, signed, chunks)
         return signed, chunks
@@ -118,8 +138,9 @@
         words = ["desk", self.sheet] if name == "desk" else ["agent", self.sheet, "--place", name]
         if name.startswith("gateway-"):
             words = ["gateway", self.sheet, "--number", name.partition("-")[2]]
-        self.children[name] = self.loop.kernel.spawn([sys.executable, "-m", "cobaltpond", *words],
-                                                     f"{self.folder}/{name}.log")
+        self.children[name] = self.loop.kernel.spawn(
+            [sys.executable, "-m", "cobaltpond", *words], f"{self.folder}/{name}.log"
+        )
 
     def kill(self, name):
         self.children[name].signal("KILL")
@@ -149,8 +170,14 @@
         raise TimeoutError(f"{method} {target}: {last}")
 
     def vote(self, build, stage, verdict):
-        return (yield from self.insist("POST", "/v1/votes", {
-            "gateway": 0, "build": build, "stage": stage, "verdict": verdict}, good=lambda s, a: s in (200, 409)))
+        return (
+            yield from self.insist(
+                "POST",
+                "/v1/votes",
+                {"gateway": 0, "build": build, "stage": stage, "verdict": verdict},
+                good=lambda s, a: s in (200, 409),
+            )
+        )
 
     def until(self, what, bound=20 * SECOND):
         end = self.loop.now() + bound
@@ -174,8 +201,11 @@
 
     def up(self):
         """What the registry shows: (place, build) of all that are up."""
-        return sorted((row["id"].partition(".")[0], row["build"]) for row in self.listed.values()
-                      if row["state"] == "up")
+        return sorted(
+            (row["id"].partition(".")[0], row["build"])
+            for row in self.listed.values()
+            if row["state"] == "up"
+        )
 
     def running(self):
         """What runs in truth: (place, build) of every process that was started out of a host's store."""
@@ -183,7 +213,7 @@
         for _, words in self.loop.kernel.command_lines():
             for word in words[:4]:
                 if word.startswith(self.folder + "/") and word.endswith("/tree/serve"):
-                    parts = word[len(self.folder) + 1:].split("/")
+                    parts = word[len(self.folder) + 1 :].split("/")
                     found.append((parts[0], int(parts[3])))
         return sorted(found)
 
--- a/cobaltpond/standins/yard.py
+++ b/cobaltpond/standins/yard.py
@@ -1,5 +1,7 @@
-"""The yard: stand-in instances of a whole fleet, the list of them, the platform that starts and stops them, the
-relays to the release desk, and the troubles of a day, all in one process and told what to do over HTTP."""
+"""The yard: stand-in instances of a whole fleet, the list of them, the platform that starts and stops them,
+the relays to the release desk, and the troubles of a day, all in one process and told what to do over
+HTTP."""
+
 from cobaltpond.calls import Refusal, json_answer, service
 from cobaltpond.loop import Sleep, run_part
 from cobaltpond.loop.chance import seeded
@@ -13,8 +15,8 @@
 
 
 class Yard:
-    """`plan`: a plain map (see `days.py`): seed, places [(name, zone, cell, speed)], kind, build, groups, rules,
-    list, report, boot, ports, flaws {build: {how, strength, group, speed}}."""
+    """`plan`: a plain map (see `days.py`): seed, places [(name, zone, cell, speed)], kind, build, groups,
+    rules, list, report, boot, ports, flaws {build: {how, strength, group, speed}}."""
 
     def __init__(self, loop, plan, path):
         self.loop, self.plan, self.record = loop, plan, Record(loop, path)
@@ -27,7 +29,7 @@
         self.listing.cut = lambda number: self.zone_cut(plan["zones"][number], plan["home"])
         self.relays, self.shared, self.stop_asked = {}, [1.0], False
 
-    # --- what instances ask of it ----------------------------------------------------------------------------
+    # --- what instances ask of it ---------------------------------------------------------------------------
 
     def zone_cut(self, one, other) -> bool:
         return one != other and bool(self.cuts & {one, other})
@@ -42,7 +44,7 @@
 
     def count(self, build, group, how, now):
         flaw = self.plan["flaws"].get(str(build), {})
-        if self.plan["flaws"]:                         # a flaw that slows all, in step with the traffic it gets
+        if self.plan["flaws"]:  # a flaw that slows all, in step with the traffic it gets
             weight = 1 + 2 * flaw["strength"] if flaw.get("how") == "shared" else 0
             self.shared[0] += (1 + weight - self.shared[0]) * 0.01
         if self.chance.random() < self.plan["tally"]["sample"]:
@@ -50,7 +52,7 @@
             row[0] += 1
             row[1] += how not in ("ok", "wrong")
 
-    # --- the platform ----------------------------------------------------------------------------------------
+    # --- the platform ---------------------------------------------------------------------------------------
 
     def boot(self, place, build, warm=False):
         """A machine that starts; it keeps its id from the place, numbered anew so that ids come back."""
@@ -65,8 +67,15 @@
     def machine(self, spot, build, warm):
         kind, flaw = dict(self.plan["kind"]), self.plan["flaws"].get(str(build), {})
         kind["speed"] = spot["speed"] * flaw.get("speed", 1.0)
-        machine = Machine(Kind(**kind), build, self.loop.now(), self.chance, warm, self.plan["rules"]["factor"],
-                          self.plan["rules"]["tip_time"])
+        machine = Machine(
+            Kind(**kind),
+            build,
+            self.loop.now(),
+            self.chance,
+            warm,
+            self.plan["rules"]["factor"],
+            self.plan["rules"]["tip_time"],
+        )
         if flaw.get("how"):
             machine.flaw = Flaw(flaw["how"], flaw["strength"], flaw.get("group", ""), self.chance)
         machine.shared = self.shared
@@ -77,26 +86,45 @@
         if not warm:
             yield Sleep(self.plan["boot"])
         if self.booting.pop(id, None) is None:
-            return                                     # stopped before it was up
+            return  # stopped before it was up
         listener = self.loop.kernel.listen(("127.0.0.1", port), 32)
-        instance = Instance(self, id, place, spot["zone"], spot["cell"], self.machine(spot, build, warm), listener)
+        instance = Instance(
+            self, id, place, spot["zone"], spot["cell"], self.machine(spot, build, warm), listener
+        )
         instance.address, instance.state = f"127.0.0.1:{port}", "up"
         if warm:
             instance.start -= 60_000_000
         self.instances[id] = instance
-        self.record("up", instance=id, start=instance.start, build=build, warm=warm, zone=instance.zone,
-                    cell=instance.cell, cores=self.plan["kind"]["cores"], speed=instance.machine.kind.speed,
-                    cold_share=instance.machine.kind.cold_share, cold_time=instance.machine.kind.cold_time)
+        self.record(
+            "up",
+            instance=id,
+            start=instance.start,
+            build=build,
+            warm=warm,
+            zone=instance.zone,
+            cell=instance.cell,
+            cores=self.plan["kind"]["cores"],
+            speed=instance.machine.kind.speed,
+            cold_share=instance.machine.kind.cold_share,
+            cold_time=instance.machine.kind.cold_time,
+        )
         if warm:
-            return                                     # told when the list begins
+            return  # told when the list begins
         yield Sleep(self.plan["list"]["add"])
         if self.instances.get(id) is instance and instance.state == "up":
             self.listing.change([self.row(instance)])
 
     def row(self, instance, state=None):
-        return {"id": instance.id, "address": instance.address, "build": instance.machine.build,
-                "zone": instance.zone, "cell": instance.cell, "state": state or instance.state,
-                "start": instance.start, "up_at": instance.start}
+        return {
+            "id": instance.id,
+            "address": instance.address,
+            "build": instance.machine.build,
+            "zone": instance.zone,
+            "cell": instance.cell,
+            "state": state or instance.state,
+            "start": instance.start,
+            "up_at": instance.start,
+        }
 
     def drain(self, instance):
         if instance.state == "up":
@@ -124,13 +152,19 @@
             self.listing.change([self.row(instance, "gone")])
 
     def machines(self):
-        rows = [{"id": i.id, "place": i.place, "build": i.machine.build, "state": i.state}
-                for i in self.instances.values()]
-        rows += [{"id": id, "place": place, "build": build, "state": "starting"}
-                 for id, (place, build) in self.booting.items()]
+        rows = [
+            {"id": i.id, "place": i.place, "build": i.machine.build, "state": i.state}
+            for i in self.instances.values()
+        ]
+        rows += [
+            {"id": id, "place": place, "build": build, "state": "starting"}
+            for id, (place, build) in self.booting.items()
+        ]
         tallies, self.tallies = self.tallies, {}
-        told = [{"build": build, "group": group, "count": row[0], "errored": row[1], "mean_us": 0, "age_us": 0}
-                for (build, group), row in tallies.items()]
+        told = [
+            {"build": build, "group": group, "count": row[0], "errored": row[1], "mean_us": 0, "age_us": 0}
+            for (build, group), row in tallies.items()
+        ]
         return {"machines": rows, "tallies": told}
 
     def handle_platform(self, request):
@@ -152,7 +186,7 @@
         (self.drain if what == "drain" else self.end)(self.instances[id])
         return json_answer(200, {})
 
-    # --- troubles --------------------------------------------------------------------------------------------
+    # --- troubles -------------------------------------------------------------------------------------------
 
     def on(self, trouble):
         """The instances at the places that a trouble strikes."""
@@ -227,7 +261,7 @@
             instance.unlisted = True
 
     def back(self, old):
-        yield Sleep(50_000)                            # until its old listener is closed
+        yield Sleep(50_000)  # until its old listener is closed
         host, port = old.address.split(":")
         self.booting[old.id] = (old.place, old.machine.build)
         yield from self.up(old.id, old.place, old.machine.build, int(port), False)
@@ -248,20 +282,24 @@
             if how != "stale":
                 relay.mode = ({"silence": "silent", "errors": "errors"}[how]) if begins else "pass"
 
-    # --- running ---------------------------------------------------------------------------------------------
+    # --- running --------------------------------------------------------------------------------------------
 
     def run(self):
         kernel, plan = self.loop.kernel, self.plan
         for place in self.places:
             self.boot(place, plan["build"], warm=True)
-        for name, handler in (("list", self.listing.handle), ("platform", self.handle_platform),
-                              ("troubles", self.handle_trouble)):
+        for name, handler in (
+            ("list", self.listing.handle),
+            ("platform", self.handle_platform),
+            ("troubles", self.handle_trouble),
+        ):
             listener = kernel.listen(("127.0.0.1", plan["services"][name]), 256)
             self.loop.spawn(service(self.loop, listener, handler, name), name)
         for zone, port in plan["services"]["relays"].items():
             listener = kernel.listen(("127.0.0.1", port), 256)
-            self.relays[zone] = Relay(self.loop, listener, ("127.0.0.1", plan["services"]["desk"]), self.chance,
-                                      self.record)
+            self.relays[zone] = Relay(
+                self.loop, listener, ("127.0.0.1", plan["services"]["desk"]), self.chance, self.record
+            )
         self.loop.spawn(self.listing.push(), "list-push")
         while not self.stop_asked:
             yield Sleep(20_000)
--- a/cobaltpond/wire/http1.py
+++ b/cobaltpond/wire/http1.py
@@ -5,17 +5,43 @@
 CONNECT, a head or body beyond its limit, too many fields. Two lengths, a length beside chunked, bare LF and
 folded lines are refused by llhttp itself; tests hold it to that.
 """
+
 from dataclasses import dataclass, field
 
 import httptools
 
-HOP_BY_HOP = {b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"te", b"trailer",
-              b"upgrade", b"proxy-authenticate", b"proxy-authorization", b"content-length"}
-REASONS = {200: "OK", 202: "Accepted", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-           408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 414: "URI Too Long",
-           417: "Expectation Failed", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-           500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway",
-           503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
+HOP_BY_HOP = {
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"transfer-encoding",
+    b"te",
+    b"trailer",
+    b"upgrade",
+    b"proxy-authenticate",
+    b"proxy-authorization",
+    b"content-length",
+}
+REASONS = {
+    200: "OK",
+    202: "Accepted",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    414: "URI Too Long",
+    417: "Expectation Failed",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+    505: "HTTP Version Not Supported",
+}
 PIECE = 1 << 16
 
 
@@ -34,6 +60,7 @@
 @dataclass(slots=True)
 class Head:
     """Start line and fields, in the order they came, names in lower case."""
+
     method: str = ""
     target: bytes = b""
     status: int = 0
@@ -52,6 +79,7 @@
 @dataclass(frozen=True, slots=True)
 class Limits:
     """Bytes and counts that a peer may make us keep."""
+
     head: int = 16 << 10
     target: int = 4 << 10
     fields: int = 100
@@ -72,7 +100,7 @@
 
     def on_header(self, name, value):
         if self.trailers or self.head is None:
-            return                                     # RFC 9110, 6.5.1: trailers may be dropped
+            return  # RFC 9110, 6.5.1: trailers may be dropped
         if len(self.head.fields) >= self.limits.fields:
             raise BadMessage(431, f"more than {self.limits.fields} fields")
         self.head.fields.append((name.lower(), value))
@@ -92,13 +120,13 @@
         try:
             while data:
                 piece = data
-                if self.in_head:                       # a head may not run past its limit unseen
+                if self.in_head:  # a head may not run past its limit unseen
                     room = self.limits.head - self.head_bytes
                     if room <= 0:
                         raise BadMessage(431, f"a head of more than {self.limits.head} bytes")
                     piece = data[:room]
                     self.head_bytes += len(piece)
-                data = data[len(piece):]
+                data = data[len(piece) :]
                 self.parser.feed_data(piece)
         except httptools.HttpParserUpgrade:
             raise BadMessage(501, "no upgrades and no CONNECT here") from None
@@ -135,7 +163,7 @@
             raise BadMessage(400, "the target is no path")
         hosts = head.all(b"host")
         if len(hosts) > 1 or not hosts and head.version == "1.1":
-            raise BadMessage(400, f"{len(hosts)} Host fields")          # RFC 9112, 3.2
+            raise BadMessage(400, f"{len(hosts)} Host fields")  # RFC 9112, 3.2
         length = head.get(b"content-length")
         if length is not None and int(length) > self.limits.body:
             raise BadMessage(413, f"a body of more than {self.limits.body} bytes")
@@ -153,11 +181,15 @@
         head, self.in_head, self.trailers = self.head, False, True
         head.status, head.version = self.parser.get_status_code(), self.parser.get_http_version()
         head.keep_alive = self.parser.should_keep_alive()
-        self.until_close = (head.status >= 200 and head.status not in (204, 304)
-                            and head.get(b"content-length") is None and not head.all(b"transfer-encoding"))
-        if head.status >= 200:                         # interim answers (100, 103) are passed over
+        self.until_close = (
+            head.status >= 200
+            and head.status not in (204, 304)
+            and head.get(b"content-length") is None
+            and not head.all(b"transfer-encoding")
+        )
+        if head.status >= 200:  # interim answers (100, 103) are passed over
             self.events.append(("head", head))
-            if self.no_body:                           # an answer to HEAD ends with its head
+            if self.no_body:  # an answer to HEAD ends with its head
                 super().on_message_complete()
 
     def on_message_complete(self):
@@ -178,7 +210,10 @@
 
 def start(method: str, target: bytes, fields: list) -> bytes:
     """A request's head as it is given: the caller has put in how long its body is."""
-    lines = [method.encode() + b" " + target + b" HTTP/1.1", *(name + b": " + value for name, value in fields)]
+    lines = [
+        method.encode() + b" " + target + b" HTTP/1.1",
+        *(name + b": " + value for name, value in fields),
+    ]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
@@ -216,7 +251,11 @@
 
 def passed_on(fields: list, also: frozenset | set = frozenset()) -> list:
     """Fields without those of this one connection (RFC 9110, 7.6.1) and without `also`."""
-    named = {name.strip().lower() for known, value in fields if known == b"connection"
-             for name in value.split(b",")}
+    named = {
+        name.strip().lower()
+        for known, value in fields
+        if known == b"connection"
+        for name in value.split(b",")
+    }
     drop = HOP_BY_HOP | named | set(also)
     return [(name, value) for name, value in fields if name not in drop]
--- a/cobaltpond/wire/lines.py
+++ b/cobaltpond/wire/lines.py
@@ -1,4 +1,5 @@
 """One JSON object a line, as the list and the release desk send them; bounded."""
+
 import json
 
 
--- a/cobaltpond/wire/orca.py
+++ b/cobaltpond/wire/orca.py
@@ -1,4 +1,5 @@
 """Load reports in the `endpoint-load-metrics` header (ORCA, xds.data.orca.v3; TEXT and JSON forms)."""
+
 import json
 
 NAMES = {"cpu_utilization": "util", "rps_fractional": "qps", "eps": "eps"}
--- a/cobaltpond/wire/pg.py
+++ b/cobaltpond/wire/pg.py
@@ -1,18 +1,21 @@
-"""PostgreSQL's frontend/backend protocol, version 3, simple queries only: bytes in, events out, both sides, no I/O.
+"""PostgreSQL's frontend/backend protocol, version 3, simple queries only: bytes in, events out, both sides,
+no I/O.
 
-Written from chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. Lengths are judged before anything is
-kept: a message that could not be acceptable ends the conversation at its fifth byte. psycopg and its like were
-weighed and left: they are clients with sockets of their own, and the half that a server needs they do not have.
+Written from chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. Lengths are judged before
+anything is kept: a message that could not be acceptable ends the conversation at its fifth byte. psycopg and
+its like were weighed and left: they are clients with sockets of their own, and the half that a server needs
+they do not have.
 """
+
 import math
 import struct
 
-STARTUP_MOST = 10_000                                  # PostgreSQL's own limit of a startup message
-VALUE_MOST = 64 << 10                                  # bytes of a value as the platform bounds it
-QUERY_MOST = 2 * VALUE_MOST + 4096                     # a value as hex, and the statement around it
-PASSED_OVER_MOST = 32                                  # notices and parameters that an answer may bring along
+STARTUP_MOST = 10_000  # PostgreSQL's own limit of a startup message
+VALUE_MOST = 64 << 10  # bytes of a value as the platform bounds it
+QUERY_MOST = 2 * VALUE_MOST + 4096  # a value as hex, and the statement around it
+PASSED_OVER_MOST = 32  # notices and parameters that an answer may bring along
 TLS, GSS, CANCEL = 80877103, 80877104, 80877102
-PLAIN_ONLY = b"N"                                      # the answer to a wish for encryption
+PLAIN_ONLY = b"N"  # the answer to a wish for encryption
 READY = b"Z\0\0\0\5I"
 EMPTY = b"I\0\0\0\4" + READY
 _LENGTH, _TWO = struct.Struct(">I"), struct.Struct(">II")
@@ -33,14 +36,22 @@
 def error(code: str, text: str, detail: str | None = None, fatal: bool = False) -> bytes:
     """An ErrorResponse; after a fatal one the connection closes, after another `READY` is due."""
     severity = "FATAL" if fatal else "ERROR"
-    fields = [("S", severity), ("V", severity), ("C", code), ("M", text)] + ([("D", detail)] if detail else [])
+    fields = [("S", severity), ("V", severity), ("C", code), ("M", text)] + (
+        [("D", detail)] if detail else []
+    )
     return message(b"E", b"".join(f"{name}{value}\0".encode() for name, value in fields) + b"\0")
 
 
 def welcome() -> bytes:
     """What follows a startup message: no password, and the few parameters that client libraries look for."""
-    known = {"server_version": "15.0", "server_encoding": "UTF8", "client_encoding": "UTF8",
-             "standard_conforming_strings": "on", "integer_datetimes": "on", "DateStyle": "ISO, YMD"}
+    known = {
+        "server_version": "15.0",
+        "server_encoding": "UTF8",
+        "client_encoding": "UTF8",
+        "standard_conforming_strings": "on",
+        "integer_datetimes": "on",
+        "DateStyle": "ISO, YMD",
+    }
     said = b"".join(message(b"S", f"{name}\0{value}\0".encode()) for name, value in known.items())
     return message(b"R", b"\0\0\0\0") + said + message(b"K", b"\0" * 8) + READY
 
@@ -87,18 +98,18 @@
 
     def command(self, data, at, size):
         kind = data[at]
-        if kind not in (0x51, 0x58):                   # Q, X
+        if kind not in (0x51, 0x58):  # Q, X
             raise Nonsense("08P01", "only simple queries are taken here")
         if size - at < 5:
             return 0, None
-        length, = _LENGTH.unpack_from(data, at + 1)
+        (length,) = _LENGTH.unpack_from(data, at + 1)
         if not (5 <= length <= QUERY_MOST if kind == 0x51 else length == 4):
             raise Nonsense("08P01", "a message of an impossible length")
         if size - at < length + 1:
             return 0, None
         if kind == 0x58:
             return 5, ("end", None)
-        statement = data[at + 5:at + length]
+        statement = data[at + 5 : at + length]
         if data[at + length] or b"\0" in statement:
             raise Nonsense("08P01", "a statement ends with its one zero byte")
         return length + 1, ("query", statement)
@@ -106,12 +117,12 @@
     def opening(self, data, at, size):
         if size - at < 4:
             return 0, None
-        length, = _LENGTH.unpack_from(data, at)
+        (length,) = _LENGTH.unpack_from(data, at)
         if not 8 <= length <= STARTUP_MOST:
             raise Nonsense("08P01", "a startup message of an impossible length")
         if size - at < 8:
             return 0, None
-        code, = _LENGTH.unpack_from(data, at + 4)
+        (code,) = _LENGTH.unpack_from(data, at + 4)
         if code in (TLS, GSS):
             self.wishes += 1
             if length != 8 or self.wishes > 2:
@@ -123,7 +134,7 @@
             raise Nonsense("0A000", "version 3 of the protocol is spoken here")
         if size - at < length:
             return 0, None
-        words = data[at + 8:at + length].split(b"\0")
+        words = data[at + 8 : at + length].split(b"\0")
         if len(words) < 4 or len(words) % 2 or words[-1] or words[-2]:
             raise Nonsense("08P01", "a startup message names each parameter and its value")
         told = dict(zip(words[:-2:2], words[1:-2:2], strict=True))
@@ -136,9 +147,9 @@
 class Answers:
     """What an instance sends on one connection: first its welcome, then one answer after each `expect`.
 
-    `feed` says whether the state has moved on. Raises Nonsense on what can't be a whole answer; the connection is of
-    no further use then. What comes behind a whole answer and does not belong to it is no reason to doubt that
-    answer: `fit` then says that the connection may not be used again.
+    `feed` says whether the state has moved on. Raises Nonsense on what can't be a whole answer; the
+    connection is of no further use then. What comes behind a whole answer and does not belong to it is no
+    reason to doubt that answer: `fit` then says that the connection may not be used again.
     """
 
     def __init__(self):
@@ -174,7 +185,7 @@
         return self.ready and self.fit and not self.rest
 
     def feed(self, data: bytes) -> None:
-        if self.ready:                                 # nothing was asked for
+        if self.ready:  # nothing was asked for
             self.fit = False
             return
         if self.rest:
@@ -190,7 +201,7 @@
         except Nonsense:
             if not self.done:
                 raise
-            self.fit = False                           # the answer was whole before it
+            self.fit = False  # the answer was whole before it
             self.rest = b""
             return
         self.rest = data[at:]
@@ -203,44 +214,44 @@
             raise Nonsense("08P01", f"no message begins with {data[at]:#x}")
         if size - at < 5:
             return None
-        length, = _LENGTH.unpack_from(data, at + 1)
+        (length,) = _LENGTH.unpack_from(data, at + 1)
         if not 4 <= length <= VALUE_MOST + 64:
             raise Nonsense("08P01", f"a message of {length} bytes")
         return length
 
     def take(self, kind, data, at, end) -> None:
-        body = data[at + 5:end]
-        if kind == 0x44 and self.described and not self.row and not self.done:        # D
+        body = data[at + 5 : end]
+        if kind == 0x44 and self.described and not self.row and not self.done:  # D
             count = int.from_bytes(body[:2], "big")
             size = int.from_bytes(body[2:6], "big")
             if count != 1 or size != len(body) - 6 or size > VALUE_MOST:
                 raise Nonsense("08P01", "no row of one value")
             self.row = True
             self.parts.append(data[at:end])
-        elif kind == 0x54 and self.tag is not None and not self.described and not self.done:    # T
+        elif kind == 0x54 and self.tag is not None and not self.described and not self.done:  # T
             name = body.find(b"\0", 2)
             if body[:2] != b"\0\1" or name < 0 or len(body) != name + 19:
                 raise Nonsense("08P01", "no description of one column")
             self.described = True
             self.parts.append(data[at:end])
-        elif kind == 0x43 and self.row and not self.done:                             # C
+        elif kind == 0x43 and self.row and not self.done:  # C
             if body != self.tag:
                 raise Nonsense("08P01", f"the command ended as {body[:40]!r}")
             self.whole = True
             self.parts.append(data[at:end])
-        elif kind == 0x5a:                                                            # Z
+        elif kind == 0x5A:  # Z
             if body not in (b"I", b"T", b"E") or not (self.done or self.tag is None):
                 raise Nonsense("08P01", "ready before an answer")
             self.ready = self.started = True
-        elif kind == 0x45 and not self.done:                                          # E
+        elif kind == 0x45 and not self.done:  # E
             self.code, self.text = error_fields(body)
-        elif kind in (0x53, 0x4e) and self.passed < PASSED_OVER_MOST:                 # S, N
+        elif kind in (0x53, 0x4E) and self.passed < PASSED_OVER_MOST:  # S, N
             self.passed += 1
             if kind == 0x53 and body.startswith(b"gauges\0"):
                 self.gauges = body[7:-1]
-        elif kind == 0x52 and not self.started and body == b"\0\0\0\0":               # R
+        elif kind == 0x52 and not self.started and body == b"\0\0\0\0":  # R
             pass
-        elif kind == 0x4b and not self.started and len(body) == 8:                    # K
+        elif kind == 0x4B and not self.started and len(body) == 8:  # K
             pass
         else:
             raise Nonsense("08P01", f"{chr(kind)} out of turn")
@@ -268,6 +279,6 @@
             if not mark or not name or not math.isfinite(number) or number < 0 or len(told) >= 16:
                 return {}
             told[name.decode("ascii")] = number
-        except ValueError:                             # UnicodeDecodeError is one
+        except ValueError:  # UnicodeDecodeError is one
             return {}
     return told
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -1,4 +1,5 @@
 """Gateways broken on purpose, one a rule; the day starts them with `--decisions broken:NAME`."""
+
 from cobaltpond.decisions.records import FOREVER, State
 from cobaltpond.decisions.rules import Gateway
 
@@ -33,8 +34,11 @@
     """Goes on sending to what the list says is draining."""
 
     def on_list(self, now, whole, rows):
-        super().on_list(now, whole, [{**row, "state": "up" if row["state"] == "draining" else row["state"]}
-                                     for row in rows])
+        super().on_list(
+            now,
+            whole,
+            [{**row, "state": "up" if row["state"] == "draining" else row["state"]} for row in rows],
+        )
 
 
 class CrushesCold(Gateway):
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,5 @@
 """Keys and signed builds for tests."""
+
 import base64
 
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
@@ -7,7 +8,10 @@
 from cobaltpond.builds.manifest import Key, Ring
 from cobaltpond.standins.buildserver import make_build
 
-KEYS = {name: Ed25519PrivateKey.from_private_bytes(bytes([n]) * 32) for n, name in enumerate(("one", "two", "old"))}
+KEYS = {
+    name: Ed25519PrivateKey.from_private_bytes(bytes([n]) * 32)
+    for n, name in enumerate(("one", "two", "old"))
+}
 fixed = settings(derandomize=True, deadline=None, max_examples=100)
 
 
--- a/tests/conform.py
+++ b/tests/conform.py
@@ -72,5 +72,6 @@
     def whole(loop, folder):
         return function(loop.kernel, folder)
         yield
+
     whole.__name__ = function.__name__
     CASES.append(whole)
--- a/tests/conform_files.py
+++ b/tests/conform_files.py
@@ -1,4 +1,5 @@
 """Cases of files and child processes, on both kernels."""
+
 import os
 import sys
 
@@ -9,10 +10,17 @@
 
 @file_case
 def a_file_that_is_not_there(kernel, folder):
-    return (kernel.read_file(f"{folder}/no"), kernel.size(f"{folder}/no"), kernel.list_folder(f"{folder}/no"),
-            told(lambda: kernel.age(f"{folder}/no")), told(lambda: kernel.truncate(f"{folder}/no", 1)),
-            told(lambda: kernel.rename(f"{folder}/no", f"{folder}/x")), kernel.remove(f"{folder}/no"),
-            told(lambda: kernel.write_file(f"{folder}/no/file", b"")), told(lambda: kernel.sync_folder(f"{folder}/no")))
+    return (
+        kernel.read_file(f"{folder}/no"),
+        kernel.size(f"{folder}/no"),
+        kernel.list_folder(f"{folder}/no"),
+        told(lambda: kernel.age(f"{folder}/no")),
+        told(lambda: kernel.truncate(f"{folder}/no", 1)),
+        told(lambda: kernel.rename(f"{folder}/no", f"{folder}/x")),
+        kernel.remove(f"{folder}/no"),
+        told(lambda: kernel.write_file(f"{folder}/no/file", b"")),
+        told(lambda: kernel.sync_folder(f"{folder}/no")),
+    )
 
 
 @file_case
@@ -24,8 +32,14 @@
     kernel.replace_file(f"{folder}/a/y", b"two")
     kernel.replace_file(f"{folder}/a/y", b"three", sync=False)
     kernel.sync_folder(f"{folder}/a")
-    return (kernel.list_folder(f"{folder}/a"), kernel.read_file(f"{folder}/a/z"), kernel.read_file(f"{folder}/a/y"),
-            kernel.size(f"{folder}/a/y"), kernel.age(f"{folder}/a/y") < 5_000_000, kernel.free_space(folder) > 0)
+    return (
+        kernel.list_folder(f"{folder}/a"),
+        kernel.read_file(f"{folder}/a/z"),
+        kernel.read_file(f"{folder}/a/y"),
+        kernel.size(f"{folder}/a/y"),
+        kernel.age(f"{folder}/a/y") < 5_000_000,
+        kernel.free_space(folder) > 0,
+    )
 
 
 @file_case
@@ -46,7 +60,11 @@
     kernel.write_file(f"{folder}/a", b"a")
     kernel.write_file(f"{folder}/b", b"b")
     kernel.rename(f"{folder}/a", f"{folder}/b")
-    return kernel.list_folder(folder), kernel.read_file(f"{folder}/b"), told(lambda: kernel.make_folder(f"{folder}/b"))
+    return (
+        kernel.list_folder(folder),
+        kernel.read_file(f"{folder}/b"),
+        told(lambda: kernel.make_folder(f"{folder}/b")),
+    )
 
 
 @file_case
@@ -86,8 +104,11 @@
 @file_case
 def programs_that_are_not_there_or_no_programs(kernel, folder):
     kernel.write_file(f"{folder}/data", b"no program", 0o755)
-    return (told(lambda: kernel.spawn([f"{folder}/none"], f"{folder}/out")),
-            told(lambda: kernel.spawn([f"{folder}/data"], f"{folder}/out")), kernel.adopt("nobody carries this"))
+    return (
+        told(lambda: kernel.spawn([f"{folder}/none"], f"{folder}/out")),
+        told(lambda: kernel.spawn([f"{folder}/data"], f"{folder}/out")),
+        kernel.adopt("nobody carries this"),
+    )
 
 
 @case
@@ -97,16 +118,23 @@
     with Deadline(loop, 5_000 * MS):
         while child.ended() is None:
             yield Sleep(5 * MS)
-    child.signal("KILL")                               # nobody is hit by a signal to who is gone
+    child.signal("KILL")  # nobody is hit by a signal to who is gone
     return child.ended(), loop.kernel.adopt("a-mark-of-its-own")
 
 
 @case
 def a_child_that_is_stopped_goes_on_and_is_killed(loop, folder):
-    sheet = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "examples", "resale.star")
-    loop.kernel.write_file(f"{folder}/sheet.star", open(sheet, "rb").read().replace(b"/var/lib", folder.encode()))
-    child = loop.kernel.spawn([sys.executable, "-m", "cobaltpond", "gateway", f"{folder}/sheet.star", "--number", "0"],
-                              f"{folder}/out.log", "another-mark")
+    sheet = os.path.join(
+        os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "examples", "resale.star"
+    )
+    loop.kernel.write_file(
+        f"{folder}/sheet.star", open(sheet, "rb").read().replace(b"/var/lib", folder.encode())
+    )
+    child = loop.kernel.spawn(
+        [sys.executable, "-m", "cobaltpond", "gateway", f"{folder}/sheet.star", "--number", "0"],
+        f"{folder}/out.log",
+        "another-mark",
+    )
     yield Sleep(5 * MS)
     found = loop.kernel.adopt("another-mark")
     child.signal("STOP")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,5 @@
 """A host that records what a gateway does, a slow plain model of the rules, a generator of events."""
+
 import random
 
 from cobaltpond.decisions.records import Chance
@@ -7,20 +8,46 @@
 MS = 1000
 GROUPS = [
     {"name": "look", "kind": "repeatable", "target_latency": 600 * MS, "client_timeout": 2500 * MS},
-    {"name": "hold", "kind": "tagged", "scope": "all", "repeat_window": 400 * MS,
-     "target_latency": 900 * MS, "client_timeout": 2500 * MS, "benefit": 3},
+    {
+        "name": "hold",
+        "kind": "tagged",
+        "scope": "all",
+        "repeat_window": 400 * MS,
+        "target_latency": 900 * MS,
+        "client_timeout": 2500 * MS,
+        "benefit": 3,
+    },
     {"name": "pay", "kind": "mutating", "target_latency": 800 * MS, "client_timeout": 3000 * MS},
 ]
 
 
 def sheet(**changes):
-    return {"gateways": 3, "number": 0, "zone": "a", "path_groups": GROUPS, "gate": "count",
-            "list_by": "push", "stage_shares": [0.2, 1.0], "stage_caps": [0.2, 1.0], "exposure_by": "all",
-            "exposure_window": 2000 * MS, "exposure_free": 2, "drain_grace": 250 * MS,
-            "cold_time": 4000 * MS, "cold_share": 0.33, "overload_factor": 2,
-            "vote_life": 10_000 * MS, "vote_wait": 1000 * MS, "most_forwards": 3,
-            "may_cancel": True, "may_advise": True, "most_advice": 1000 * MS, "tick": 5 * MS,
-            "ask_within": 10_000 * MS, **changes}
+    return {
+        "gateways": 3,
+        "number": 0,
+        "zone": "a",
+        "path_groups": GROUPS,
+        "gate": "count",
+        "list_by": "push",
+        "stage_shares": [0.2, 1.0],
+        "stage_caps": [0.2, 1.0],
+        "exposure_by": "all",
+        "exposure_window": 2000 * MS,
+        "exposure_free": 2,
+        "drain_grace": 250 * MS,
+        "cold_time": 4000 * MS,
+        "cold_share": 0.33,
+        "overload_factor": 2,
+        "vote_life": 10_000 * MS,
+        "vote_wait": 1000 * MS,
+        "most_forwards": 3,
+        "may_cancel": True,
+        "may_advise": True,
+        "most_advice": 1000 * MS,
+        "tick": 5 * MS,
+        "ask_within": 10_000 * MS,
+        **changes,
+    }
 
 
 def scoped(scope):
@@ -44,6 +71,7 @@
             if name == "forward":
                 numbers = [n for h, n, *_ in self.open + self.ended if h == arguments[0]]
                 self.open.append((arguments[0], len(numbers), self.now, arguments[1], arguments[2]))
+
         return call
 
     ended: list = []
@@ -134,12 +162,18 @@
             bad.append(("sent after the answer", id))
         for index, (now, a) in enumerate(forwards):
             before = [(ending, end) for number, ending, end in outcomes if number < index and end <= now]
-            risky = [f for f, (ending, _) in zip(forwards, before, strict=False) if ending not in (
-                "full", "unreachable", "moot")]
+            risky = [
+                f
+                for f, (ending, _) in zip(forwards, before, strict=False)
+                if ending not in ("full", "unreachable", "moot")
+            ]
             if len(before) < index or index >= sheet_["most_forwards"]:
                 bad.append(("two at once or too many", id))
-            if risky and (group["kind"] == "mutating" or
-                          group["kind"] == "tagged" and now - risky[0][0] > group["repeat_window"]):
+            if risky and (
+                group["kind"] == "mutating"
+                or group["kind"] == "tagged"
+                and now - risky[0][0] > group["repeat_window"]
+            ):
                 bad.append(("twice", id))
             # sent within what is left of the window: a dial after the decision must not outlast it
             bound = risky and group["kind"] == "tagged" and risky[0][0] + group["repeat_window"] - now
@@ -148,7 +182,8 @@
             if risky and group["kind"] == "tagged":
                 (zone, cell), (first, room) = place(a[1], now), place(risky[0][1][1], risky[0][0])
                 if not {"all": True, "zone": zone == first, "cell": (zone, cell) == (first, room)}[
-                        scopes[group["name"]]]:
+                    scopes[group["name"]]
+                ]:
                     bad.append(("outside its scope", id))
         ran = [e for _, e, _ in outcomes if e not in ("full", "unreachable", "moot")]
         harmful = group["kind"] == "mutating" or group["kind"] == "tagged" and scopes[group["name"]] != "all"
@@ -191,12 +226,17 @@
 
 
 def kept_keys_broken(host, asked, told, sheet_):
-    """Hits whose key the newest build had answered, sent to an earlier one while it was on trial or released."""
+    """Hits whose key the newest build had answered, sent to an earlier one while it was on trial or
+    released."""
     bad, builds, news, answered = [], {}, (1, "released"), {}
     events = [(now, 1, name, a) for now, name, a in host.named("forward")]
     events += [(at, 0, what, value) for at, what, value in told if what in ("list", "news")]
-    events += [(at, 2, "ok", (id, number)) for id, (_, _, _, outcomes) in asked.items()
-               for number, ending, at in outcomes if ending == "ok"]
+    events += [
+        (at, 2, "ok", (id, number))
+        for id, (_, _, _, outcomes) in asked.items()
+        for number, ending, at in outcomes
+        if ending == "ok"
+    ]
     where = {}
     for at, _, what, value in sorted(events, key=lambda e: e[:2]):
         if what == "list":
@@ -225,8 +265,12 @@
     while bench.host.now < 8_000 * MS:
         now = bench.host.now
         if dice.random() < 0.03:
-            changed = row(f"i{dice.randrange(8)}", dice.choice([1, 1, 2]),
-                          dice.choice(["up", "up", "up", "draining", "gone"]), dice.choice([None, now]))
+            changed = row(
+                f"i{dice.randrange(8)}",
+                dice.choice([1, 1, 2]),
+                dice.choice(["up", "up", "up", "draining", "gone"]),
+                dice.choice([None, now]),
+            )
             told.append((now, "list", changed))
             bench.gateway.on_list(now, False, [changed])
         elif dice.random() < 0.02:
--- a/tests/pgworld.py
+++ b/tests/pgworld.py
@@ -1,4 +1,6 @@
-"""One process with a gateway of the platform, scripted instances, discovery and desk, and raw clients, on loopback."""
+"""One process with a gateway of the platform, scripted instances, discovery and desk, and raw clients, on
+loopback."""
+
 import json
 import struct
 
@@ -12,35 +14,76 @@
 from cobaltpond.wire import pg
 
 SETTINGS = {
-    "balancers": 1, "position": 0, "zone": "a", "areas": ["a"], "quantum": 5.0, "discovery": "automatic",
+    "balancers": 1,
+    "position": 0,
+    "zone": "a",
+    "areas": ["a"],
+    "quantum": 5.0,
+    "discovery": "automatic",
     "categories": [
         {"name": "look", "idempotency": "idempotent", "aim": 400.0, "deadline": 1500.0, "points": 1.0},
-        {"name": "hold", "idempotency": "deduplicated", "dedupScope": "all", "window": 3000.0, "aim": 400.0,
-         "deadline": 1500.0, "points": 5.0},
-        {"name": "pay", "idempotency": "at_most_once", "aim": 400.0, "deadline": 700.0, "points": 5.0}],
+        {
+            "name": "hold",
+            "idempotency": "deduplicated",
+            "dedupScope": "all",
+            "window": 3000.0,
+            "aim": 400.0,
+            "deadline": 1500.0,
+            "points": 5.0,
+        },
+        {"name": "pay", "idempotency": "at_most_once", "aim": 400.0, "deadline": 700.0, "points": 5.0},
+    ],
     "tenants": [{"name": "ann", "share": 0.5}, {"name": "bob", "share": 0.5}],
-    "familyInfo": {"gateMode": "by_count", "layout": "parallel", "shares": [0.5, 1.0], "exposureCaps": [0.5, 1.0],
-                   "exposureWindow": 2000.0, "uncounted": 2.0, "answerWait": 300.0, "ballotTtl": 5000.0, "toAbort": 1},
-    "obligations": {"answerSlack": 20.0, "cold": 2000.0, "coldFrom": 0.5, "stopSendingWithin": 250.0,
-                    "overloadFactor": 2.0},
-    "policyLimits": {"connIdle": 15000.0, "dialTimeout": 200.0, "maxAttempts": 3, "mayCancel": True,
-                     "retryAfter": True, "maxRetryAfter": 1000.0}}
+    "familyInfo": {
+        "gateMode": "by_count",
+        "layout": "parallel",
+        "shares": [0.5, 1.0],
+        "exposureCaps": [0.5, 1.0],
+        "exposureWindow": 2000.0,
+        "uncounted": 2.0,
+        "answerWait": 300.0,
+        "ballotTtl": 5000.0,
+        "toAbort": 1,
+    },
+    "obligations": {
+        "answerSlack": 20.0,
+        "cold": 2000.0,
+        "coldFrom": 0.5,
+        "stopSendingWithin": 250.0,
+        "overloadFactor": 2.0,
+    },
+    "policyLimits": {
+        "connIdle": 15000.0,
+        "dialTimeout": 200.0,
+        "maxAttempts": 3,
+        "mayCancel": True,
+        "retryAfter": True,
+        "maxRetryAfter": 1000.0,
+    },
+}
 SELECT = "SELECT payload FROM entries WHERE ref = '%(ref)s' /* id=%(id)s,c=%(c)s,t=%(t)s,d=%(d)s */"
-INSERT = ("INSERT INTO entries (ref, payload) VALUES ('%(ref)s', '\\x9f03') RETURNING payload "
-          "/* id=%(id)s,c=%(c)s,t=%(t)s,d=%(d)s,k=%(k)s */")
+INSERT = (
+    "INSERT INTO entries (ref, payload) VALUES ('%(ref)s', '\\x9f03') RETURNING payload "
+    "/* id=%(id)s,c=%(c)s,t=%(t)s,d=%(d)s,k=%(k)s */"
+)
 
 
 def statement(number=1, group="look", left=1500, customer="ann", key="00000000000000aa") -> bytes:
     form = SELECT if group == "look" else INSERT
-    return (form % {"ref": f"{number:016x}", "id": f"{number:016x}", "c": group, "t": customer, "d": left,
-                    "k": key}).encode()
+    return (
+        form
+        % {"ref": f"{number:016x}", "id": f"{number:016x}", "c": group, "t": customer, "d": left, "k": key}
+    ).encode()
 
 
 def row(value=b"fine", tag=b"SELECT 1") -> bytes:
     """An instance's answer up to CommandComplete."""
     column = b"payload\0" + struct.pack(">IhIhih", 0, 0, 17, -1, -1, 1)
-    return (pg.message(b"T", b"\0\1" + column) + pg.message(b"D", b"\0\1" + struct.pack(">I", len(value)) + value)
-            + pg.message(b"C", tag + b"\0"))
+    return (
+        pg.message(b"T", b"\0\1" + column)
+        + pg.message(b"D", b"\0\1" + struct.pack(">I", len(value)) + value)
+        + pg.message(b"C", tag + b"\0")
+    )
 
 
 def tag_of(text: bytes) -> bytes:
@@ -52,8 +95,9 @@
 
 
 def exchanging(on_query, before_welcome=None):
-    """A script: `on_query(world, connection, text)` is a generator run for each query, once it is in `world.got`, and
-    `before_welcome(world)` one for each startup."""
+    """A script: `on_query(world, connection, text)` is a generator run for each query, once it is in
+    `world.got`, and `before_welcome(world)` one for each startup."""
+
     def script(world, connection):
         asked = pg.Asked()
         while data := (yield from connection.read()):
@@ -65,17 +109,20 @@
                 elif kind == "query":
                     world.got.append(value)
                     yield from on_query(world, connection, value)
+
     return script
 
 
 def answering(answer):
     """A script: `answer(text, number)` gives the bytes for a query, None to say nothing, or "reset"."""
+
     def on_query(world, connection, text):
         reply = answer(text, len(world.got))
         if reply == "reset":
             connection.abort()
         elif reply is not None:
             yield from connection.write(reply)
+
     return exchanging(on_query)
 
 
@@ -86,13 +133,14 @@
         self.connection, self.rest = connection, b""
 
     def send(self, *queries, start=False):
-        yield from self.connection.write((pg.startup("web", "orders") if start else b"")
-                                         + b"".join(pg.query(q) for q in queries))
+        yield from self.connection.write(
+            (pg.startup("web", "orders") if start else b"") + b"".join(pg.query(q) for q in queries)
+        )
 
     def messages(self):
         while True:
             while len(self.rest) >= 5 and len(self.rest) > (size := int.from_bytes(self.rest[1:5], "big")):
-                message, self.rest = self.rest[:size + 1], self.rest[size + 1:]
+                message, self.rest = self.rest[: size + 1], self.rest[size + 1 :]
                 return message[:1], message[5:]
             data = yield from self.connection.read()
             if not data:
@@ -124,49 +172,71 @@
 
 
 class PgWorld(Around):
-    virtual = False                                    # on the virtual kernel, where a test can do with it
+    virtual = False  # on the virtual kernel, where a test can do with it
     """`agent`: which of the addresses after the door's is discovery's; at 5 and 6 a test may listen itself
     (`listen_at`). `answers`: what an address says instead, `(request)` by its number."""
 
-    def __init__(self, *scripts, tmp=None, sockets=256, settings=None, news=None, known=False, agent=1, here=True):
+    def __init__(
+        self, *scripts, tmp=None, sockets=256, settings=None, news=None, known=False, agent=1, here=True
+    ):
         self.deaths, self.log, self.got, self.votes, self.asked, self.feeds = [], Log(), [], [], [], []
         self.machine = Machine(1) if self.virtual else None
         kernel = self.machine.process("case", ["case"]) if self.virtual else EpollKernel()
         self.loop = Loop(kernel, lambda task, trouble: self.deaths.append((task.name, trouble)))
         self.lock, base = free_run(self.loop.kernel, 7)
         self.door = ("127.0.0.1", base)
-        self.answers, self.discovery_says = {}, None   # what stands in for an answer
+        self.answers, self.discovery_says = {}, None  # what stands in for an answer
         self.news = news or {"Revision": 1, "Wave": 0, "State": "stable", "MaxShare": 1.0, "AgeMs": 0}
         self.hosts, self.seq, self.changes = [], 1, []
         for n, script in enumerate(scripts):
             listener = self.loop.kernel.listen(("127.0.0.1", 0), 64)
             host, port = listener.address()
-            self.hosts.append({"host": f"s-{n}", "dial": f"{host}:{port}", "site": "a", "class": "m", "block": 0,
-                               "health": "up", "share": 1.0, "born_ms": 0, "revision_no": 1})
+            self.hosts.append(
+                {
+                    "host": f"s-{n}",
+                    "dial": f"{host}:{port}",
+                    "site": "a",
+                    "class": "m",
+                    "block": 0,
+                    "health": "up",
+                    "share": 1.0,
+                    "born_ms": 0,
+                    "revision_no": 1,
+                }
+            )
             self.loop.spawn(serve(self.loop, listener, self.scripted(script), 64, f"i{n}"), f"i{n}")
-        for offset in (1, 2, 3, 4):                    # discovery and desk, at two addresses each
+        for offset in (1, 2, 3, 4):  # discovery and desk, at two addresses each
             listener = self.loop.kernel.listen(("127.0.0.1", base + offset), 64)
             handler = self.on_discovery if offset % 2 else self.on_desk
-            self.loop.spawn(service(self.loop, listener, self.at(handler, offset), f"at-{offset}"), f"at-{offset}")
+            self.loop.spawn(
+                service(self.loop, listener, self.at(handler, offset), f"at-{offset}"), f"at-{offset}"
+            )
         self.base, self.path = base, str(tmp / "config.json") if tmp else "none"
-        self.told = {"name": "n0", "listen": f"127.0.0.1:{base}", "discovery": f"127.0.0.1:{base + agent}",
-                     "seed": "2a", "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets},
-                     "rollouts": {"address": f"127.0.0.1:{base + 2}", "news": self.news},
-                     "known": {"seq": 1, "whole": True, "hosts": self.hosts} if known else None,
-                     "settings": {**SETTINGS, **(settings or {})}}
-        if here:                                       # else it is started by the test, as a process
+        self.told = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{base}",
+            "discovery": f"127.0.0.1:{base + agent}",
+            "seed": "2a",
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets},
+            "rollouts": {"address": f"127.0.0.1:{base + 2}", "news": self.news},
+            "known": {"seq": 1, "whole": True, "hosts": self.hosts} if known else None,
+            "settings": {**SETTINGS, **(settings or {})},
+        }
+        if here:  # else it is started by the test, as a process
             self.edge = Edge(self.loop, self.path, config_of(self.told), self.log)
             self.main = self.loop.spawn(self.edge.run(), "gateway")
 
     def scripted(self, script):
         def answer(connection):
             yield from script(self, connection)
+
         return answer
 
     def at(self, handler, offset):
         def handle(request):
             self.asked.append((offset, request.path, "after" in request.query))
             return self.answers.get(offset, handler)(request)
+
         return handle
 
     def listen_at(self, offset, script):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,9 +1,11 @@
 """Several real gateway processes on loopback, with a programmable link between every two of them.
 
-Each gateway has a sheet of its own, in which the others' datagram addresses are sockets of the rig: what one sends to
-another passes through here and comes out of the socket that the other knows the sender by. List, desk and instances
-run in the test's own process, with a listener for each gateway, so that each can be told, or not told, its own story.
+Each gateway has a sheet of its own, in which the others' datagram addresses are sockets of the rig: what one
+sends to another passes through here and comes out of the socket that the other knows the sender by. List,
+desk and instances run in the test's own process, with a listener for each gateway, so that each can be told,
+or not told, its own story.
 """
+
 import json
 import os
 import sys
@@ -44,7 +46,9 @@
             self.dropped += 1
             return []
         self.passed += 1
-        return [self.chance.randint(*self.late) for _ in range(2 if self.chance.random() < self.repeat else 1)]
+        return [
+            self.chance.randint(*self.late) for _ in range(2 if self.chance.random() < self.repeat else 1)
+        ]
 
 
 class Rig:
@@ -53,17 +57,27 @@
     def __init__(self, folder, count, zones=("north",), seed=1, more=""):
         """`more`: further calls of every gateway's sheet."""
         self.more = more
-        self.loop, self.folder, self.count, self.deaths = Loop(EpollKernel(), self.died), str(folder), count, []
+        self.loop, self.folder, self.count, self.deaths = (
+            Loop(EpollKernel(), self.died),
+            str(folder),
+            count,
+            [],
+        )
         self.zones = [zones[n % len(zones)] for n in range(count)]
         pairs = [(a, b) for a in range(count) for b in range(count) if a != b]
         self.links = {pair: Link(f"{seed}/{pair}") for pair in pairs}
-        for _ in range(50):                            # a run is free of listeners; datagrams are another matter
+        for _ in range(50):  # a run is free of listeners; datagrams are another matter
             self.lock, base = free_run(self.loop.kernel, 4 * count + count * count + 8)
             at = iter(range(base, base + 4 * count + count * count + 8))
-            self.doors, self.binds, self.lists, self.desks = ([next(at) for _ in range(count)] for _ in range(4))
-            self.ports, self.sockets = {pair: next(at) for pair in pairs}, {}      # where one believes the other to be
+            self.doors, self.binds, self.lists, self.desks = (
+                [next(at) for _ in range(count)] for _ in range(4)
+            )
+            self.ports, self.sockets = (
+                {pair: next(at) for pair in pairs},
+                {},
+            )  # where one believes the other to be
             try:
-                for bind in self.binds:                # the gateways' own, tried and left to them
+                for bind in self.binds:  # the gateways' own, tried and left to them
                     self.loop.kernel.datagrams(("127.0.0.1", bind)).close()
                 for pair, port in self.ports.items():
                     self.sockets[pair] = self.loop.kernel.datagrams(("127.0.0.1", port))
@@ -75,16 +89,26 @@
         self.children, self.ended, self.streams = {}, {}, {n: {} for n in range(count)}
         self.news = {n: {"build": 1, "stage": 0, "phase": "released", "cap": 1.0} for n in range(count)}
         self.since, self.deaf_desk, self.rows, self.revision = self.loop.kernel.now(), {}, [], 1
-        self.served = {}                               # name of an instance -> hits
+        self.served = {}  # name of an instance -> hits
         self.epoch, self.asked, self.votes, self.seen = "e", [], [], {}
-        self.dials, self.slow = {}, {}                 # name of an instance -> when it was connected to; how late it is
+        self.dials, self.slow = {}, {}  # name of an instance -> when it was connected to; how late it is
         for pair in pairs:
             self.loop.spawn(self.carry(pair), f"link-{pair}")
         for n in range(count):
-            for what, port, handler in (("list", self.lists[n], self.on_list), ("desk", self.desks[n], self.on_desk)):
+            for what, port, handler in (
+                ("list", self.lists[n], self.on_list),
+                ("desk", self.desks[n], self.on_desk),
+            ):
                 listener = self.loop.kernel.listen(("127.0.0.1", port), 64)
-                self.loop.spawn(service(self.loop, listener, lambda request, n=n, handler=handler: handler(n, request),
-                                        f"{what}-{n}"), f"{what}-{n}")
+                self.loop.spawn(
+                    service(
+                        self.loop,
+                        listener,
+                        lambda request, n=n, handler=handler: handler(n, request),
+                        f"{what}-{n}",
+                    ),
+                    f"{what}-{n}",
+                )
         self.loop.spawn(self.beat(), "beat")
 
     def close(self):
@@ -95,7 +119,7 @@
     def died(self, task, trouble):
         self.deaths.append((task.name, trouble))
 
-    # --- the links -------------------------------------------------------------------------------------------
+    # --- the links ------------------------------------------------------------------------------------------
 
     def carry(self, pair):
         a, b = pair
@@ -105,8 +129,9 @@
                 yield Readable(self.sockets[pair])
                 continue
             for late in self.links[pair].deliveries():
-                self.loop.call_in(late, lambda data=got[0]: self.sockets[b, a].send(
-                    data, ("127.0.0.1", self.binds[b])))
+                self.loop.call_in(
+                    late, lambda data=got[0]: self.sockets[b, a].send(data, ("127.0.0.1", self.binds[b]))
+                )
 
     def between(self, ones, others, **how):
         """Both directions between two groups: cut, lose, repeat, late."""
@@ -117,7 +142,7 @@
                         for name, value in how.items():
                             setattr(self.links[pair], name, value)
 
-    # --- instances, list, desk -------------------------------------------------------------------------------
+    # --- instances, list, desk ------------------------------------------------------------------------------
 
     def instance(self, name, build, delay=0):
         listener = self.loop.kernel.listen(("127.0.0.1", 0), 256)
@@ -137,10 +162,21 @@
                 if self.slow[name]:
                     yield Sleep(self.slow[name])
                 yield from connection.write(http1.response(200, [], name.encode()))
+
         self.loop.spawn(serve(self.loop, listener, answers, 256, name), name)
         host, port = listener.address()
-        self.rows.append({"id": name, "address": f"{host}:{port}", "build": build, "zone": "north", "cell": 0,
-                          "state": "up", "start": 1, "age_us": 60 * SECOND})
+        self.rows.append(
+            {
+                "id": name,
+                "address": f"{host}:{port}",
+                "build": build,
+                "zone": "north",
+                "cell": 0,
+                "state": "up",
+                "start": 1,
+                "age_us": 60 * SECOND,
+            }
+        )
 
     def on_list(self, n, request):
         whole = {"epoch": self.epoch, "revision": self.revision, "base": None, "rows": self.rows}
@@ -156,8 +192,9 @@
         self.rows = [r if r["id"] != row["id"] else row for r in self.rows]
         self.revision += 1
         for n in to:
-            self.streams[n]["list"].put({"epoch": self.epoch, "revision": self.revision, "base": self.revision - 1,
-                                         "rows": [row]})
+            self.streams[n]["list"].put(
+                {"epoch": self.epoch, "revision": self.revision, "base": self.revision - 1, "rows": [row]}
+            )
 
     def on_desk(self, n, request):
         if request.path == "/v1/votes":
@@ -187,16 +224,18 @@
                 if "desk" in self.streams[n] and n not in self.deaf_desk:
                     self.streams[n]["desk"].put({"news": self.told(n)})
 
-    # --- the processes ---------------------------------------------------------------------------------------
+    # --- the processes --------------------------------------------------------------------------------------
 
     def sheet(self, n):
         path = os.path.join(self.folder, f"sheet-{n}.star")
         lines = [SHEET % {"list": self.lists[n], "desk": self.desks[n]}]
         for m in range(self.count):
             peers = self.binds[n] if m == n else self.ports[n, m]
-            lines.append(f'gateway(number = {m}, zone = "{self.zones[m]}", door = "127.0.0.1:{self.doors[m]}", '
-                         f'peers = "127.0.0.1:{peers}", snapshot = "{self.snapshot(m)}", '
-                         f'memory = "{self.folder}/list-{m}")')
+            lines.append(
+                f'gateway(number = {m}, zone = "{self.zones[m]}", door = "127.0.0.1:{self.doors[m]}", '
+                f'peers = "127.0.0.1:{peers}", snapshot = "{self.snapshot(m)}", '
+                f'memory = "{self.folder}/list-{m}")'
+            )
         lines.append(self.more)
         lines.append(f"members(period = ms({PERIOD // MS}), wait = ms({PERIOD // MS * 3 // 10}))")
         self.loop.kernel.replace_file(path, "\n".join(lines).encode(), sync=False)
@@ -209,7 +248,8 @@
         for n in numbers:
             self.children[n] = self.loop.kernel.spawn(
                 [sys.executable, "-m", "cobaltpond", "gateway", self.sheet(n), "--number", str(n)],
-                os.path.join(self.folder, f"gateway-{n}.log"))
+                os.path.join(self.folder, f"gateway-{n}.log"),
+            )
 
     def signal(self, name, *numbers):
         for n in numbers:
@@ -238,6 +278,7 @@
                 if status.get("recovery", {}).get("phase") != phase:
                     return False
             return True
+
         yield from self.until(there, bound)
 
     def table(self, n):
@@ -263,6 +304,7 @@
                 if any(states.get(number) != state for number in numbers if number != n):
                     return False
             return True
+
         yield from self.until(seen, bound)
 
     def gathered(self):
@@ -271,7 +313,8 @@
         yield from self.until_seen("alive", range(self.count), range(self.count), 30 * SECOND)
 
     def hits(self, n, count, path="/look"):
-        """The bodies (names of instances) of some hits at one door, one after the other; None where none came."""
+        """The bodies (names of instances) of some hits at one door, one after the other; None where none
+        came."""
         got = []
         for _ in range(count):
             status, body = yield from self.get(n, path, "GET" if path == "/look" else "POST")
@@ -280,9 +323,11 @@
 
     def run(self, generator, bound=60 * SECOND):
         """Plays a test; every process that was started here is ended by its id, whatever happens."""
+
         def all_of_it():
             with Deadline(self.loop, bound):
                 return (yield from generator)
+
         try:
             return self.loop.run(self.loop.spawn(all_of_it(), "test"))
         finally:
@@ -294,6 +339,7 @@
                 with Deadline(self.loop, 5 * SECOND):
                     while self.living():
                         yield Sleep(5 * MS)
+
             self.loop.run(self.loop.spawn(gone(), "gone"))
             self.loop.close()
             self.close()
@@ -302,4 +348,3 @@
     def log(self, n):
         data = self.loop.kernel.read_file(os.path.join(self.folder, f"gateway-{n}.log")) or b""
         return [json.loads(line) for line in data.decode().splitlines() if line.startswith("{")]
-
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,6 @@
-"""The agent's states and the desk's hosts, free of I/O: whatever happens, it ends where the last order says."""
+"""The agent's states and the desk's hosts, free of I/O: whatever happens, it ends where the last order
+says."""
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -99,14 +101,20 @@
 
 
 ORDER = st.dictionaries(st.sampled_from([1, 2]), st.sampled_from(WISHES), max_size=2)
-STEP = st.one_of(st.tuples(st.just("order"), ORDER),
-                 st.tuples(st.just("old order"), st.just({1: "run", 2: "run"})),
-                 st.tuples(st.just("restart"), st.just({})), st.tuples(st.just("wait"), st.integers(1, 9)))
+STEP = st.one_of(
+    st.tuples(st.just("order"), ORDER),
+    st.tuples(st.just("old order"), st.just({1: "run", 2: "run"})),
+    st.tuples(st.just("restart"), st.just({})),
+    st.tuples(st.just("wait"), st.integers(1, 9)),
+)
 
 
 @settings(derandomize=True, deadline=None, max_examples=1000)
-@given(st.lists(STEP, max_size=14), st.lists(st.sampled_from(["fine", "fine", "fail", "hang"]), max_size=8),
-       st.sampled_from([{1: "run"}, {1: "run", 2: "keep"}, {2: "run"}, {}, {1: "gone", 2: "run"}]))
+@given(
+    st.lists(STEP, max_size=14),
+    st.lists(st.sampled_from(["fine", "fine", "fail", "hang"]), max_size=8),
+    st.sampled_from([{1: "run"}, {1: "run", 2: "keep"}, {2: "run"}, {}, {1: "gone", 2: "run"}]),
+)
 def test_orders_faults_and_crashes_end_where_the_last_order_says(steps, faults, last):
     world, generation = World(faults), 0
     for what, value in steps:
@@ -119,7 +127,7 @@
             world.restart()
         else:
             world.run(value)
-    world.faults = []                                  # from here on nothing fails any more
+    world.faults = []  # from here on nothing fails any more
     world.act(world.place.order(generation + 1, last))
     world.run(60)
     world.act(world.place.order(generation + 2, last))  # and what had failed for good is ordered once more
@@ -136,7 +144,12 @@
     slot = world.place.slots[1]
     world.run(60)
     assert (slot.state, slot.crashes) == ("failed", MOST_CRASHES)
-    assert [Slot.rest(type("S", (), {"crashes": n})) for n in (1, 2, 3, 9)] == [250_000, 500_000, 1_000_000, 4_000_000]
+    assert [Slot.rest(type("S", (), {"crashes": n})) for n in (1, 2, 3, 9)] == [
+        250_000,
+        500_000,
+        1_000_000,
+        4_000_000,
+    ]
 
 
 def test_crashes_with_long_times_between_them_are_no_row():
@@ -162,28 +175,42 @@
 
 
 def told(place, generation, done=True, **slots):
-    return {"place": place, "generation": generation, "done": done, "slots": [
-        {"build": int(b[1:]), "state": s, "id": f"{place}-{b}", "why": "w" if s == "failed" else ""}
-        for b, s in slots.items()]}
+    return {
+        "place": place,
+        "generation": generation,
+        "done": done,
+        "slots": [
+            {"build": int(b[1:]), "state": s, "id": f"{place}-{b}", "why": "w" if s == "failed" else ""}
+            for b, s in slots.items()
+        ],
+    }
 
 
 def test_hosts_that_are_slow_silent_or_run_something_else():
     hosts = Hosts(["p", "q", "r"], most=2)
-    assert hosts.take_orders(0, [("start", p, 2) for p in ("p", "q", "r")]) == ["p", "q"]    # no more than two at once
+    assert hosts.take_orders(0, [("start", p, 2) for p in ("p", "q", "r")]) == [
+        "p",
+        "q",
+    ]  # no more than two at once
     assert hosts.order("p", {1}) == {"place": "p", "generation": 1, "wishes": {"1": "keep", "2": "run"}}
     assert hosts.report(1, told("p", 1, b2="up")) == [("p/2", "p", 2, "up")]
     assert hosts.report(1, told("q", 1, False, b2="fetching")) == [("q/2", "q", 2, "starting")]
     assert hosts.report(1, told("q", 1, b2="failed")) == []
     assert hosts.missing(2) == [("q", 2, "failed: w")]
     assert hosts.take_orders(9_000_000, [("start", "q", 2)]) == []
-    assert hosts.take_orders(11_000_000, [("start", "q", 2)]) == ["q"]    # tried again: it may have been the sources
+    assert hosts.take_orders(11_000_000, [("start", "q", 2)]) == [
+        "q"
+    ]  # tried again: it may have been the sources
     assert hosts.take_orders(2, [("start", "r", 2)]) == ["r"]
     assert ("r", 2, "the host is silent") in hosts.missing(2)
-    assert hosts.take_orders(3, [("stop", "p/2"), ("drain", "q/2")]) == ["p", "q"]           # going never waits
+    assert hosts.take_orders(3, [("stop", "p/2"), ("drain", "q/2")]) == ["p", "q"]  # going never waits
     assert hosts.take_orders(3, [("stop", "p/2")]) == [] and hosts.hosts["p"].generation == 2
     again = Hosts(["p"])
     again.report(5, told("p", 7, b3="up"))
     assert again.adopt("p") and not again.adopt("p")
     again.take_orders(6, [("stop", "p/3")])
-    assert again.order("p", set())["generation"] > 7   # never one that the host has heard
-    assert Hosts(["p"], epoch=2).order("p", set())["generation"] > Hosts(["p"], epoch=1).order("p", set())["generation"]
+    assert again.order("p", set())["generation"] > 7  # never one that the host has heard
+    assert (
+        Hosts(["p"], epoch=2).order("p", set())["generation"]
+        > Hosts(["p"], epoch=1).order("p", set())["generation"]
+    )
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -1,4 +1,5 @@
 """Manifests, the store and the journal under cut power, fetching from sources that misbehave."""
+
 import errno
 import os
 
@@ -34,17 +35,31 @@
     return data.replace(old, new, 1)
 
 
-@pytest.mark.parametrize("data, error, more", [
-    (GOOD, Oversized, {"most_size": 1000}), (b"x" * (9 << 20), Oversized, {}),
-    (changed(GOOD, b"-1 ", b"-1 9999"), Oversized, {}), (GOOD[:15], Truncated, {}), (GOOD[:300], Truncated, {}),
-    (GOOD[:-10], Truncated, {}), (GOOD[:GOOD.index(b"sig ")], Unsigned, {}),
-    (changed(GOOD, b"sig one", b"sig who"), UnknownKey, {}), (build(signers=("old",))[0], KeyOutOfTime, {}),
-    (changed(GOOD, b'"build":42', b'"build":43'), WronglySigned, {}),
-    (GOOD[:-60] + b"A" * 59 + b"\n", WronglySigned, {}), (GOOD, Expired, {"now": 950}),
-    (GOOD, Downgraded, {"least": 43}), (GOOD, WrongBuild, {"ordered": 41}), (b"hello\nworld\n", Malformed, {}),
-    (changed(GOOD, b"sig one", b"sog one"), Malformed, {}), (build(files={"../up": b"x"})[0], Malformed, {}),
-    (build(files={"a": b"x", "a/b": b"y"})[0], Malformed, {}), (build(entry=["nope"])[0], Malformed, {}),
-    (build(earlier=(42, "0" * 64))[0], Malformed, {})])
+@pytest.mark.parametrize(
+    "data, error, more",
+    [
+        (GOOD, Oversized, {"most_size": 1000}),
+        (b"x" * (9 << 20), Oversized, {}),
+        (changed(GOOD, b"-1 ", b"-1 9999"), Oversized, {}),
+        (GOOD[:15], Truncated, {}),
+        (GOOD[:300], Truncated, {}),
+        (GOOD[:-10], Truncated, {}),
+        (GOOD[: GOOD.index(b"sig ")], Unsigned, {}),
+        (changed(GOOD, b"sig one", b"sig who"), UnknownKey, {}),
+        (build(signers=("old",))[0], KeyOutOfTime, {}),
+        (changed(GOOD, b'"build":42', b'"build":43'), WronglySigned, {}),
+        (GOOD[:-60] + b"A" * 59 + b"\n", WronglySigned, {}),
+        (GOOD, Expired, {"now": 950}),
+        (GOOD, Downgraded, {"least": 43}),
+        (GOOD, WrongBuild, {"ordered": 41}),
+        (b"hello\nworld\n", Malformed, {}),
+        (changed(GOOD, b"sig one", b"sog one"), Malformed, {}),
+        (build(files={"../up": b"x"})[0], Malformed, {}),
+        (build(files={"a": b"x", "a/b": b"y"})[0], Malformed, {}),
+        (build(entry=["nope"])[0], Malformed, {}),
+        (build(earlier=(42, "0" * 64))[0], Malformed, {}),
+    ],
+)
 def test_each_unfit_manifest_has_its_own_error(data, error, more):
     with pytest.raises(Unfit) as trouble:
         read_manifest(data, RING, **{"now": 500, **more})
@@ -59,28 +74,31 @@
 @fixed
 @given(st.integers(0, len(GOOD) - 1), st.integers(0, 255))
 def test_no_flipped_byte_passes(at, byte):
-    data = GOOD[:at] + bytes([byte]) + GOOD[at + 1:]
+    data = GOOD[:at] + bytes([byte]) + GOOD[at + 1 :]
     try:
         read_manifest(data, RING, 500)
     except Unfit:
         return
     # the last bits of base64 may be anything (RFC 4648, 3.5): the body is the same then
-    assert data[:data.index(b"sig ")] == GOOD[:GOOD.index(b"sig ")]
+    assert data[: data.index(b"sig ")] == GOOD[: GOOD.index(b"sig ")]
 
 
 def test_keys_are_rotated_by_keys_that_are_trusted():
     new = Ring(2, [key("two", 0, 5000)])
     assert next_ring(RING, write_ring(new, {"one": KEYS["one"]}), 500) == new
     for ring, signer, now, error in (
-            (new, "two", 500, UnknownKey), (new, "old", 500, KeyOutOfTime), (Ring(1, new.keys), "one", 500, Downgraded),
-            (Ring(3, []), "one", 500, KeyOutOfTime)):
+        (new, "two", 500, UnknownKey),
+        (new, "old", 500, KeyOutOfTime),
+        (Ring(1, new.keys), "one", 500, Downgraded),
+        (Ring(3, []), "one", 500, KeyOutOfTime),
+    ):
         with pytest.raises(error):
             next_ring(RING, write_ring(ring, {signer: KEYS[signer]}), now)
     with pytest.raises(UnknownKey):
         read_manifest(GOOD, new, 500)
 
 
-# --- power cuts ------------------------------------------------------------------------------------------------
+# --- power cuts ---------------------------------------------------------------------------------------------
 
 
 class PowerCut(BaseException):
@@ -88,7 +106,8 @@
 
 
 class CutKernel(EpollKernel):
-    """Cuts the power at the n-th change of the disk, half of it done; what was not synced of a growing file goes."""
+    """Cuts the power at the n-th change of the disk, half of it done; what was not synced of a growing file
+    goes."""
 
     def __init__(self, at):
         super().__init__()
@@ -105,7 +124,7 @@
     def write_file(self, path, data, mode=0o644):
         if self.left == 0:
             with open(path, "wb") as file:
-                file.write(data[:len(data) // 2])
+                file.write(data[: len(data) // 2])
         self.step()
         super().write_file(path, data, mode)
 
@@ -129,13 +148,15 @@
             self.step()
             real()
             synced[0] = os.path.getsize(path)
+
         file.sync = sync
         self.growing.append((file, synced))
         return file
 
 
 def cuts(work, check, folder_of):
-    """Runs `work` with the power cut at its first, second, ... change, and checks what is there afterwards."""
+    """Runs `work` with the power cut at its first, second, ... change, and checks what is there
+    afterwards."""
     at = 0
     while True:
         folder, kernel, log = folder_of(at), CutKernel(at), []
@@ -176,6 +197,7 @@
         left = [n for _, _, names in os.walk(folder) for n in names if n.endswith(".new")]
         assert not left
         store.close()
+
     assert cuts(work, check, lambda n: str(tmp_path / str(n))) > 20
 
 
@@ -197,11 +219,12 @@
         journal = Journal(kernel, folder)
         start = journal.state["upto"] + 1 if journal.state else 0
         got = [*range(start), *journal.records]
-        assert got[:len(log)] == log and len(got) <= len(log) + 1, (got, log)
+        assert got[: len(log)] == log and len(got) <= len(log) + 1, (got, log)
         journal.append("more")
         journal.sync()
         journal.close()
         assert Journal(kernel, folder).records[-1] == "more"
+
     assert cuts(work, check, lambda n: str(tmp_path / str(n))) > 15
 
 
@@ -217,7 +240,7 @@
     path = os.path.join(folder, "log-0")
     data = open(path, "rb").read()
     at = min(at, len(data) - 1)
-    broken = data[:at] if byte is None else data[:at] + bytes([byte]) + data[at + 1:]
+    broken = data[:at] if byte is None else data[:at] + bytes([byte]) + data[at + 1 :]
     open(path, "wb").write(broken)
     again = Journal(EpollKernel(), folder)
     whole = data[:at].count(b"\n")
@@ -233,6 +256,7 @@
 
     def fails():
         raise OSError(5, "input/output error")
+
     journal.append(1)
     journal.file.sync = fails
     with pytest.raises(Broken):
@@ -258,12 +282,14 @@
         for n in range(20):
             data = bytes([n]) * 4000
             from cobaltpond.builds.manifest import digest
+
             store.put(digest(data), data)
     assert store.used <= 40_000
 
 
 class FullDisk(EpollKernel):
-    """The n-th write finds no room left when half of it is written; there is room again once `left` is set anew."""
+    """The n-th write finds no room left when half of it is written; there is room again once `left` is set
+    anew."""
 
     def __init__(self, left):
         super().__init__()
@@ -272,14 +298,15 @@
     def write_file(self, path, data, mode=0o644):
         self.left -= 1
         if self.left == 0:
-            super().write_file(path, data[:len(data) // 2], mode)
+            super().write_file(path, data[: len(data) // 2], mode)
             raise OSError(errno.ENOSPC, "No space left on device")
         super().write_file(path, data, mode)
 
 
 @pytest.mark.parametrize("at", range(1, 11))
 def test_a_disk_that_fills_up_in_mid_write_leaves_nothing_half_done(tmp_path, at):
-    """At every write of a build: Full is told, what came before stays, and with room again it goes on from there."""
+    """At every write of a build: Full is told, what came before stays, and with room again it goes on from
+    there."""
     signed, chunks = build()
     kernel = FullDisk(at)
     store, manifest, came = Store(kernel, str(tmp_path)), read_manifest(signed, RING, 500), []
@@ -293,7 +320,9 @@
         assert kernel.left == 0
     left = [name for _, _, files in os.walk(tmp_path) for name in files]
     assert not [name for name in left if name.endswith(".new")] and set(came) == set(store.chunks)
-    assert store.used == sum(len(chunks[name]) for name in came) and not os.path.exists(tmp_path / "builds/42.new")
+    assert store.used == sum(len(chunks[name]) for name in came) and not os.path.exists(
+        tmp_path / "builds/42.new"
+    )
     for name in store.missing(manifest):
         store.put(name, chunks[name])
     store.assemble(manifest, signed)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,5 @@
 """Codecs, the sheet, the kept list: bytes cut anywhere, torn files, figures that make no sense."""
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -27,8 +28,9 @@
 
 TOKEN = st.text("abcdefgh-", min_size=1, max_size=8).map(str.encode)
 FIELD = st.tuples(TOKEN.map(lambda name: b"x-" + name), TOKEN)
-HIT = st.tuples(st.sampled_from(["GET", "POST"]), st.lists(FIELD, max_size=4),
-                st.binary(max_size=200), st.booleans())
+HIT = st.tuples(
+    st.sampled_from(["GET", "POST"]), st.lists(FIELD, max_size=4), st.binary(max_size=200), st.booleans()
+)
 
 
 @fixed
@@ -68,10 +70,17 @@
 
 def test_answers_that_end_with_the_connection_and_answers_cut():
     parser = http1.ResponseParser(http1.Limits())
-    assert [k for k, _ in parser.feed(b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\n\r\nab")] == ["head", "body"]
+    assert [k for k, _ in parser.feed(b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\n\r\nab")] == [
+        "head",
+        "body",
+    ]
     assert parser.closed() == [("end", None)]
-    for cut in (b"", b"HTTP/1.1 200 O", b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab",
-                b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n"):
+    for cut in (
+        b"",
+        b"HTTP/1.1 200 O",
+        b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab",
+        b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n",
+    ):
         parser = http1.ResponseParser(http1.Limits())
         parser.feed(cut)
         with pytest.raises(http1.Cut):
@@ -81,8 +90,19 @@
 def test_load_reports_in_both_forms_and_junk():
     report = {"util": 0.5, "inflight": 7.0, "latency_ms": 12.0}
     assert orca.read(orca.write(report)) == report
-    assert orca.read(b'JSON {"cpu_utilization": 0.3, "named_metrics": {"inflight": 4}}') == {"util": .3, "inflight": 4}
-    for junk in (None, b"", b"TEXT a=b,=,x", b"JSON [1]", b"JSON {", b"BIN abc", b"TEXT inflight=-1, util=nan"):
+    assert orca.read(b'JSON {"cpu_utilization": 0.3, "named_metrics": {"inflight": 4}}') == {
+        "util": 0.3,
+        "inflight": 4,
+    }
+    for junk in (
+        None,
+        b"",
+        b"TEXT a=b,=,x",
+        b"JSON [1]",
+        b"JSON {",
+        b"BIN abc",
+        b"TEXT inflight=-1, util=nan",
+    ):
         assert orca.read(junk) == {}
 
 
@@ -94,8 +114,16 @@
             Lines(most=100).feed(junk)
 
 
-ROW = {"id": "i1", "address": "127.0.0.1:1", "build": 4, "zone": "a", "cell": 0, "state": "up", "start": 7,
-       "age_us": 50}
+ROW = {
+    "id": "i1",
+    "address": "127.0.0.1:1",
+    "build": 4,
+    "zone": "a",
+    "cell": 0,
+    "state": "up",
+    "start": 7,
+    "age_us": 50,
+}
 
 
 def told(revision, base, *rows, epoch="e"):
@@ -104,11 +132,11 @@
 
 def test_a_restart_moves_the_start_and_nothing_else_does():
     held = Held()
-    (row, address), = held.apply(1000, told(1, None, {}))[1]
+    ((row, address),) = held.apply(1000, told(1, None, {}))[1]
     assert (row["started"], address) == (950, ("127.0.0.1", 1))
-    (row, _), = held.apply(5000, told(2, 1, {"age_us": 4060}))[1]       # told with another lateness
+    ((row, _),) = held.apply(5000, told(2, 1, {"age_us": 4060}))[1]  # told with another lateness
     assert row["started"] == 950
-    (row, _), = held.apply(6000, told(3, 2, {"start": 8, "age_us": 10}))[1]
+    ((row, _),) = held.apply(6000, told(3, 2, {"start": 8, "age_us": 10}))[1]
     assert row["started"] == 5990
 
 
@@ -136,8 +164,8 @@
     assert back["rows"][0]["age_us"] == 550
     assert Held.from_disk(data[:at]) is None or at >= len(data) - 1
     if at < len(data) - 1 and data[at] != byte:
-        torn = Held.from_disk(data[:at] + bytes([byte]) + data[at + 1:])
-        assert torn is None or torn == back            # a checksum in capitals is the same checksum
+        torn = Held.from_disk(data[:at] + bytes([byte]) + data[at + 1 :])
+        assert torn is None or torn == back  # a checksum in capitals is the same checksum
 
 
 def test_routes_first_fit_and_keys():
@@ -145,9 +173,23 @@
 
     def head(method, target, *fields):
         return http1.Head(method, target, fields=list(fields))
-    asked = routes.read(head("GET", b"/listings/4?x=1", (b"cobaltpond-key", b"k"), (b"cobaltpond-customer", b"who"),
-                             (b"cobaltpond-timeout-ms", b"99999"), (b"cobaltpond-try", b"1")))
-    assert (asked.group.name, asked.customer, asked.left, asked.again) == ("listing-read", None, 2_500_000, True)
+
+    asked = routes.read(
+        head(
+            "GET",
+            b"/listings/4?x=1",
+            (b"cobaltpond-key", b"k"),
+            (b"cobaltpond-customer", b"who"),
+            (b"cobaltpond-timeout-ms", b"99999"),
+            (b"cobaltpond-try", b"1"),
+        )
+    )
+    assert (asked.group.name, asked.customer, asked.left, asked.again) == (
+        "listing-read",
+        None,
+        2_500_000,
+        True,
+    )
     assert 0 <= asked.key < 1 << 53
     with pytest.raises(http1.BadMessage):
         routes.read(head("POST", b"/purchases"))
@@ -163,15 +205,26 @@
     assert not shares.over("a")
 
 
-@pytest.mark.parametrize("old, new, said", [
-    ('ms(2500))', '2500)', "f.star:2: path_group: target_latency is longer"),
-    ('s(3),', '0,', "f.star:3: path_group: a tagged path group needs repeat_window"),
-    ('"repeatable"', '"safe"', "f.star:2: path_group: kind"), ('share = share', 'part = share', "f.star:12: customer"),
-    ('group = "transfer"', 'group = "x"', "f.star:9: route: no path group 'x'"),
-    ('caps = [0.2, 0.7, 1.0]', 'caps = [0.2, 0.7]', "f.star:14: release: shares and caps"),
-    ('drain_grace = ms(250)', 'drain_grace = 250', "rules: drain_grace: Expected int >= 1000, a time: write ms"),
-    ('rules(', '#rules(', "f.star: no call of rules"), ('number = n', 'number = n + 1', "numbered in order"),
-    ('customer(name', 'customer((name', "f.star:12"), ('"127.0.0.1:17100"', '"here"', "listing: address")])
+@pytest.mark.parametrize(
+    "old, new, said",
+    [
+        ("ms(2500))", "2500)", "f.star:2: path_group: target_latency is longer"),
+        ("s(3),", "0,", "f.star:3: path_group: a tagged path group needs repeat_window"),
+        ('"repeatable"', '"safe"', "f.star:2: path_group: kind"),
+        ("share = share", "part = share", "f.star:12: customer"),
+        ('group = "transfer"', 'group = "x"', "f.star:9: route: no path group 'x'"),
+        ("caps = [0.2, 0.7, 1.0]", "caps = [0.2, 0.7]", "f.star:14: release: shares and caps"),
+        (
+            "drain_grace = ms(250)",
+            "drain_grace = 250",
+            "rules: drain_grace: Expected int >= 1000, a time: write ms",
+        ),
+        ("rules(", "#rules(", "f.star: no call of rules"),
+        ("number = n", "number = n + 1", "numbered in order"),
+        ("customer(name", "customer((name", "f.star:12"),
+        ('"127.0.0.1:17100"', '"here"', "listing: address"),
+    ],
+)
 def test_a_bad_sheet_says_where_and_what(old, new, said):
     assert old in EXAMPLE
     with pytest.raises(BadSheet) as trouble:
@@ -181,7 +234,10 @@
 
 def test_the_runsheet_has_what_the_decisions_pick():
     import re
-    text = "".join(open(f"cobaltpond/decisions/{name}.py").read()
-                   for name in ("rules", "choosing", "judging", "voting", "records"))
+
+    text = "".join(
+        open(f"cobaltpond/decisions/{name}.py").read()
+        for name in ("rules", "choosing", "judging", "voting", "records")
+    )
     picked = set(re.findall(r'sheet(?:\.get\(|\[)"([a-z_]+)"', text)) - {"customers"}
     assert picked and not picked - set(read_sheet("x", EXAMPLE).runsheet(1)), picked
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -1,4 +1,5 @@
-"""One suite over both kernels: what a program can see of sockets, files and children must be the same on each."""
+"""One suite over both kernels: what a program can see of sockets, files and children must be the same on
+each."""
 
 import conform_files  # noqa: F401  (its cases)
 import pytest
@@ -31,6 +32,7 @@
     def send():
         yield from one.write(data)
         one.handle.finish()
+
     loop.spawn(send(), "send")
     while piece := (yield from other.read(777)):
         got += piece
@@ -115,6 +117,7 @@
 
     def waits():
         return (yield from one.read())
+
     task = loop.spawn(waits(), "waits")
     yield Sleep(5 * MS)
     one.close()
@@ -203,6 +206,7 @@
     def waits():
         yield Writable(one.handle)
         return "writable"
+
     task = loop.spawn(waits(), "waits")
     yield Sleep(20 * MS)
     still = task.done
@@ -223,6 +227,7 @@
 
     def waits():
         yield Readable(handle)
+
     task = loop.spawn(waits(), "waits")
     yield Sleep(20 * MS)
     quiet = task.done
@@ -240,6 +245,7 @@
 
     def waits():
         yield Readable(other.handle)
+
     task = loop.spawn(waits(), "waits")
     yield Sleep(20 * MS)
     before = task.done
@@ -281,6 +287,7 @@
         began = loop.kernel.now()
         yield Sleep(n * MS)
         ended.append((n, loop.kernel.now() - began >= n * MS))
+
     tasks = [loop.spawn(one(n), f"{n}") for n in (9, 3, 6)]
     for task in tasks:
         yield from task.join()
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -1,4 +1,6 @@
-"""Pairs of events that cross, on real sockets, each order forced: two sources of the list, silence, the desk."""
+"""Pairs of events that cross, on real sockets, each order forced: two sources of the list, silence, the
+desk."""
+
 import json
 
 import pytest
@@ -24,10 +26,12 @@
 
 def holding(held, name):
     """An address that answers nothing: the test does, over `held[name]`, once it has been asked."""
+
     def script(connection):
         yield from connection.read()
         held[name] = connection
         yield from connection.read()
+
     return script
 
 
@@ -37,9 +41,13 @@
 
 # --- two sources of the list ---
 
+
 @pytest.mark.parametrize("first", ["old", "new"])
-def test_two_sources_answer_in_one_turn_and_the_older_list_of_the_older_source_is_not_taken_last(first, tmp_path):
-    """Both answers are written in one step, in either order; the old source's says that the instance is still up."""
+def test_two_sources_answer_in_one_turn_and_the_older_list_of_the_older_source_is_not_taken_last(
+    first, tmp_path
+):
+    """Both answers are written in one step, in either order; the old source's says that the instance is still
+    up."""
     held = {}
     world = PgWorld(answering(lambda text, _: good(text)), tmp=tmp_path, agent=5, known=True)
     world.listen_at(5, holding(held, "old"))
@@ -57,11 +65,13 @@
         yield from world.until(lambda: state(world) == {"s-0": "draining"})
         yield Sleep(50 * MS)
         return state(world), world.edge.discovery.listed.seq
+
     assert world.run(go()) == ({"s-0": "draining"}, 7)
 
 
 def test_a_new_source_that_is_behind_takes_nothing_back_and_is_asked_by_its_own_version(tmp_path):
-    """The old source told of version 8; the new one has only version 5 yet. What it tells later comes on top."""
+    """The old source told of version 8; the new one has only version 5 yet. What it tells later comes on
+    top."""
     world = PgWorld(answering(lambda text, _: good(text)), tmp=tmp_path)
     up, drains = world.hosts[0], {**world.hosts[0], "health": "draining"}
     more = {**up, "host": "s-9"}
@@ -71,11 +81,16 @@
         asked.append(request.query.get("after"))
         if "after" not in request.query:
             return json_answer(200, whole(5, up))
-        return json_answer(200, {"seq": 9, "whole": False, "hosts": [drains, more]}) if len(asked) == 2 else later()
+        return (
+            json_answer(200, {"seq": 9, "whole": False, "hosts": [drains, more]})
+            if len(asked) == 2
+            else later()
+        )
 
     def later():
         yield Sleep(1_900 * MS)
         return json_answer(200, {"seq": 9, "whole": False, "hosts": []})
+
     world.answers[3] = behind
 
     def go():
@@ -88,6 +103,7 @@
             seen.append(state(world)["s-0"])
             yield Sleep(1 * MS)
         return set(seen), asked[:2], state(world)["s-0"]
+
     assert world.run(go()) == ({"draining"}, [None, "5"], "draining")
 
 
@@ -104,11 +120,13 @@
         world.hosts = [{**world.hosts[0], "health": "draining"}]
         yield from world.until(lambda: state(world) == {"s-0": "draining"})
         return world.edge.discovery.listed.seq
+
     assert world.run(go()) == 2
 
 
 # --- silence ---
 
+
 def drip(connection, head):
     """Each byte comes in time, the whole never."""
     yield from connection.write(head)
@@ -122,13 +140,15 @@
     "after the head": lambda connection: connection.write(HEAD + b"content-length: 90\r\n\r\n"),
     "in the body": lambda connection: connection.write(HEAD + b'content-length: 90\r\n\r\n{"seq": 9, "wh'),
     "byte by byte": lambda connection: drip(connection, HEAD + b"content-length: 100000\r\n\r\n"),
-    "nonsense": lambda connection: connection.write(b"nonsense\r\n")}
+    "nonsense": lambda connection: connection.write(b"nonsense\r\n"),
+}
 
 
 @pytest.mark.parametrize("how", [*SILENT, "old versions"])
 def test_a_watch_that_says_nothing_more_is_left_in_time_whatever_it_had_said(how, monkeypatch):
-    """What it misses counts as told 6 s after it fell silent: the waits that lead there are cut to a tenth here."""
-    assert discovery.WATCH + 2 * discovery.ANSWER + 1_000_000 < 6_000_000          # with the longest pause between
+    """What it misses counts as told 6 s after it fell silent: the waits that lead there are cut to a tenth
+    here."""
+    assert discovery.WATCH + 2 * discovery.ANSWER + 1_000_000 < 6_000_000  # with the longest pause between
     for name in ("WATCH", "ANSWER"):
         monkeypatch.setattr(discovery, name, getattr(discovery, name) // 10)
     world, calls = PgWorld(answering(lambda text, _: good(text)), agent=5, known=True), []
@@ -145,6 +165,7 @@
         else:
             yield from wait
         yield from connection.read()
+
     world.listen_at(5, script)
 
     def go():
@@ -156,20 +177,21 @@
         count = len(calls)
         yield Sleep(300 * MS)
         return took, len(calls) - count
+
     took, more = world.run(go())
     # nor is it asked without pauses that grow: a watch and a whole list each 50 to 100 ms, in 300 ms
     assert took < 600 * MS and more < 15
 
 
 def test_what_is_told_right_after_an_early_answer_is_known_within_the_grace_of_drains():
-    """Discovery comes back after a while, one watch is answered at once with nothing new, and the next change is told.
-    The pauses that grew while it was down must not be taken between the two."""
+    """Discovery comes back after a while, one watch is answered at once with nothing new, and the next change
+    is told. The pauses that grew while it was down must not be taken between the two."""
     world, calls, told_at = PgWorld(answering(lambda text, _: good(text)), agent=5, known=True), [], []
 
     def script(connection):
         request = yield from connection.read()
         calls.append(b"after" in request)
-        if len(calls) <= 4:                            # it is down
+        if len(calls) <= 4:  # it is down
             return
         if not calls[-1]:
             yield from connection.write(answer(whole(world.seq, *world.hosts)))
@@ -178,18 +200,20 @@
             world.tell(host="s-0", health="draining")
             told_at.append(world.loop.now())
         yield from connection.read()
+
     world.listen_at(5, script)
 
     def go():
         yield from world.until(lambda: state(world) == {"s-0": "draining"})
         return world.loop.now() - told_at[0]
+
     assert world.run(go()) < 200 * MS
 
 
 @pytest.mark.parametrize("down", ["silent", "refusing"])
 def test_what_the_agent_has_at_its_return_is_known_at_once(down):
-    """Found on herd+mass 549558377948: it never answers what it was asked while it was silent, and gateways that waited
-    for that, or paused, went on sending to what drained for up to 1.7 s."""
+    """Found on herd+mass 549558377948: it never answers what it was asked while it was silent, and gateways
+    that waited for that, or paused, went on sending to what drained for up to 1.7 s."""
     world, back = PgWorld(answering(lambda text, _: good(text)), agent=5, known=True), []
 
     def script(connection):
@@ -199,11 +223,12 @@
         if back and b"after" not in request:
             yield from connection.write(answer(whole(world.seq, *world.hosts)))
         yield from connection.read()
+
     world.listen_at(5, script)
 
     def go():
         took = []
-        for wait in (2_000, 330, 570, 810):            # whenever it comes back in the course of calls and pauses
+        for wait in (2_000, 330, 570, 810):  # whenever it comes back in the course of calls and pauses
             yield Sleep(wait * MS)
             world.tell(host="s-0", health="draining" if len(took) % 2 == 0 else "up")
             now, began = state(world)["s-0"], world.loop.now()
@@ -211,8 +236,9 @@
             yield from world.until(lambda now=now: state(world)["s-0"] != now)
             took.append(world.loop.now() - began)
             back.clear()
-            world.edge.discovery.start(world.edge.discovery.address)       # the watch that stands now is of no use
+            world.edge.discovery.start(world.edge.discovery.address)  # the watch that stands now is of no use
         return took
+
     assert max(world.run(go())) < 250 * MS
 
 
@@ -227,7 +253,9 @@
         news = {"type": "ROLLOUT", "object": {**world.news, "Revision": 1 + len(opened)}}
         line = json.dumps(news).encode() + b"\n"
         if len(opened) > 1:
-            yield from connection.write(HEAD + b"transfer-encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
+            yield from connection.write(
+                HEAD + b"transfer-encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line)
+            )
         elif how == "byte by byte":
             yield from drip(connection, HEAD + b"transfer-encoding: chunked\r\n\r\nffff\r\n")
         elif isinstance(wait := SILENT[how](connection), Sleep):
@@ -241,13 +269,16 @@
         world.edge.platform.start(("127.0.0.1", world.base + 5))
         yield from world.until(lambda: world.edge.platform.last[0] == 3)
         return opened[1] - opened[0]
+
     assert 300 * MS <= world.run(go()) < 900 * MS
 
 
 # --- the desk ---
 
+
 def test_an_answer_to_a_vote_that_comes_after_the_feed_s_later_news_opens_nothing_again():
-    """The vote counted while the build was on trial; its answer is held until the feed has told that it goes back."""
+    """The vote counted while the build was on trial; its answer is held until the feed has told that it goes
+    back."""
     trial = {"Revision": 2, "Wave": 0, "State": "canary", "MaxShare": 0.5, "AgeMs": 3000}
     world = PgWorld(answering(lambda text, _: good(text)), news=trial)
     desk = world.edge.platform
@@ -261,6 +292,7 @@
         world.say(State="reverting", MaxShare=0.0, AgeMs=10)
         yield from world.until(lambda: desk.last[2] == "going back")
         return json_answer(200, {**trial, "AgeMs": 3050})
+
     world.answers[2] = held
 
     def go():
@@ -269,6 +301,7 @@
         yield Sleep(5 * MS)
         decisions = world.edge.host.decisions
         return desk.last, decisions.phase, decisions.cap, decisions.cast_answer
+
     assert world.run(go()) == ((2, 0, "going back", 0.0), "going back", 0.0, "ok")
 
 
@@ -290,12 +323,15 @@
         yield from world.until(lambda: len(desk.following.tasks) == 1)
         yield Sleep(20 * MS)
         return desk.counts["wrong"] - before
+
     assert world.run(go()) == (1 if order == "new old" else 2)
 
 
 @pytest.mark.parametrize("then", [{"State": "reverting", "MaxShare": 0.0}, {"Revision": 3, "MaxShare": 0.1}])
 def test_a_cap_that_fell_while_an_attempt_dials_holds_though_other_news_follows(then):
-    """The attempt is for build 1; the first news shuts it, the second tells of something else. Nothing is written."""
+    """The attempt is for build 1; the first news shuts it, the second tells of something else. Nothing is
+    written."""
+
     def script(world, connection):
         yield from connection.read()
         if not world.seen():
@@ -308,6 +344,7 @@
         yield from connection.write(pg.welcome())
         while data := (yield from connection.read()):
             world.got.append(data)
+
     world = PgWorld(script, news={"Revision": 1, "Wave": 0, "State": "canary", "MaxShare": 1.0, "AgeMs": 0})
     world.run(world.ask(statement(1)))
     assert world.got == [] and world.seen() == {"changed meanwhile": 1}
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -1,4 +1,6 @@
-"""The release desk's stages, free of I/O: both layouts, three gates, machines that come and go as they like."""
+"""The release desk's stages, free of I/O: both layouts, three gates, machines that come and go as they
+like."""
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -10,9 +12,24 @@
 
 
 def release(**more):
-    return Release(**{"gate": "count", "layout": "beside", "shares": [0.25, 1.0], "caps": [0.3, 1.0],
-                      "exposure_window": 2 * S, "vote_life": 5 * S, "vote_wait": S, "dwell": S, "step": 2 * S,
-                      "on_votes": 2, "back_votes": 2, "hold_votes": 1, "vote_rate": 1000.0, **more})
+    return Release(
+        **{
+            "gate": "count",
+            "layout": "beside",
+            "shares": [0.25, 1.0],
+            "caps": [0.3, 1.0],
+            "exposure_window": 2 * S,
+            "vote_life": 5 * S,
+            "vote_wait": S,
+            "dwell": S,
+            "step": 2 * S,
+            "on_votes": 2,
+            "back_votes": 2,
+            "hold_votes": 1,
+            "vote_rate": 1000.0,
+            **more,
+        }
+    )
 
 
 class Fleet:
@@ -41,8 +58,13 @@
                     self.up(*rest)
                 elif rest[0] in self.stages.machines:
                     machine = self.stages.machines[rest[0]]
-                    self.stages.machine(self.now, machine.id, machine.place, machine.build,
-                                        "draining" if what == "drain" else "gone")
+                    self.stages.machine(
+                        self.now,
+                        machine.id,
+                        machine.place,
+                        machine.build,
+                        "draining" if what == "drain" else "gone",
+                    )
             self.waiting = [w for w in self.waiting if w[0] > self.now]
 
     def builds(self):
@@ -54,10 +76,13 @@
     fleet = Fleet(layout=layout)
     fleet.stages.offer(fleet.now, 2)
     fleet.run(1.5)
-    assert fleet.stages.news(fleet.now)["cap"] == 0.3 and (fleet.stages.phase, fleet.stages.stage) == (TRIAL, 0)
+    assert fleet.stages.news(fleet.now)["cap"] == 0.3 and (fleet.stages.phase, fleet.stages.stage) == (
+        TRIAL,
+        0,
+    )
     assert fleet.builds().count(("p0", 2)) == 1 and (("p0", 1) in fleet.builds()) == (layout == "beside")
     fleet.run(4, {0: "on"})
-    assert fleet.stages.stage == 0                     # one vote of two
+    assert fleet.stages.stage == 0  # one vote of two
     fleet.run(8, {0: "on", 1: "on"})
     assert fleet.stages.phase == RELEASED and fleet.stages.cap() == 1.0
     fleet.run(4)
@@ -108,9 +133,11 @@
 def test_votes_that_do_not_count():
     fleet = Fleet(vote_rate=5.0)
     vote = fleet.stages.vote
-    assert vote(0, 0, 1, 0, "back") == "moot"          # nothing to go back to
+    assert vote(0, 0, 1, 0, "back") == "moot"  # nothing to go back to
     fleet.stages.offer(0, 2)
-    assert [vote(0, 0, *v) for v in ((1, 0, "on"), (2, 1, "on"), (2, 0, "hold"), (2, 0, "odd"))] == ["moot"] * 4
+    assert [vote(0, 0, *v) for v in ((1, 0, "on"), (2, 1, "on"), (2, 0, "hold"), (2, 0, "odd"))] == [
+        "moot"
+    ] * 4
     assert [vote(0, 0, 2, 0, "on") for _ in range(6)] == ["ok"] * 5 + ["full"]
     assert vote(S, 0, 2, 0, "none") == "ok" and fleet.stages.standing(S, "on") == 0
     vote(2 * S, 0, 2, 0, "on")
@@ -131,8 +158,12 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
-@given(st.sampled_from(["beside", "in place"]), st.lists(st.tuples(
-    st.sampled_from(["on", "back", "offer", "lose", "wait"]), st.integers(0, 3)), max_size=14))
+@given(
+    st.sampled_from(["beside", "in place"]),
+    st.lists(
+        st.tuples(st.sampled_from(["on", "back", "offer", "lose", "wait"]), st.integers(0, 3)), max_size=14
+    ),
+)
 def test_whatever_happens_the_fleet_ends_as_the_state_says(layout, acts):
     """Votes, offers and lost machines in any order; then quiet: each place has just the builds it should."""
     fleet = Fleet(layout=layout, lag=300_000)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,6 @@
-"""The platform's gateway on real sockets: each way a forward can end, bad clients and instances, changes, signals."""
+"""The platform's gateway on real sockets: each way a forward can end, bad clients and instances, changes,
+signals."""
+
 import json
 import subprocess
 import sys
@@ -34,20 +36,27 @@
     assert world.edge.door.open_ids == {} and world.edge.host.hits == {}
 
 
-@pytest.mark.parametrize("group, reply, answer, seen", [
-    ("look", error("XX000"), OK, "server error"), ("hold", error("XX000"), OK, "server error"),
-    ("pay", error("XX000"), ("58000", None), "server error"), ("pay", error("53300"), OK, "refusal"),
-    ("pay", lambda text: "reset", ("58000", None), "cut before an answer"),
-    ("look", lambda text: "reset", OK, "cut before an answer"),
-    ("pay", lambda text: row()[:20] + b"\xff" * 40, ("58000", None), "spoilt"),
-    ("look", lambda text: row()[:20] + b"\xff" * 40, OK, "spoilt"),
-    ("pay", lambda text: b"D\xc0\0\0\0", ("58000", None), "spoilt"),
-    ("pay", lambda text: row(b"other", b"SELECT 9"), ("58000", None), "spoilt"),
-    ("pay", lambda text: None, ("57014", None), "too late")])
+@pytest.mark.parametrize(
+    "group, reply, answer, seen",
+    [
+        ("look", error("XX000"), OK, "server error"),
+        ("hold", error("XX000"), OK, "server error"),
+        ("pay", error("XX000"), ("58000", None), "server error"),
+        ("pay", error("53300"), OK, "refusal"),
+        ("pay", lambda text: "reset", ("58000", None), "cut before an answer"),
+        ("look", lambda text: "reset", OK, "cut before an answer"),
+        ("pay", lambda text: row()[:20] + b"\xff" * 40, ("58000", None), "spoilt"),
+        ("look", lambda text: row()[:20] + b"\xff" * 40, OK, "spoilt"),
+        ("pay", lambda text: b"D\xc0\0\0\0", ("58000", None), "spoilt"),
+        ("pay", lambda text: row(b"other", b"SELECT 9"), ("58000", None), "spoilt"),
+        ("pay", lambda text: None, ("57014", None), "too late"),
+    ],
+)
 def test_each_ending_and_what_may_follow_it(group, reply, answer, seen):
     script = first(reply)
-    world = PgWorld(script, script, settings={"categories": [
-        {**c, "aim": 600.0} for c in SETTINGS["categories"]]})
+    world = PgWorld(
+        script, script, settings={"categories": [{**c, "aim": 600.0} for c in SETTINGS["categories"]]}
+    )
     assert world.run(world.ask(statement(1, group, 650))) == [answer]
     assert world.seen() == {seen: 1, **({"answer": 1} if answer == OK else {})}
     assert len(world.got) == (2 if answer == OK else 1)
@@ -72,25 +81,44 @@
         yield from world.edge.forwards.probe(place, lambda *what: told.append(what))
 
     world.run(probing())
-    (ending, _, report), = told
+    ((ending, _, report),) = told
     assert world.got == [b"SHOW gauges"] and ending == "ok" and report == {"util": 0.9, "inflight": 7.5}
 
 
-# what `run` may import beside the standard library's plain parts; whatever forks, starts programs or brings its own
-# threads and sockets is refused on the platform's fleet days, and later subsystems must not creep onto this path
+# what `run` may import beside the standard library's plain parts; whatever forks, starts programs or brings
+# its own threads and sockets is refused on the platform's fleet days, and later subsystems must not creep
+# onto this path
 ROOMS = {"benchlink", "calls", "decisions", "edge", "gateway", "loop", "wire"}
-REFUSED = {"subprocess", "_posixsubprocess", "multiprocessing", "concurrent", "asyncio", "ctypes", "threading", "ssl",
-           "logging", "pty", "socketserver"}
+REFUSED = {
+    "subprocess",
+    "_posixsubprocess",
+    "multiprocessing",
+    "concurrent",
+    "asyncio",
+    "ctypes",
+    "threading",
+    "ssl",
+    "logging",
+    "pty",
+    "socketserver",
+}
 
 
 def test_run_imports_nothing_that_the_platform_refuses():
-    code = ("import sys; before = set(sys.modules); import cobaltpond.edge.__main__; "
-            "print(*sorted(set(sys.modules) - before))")
-    names = subprocess.run([sys.executable, "-S", "-c", f"import sys; sys.path[:0] = {sys.path!r}; {code}"],
-                           capture_output=True, text=True, check=True).stdout.split()
+    code = (
+        "import sys; before = set(sys.modules); import cobaltpond.edge.__main__; "
+        "print(*sorted(set(sys.modules) - before))"
+    )
+    names = subprocess.run(
+        [sys.executable, "-S", "-c", f"import sys; sys.path[:0] = {sys.path!r}; {code}"],
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stdout.split()
     ours = {name.split(".")[1] for name in names if name.startswith("cobaltpond.")}
     outside = {name.split(".")[0].lstrip("_") for name in names} - {
-        name.lstrip("_") for name in sys.stdlib_module_names}
+        name.lstrip("_") for name in sys.stdlib_module_names
+    }
     assert ours <= ROOMS and "edge" in ours
     assert {name for name in outside if not name.startswith("cython")} == {"cobaltpond", "httptools"}
     assert {name.split(".")[0] for name in names} & REFUSED == set()
@@ -99,21 +127,28 @@
 def test_nobody_to_ask_is_a_bounce_at_once_with_advice():
     world = PgWorld()
 
-    (code, advice), = world.run(world.ask(statement(1, left=1500)), bound=1_000_000)
+    ((code, advice),) = world.run(world.ask(statement(1, left=1500)), bound=1_000_000)
     assert code == "53300" and 0 < int(advice) <= 1000
 
 
 HEAD = pg.startup("web", "orders")
 BAD = {
-    "noise": b"\x99" * 500, "line without end": b"GET /" + b"a" * 9000, "huge length": HEAD + b"Q\x7f\xff\xff\xff",
-    "negative length": HEAD + b"Q\xff\xff\xff\xff", "other protocol": HEAD + b"P\0\0\0\x08\0\0\0\0",
+    "noise": b"\x99" * 500,
+    "line without end": b"GET /" + b"a" * 9000,
+    "huge length": HEAD + b"Q\x7f\xff\xff\xff",
+    "negative length": HEAD + b"Q\xff\xff\xff\xff",
+    "other protocol": HEAD + b"P\0\0\0\x08\0\0\0\0",
     "no statement": HEAD + pg.query(b"DROP TABLE entries"),
     "no id": HEAD + pg.query(statement().replace(b"id=", b"ix=")),
     "no such group": HEAD + pg.query(statement(1).replace(b"c=look", b"c=nope")),
     "no number": HEAD + pg.query(statement(1).replace(b"d=1500", b"d=soon")),
-    "no time": HEAD + pg.query(statement(1, left=0)), "no key": HEAD + pg.query(statement(1).replace(b"look", b"hold")),
-    "a crowd of commands": HEAD + pg.query(statement(1)) + b"".join(pg.query(statement(n)) for n in range(2, 300)),
-    "much too much": HEAD + b"Q\3\x93\x87\0" + b"x" * 400_000}
+    "no time": HEAD + pg.query(statement(1, left=0)),
+    "no key": HEAD + pg.query(statement(1).replace(b"look", b"hold")),
+    "a crowd of commands": HEAD
+    + pg.query(statement(1))
+    + b"".join(pg.query(statement(n)) for n in range(2, 300)),
+    "much too much": HEAD + b"Q\3\x93\x87\0" + b"x" * 400_000,
+}
 
 
 @pytest.mark.parametrize("bad", BAD)
@@ -123,11 +158,12 @@
     def go():
         got = yield from world.raw(BAD[bad])
         return got, (yield from world.ask(statement(900)))
+
     got, others = world.run(go())
     assert others == [OK]
-    assert got.count(b"SFATAL\0") == 1 or bad == "much too much"       # its answer may be reset away with the rest
+    assert got.count(b"SFATAL\0") == 1 or bad == "much too much"  # its answer may be reset away with the rest
     assert b"C53300" not in got and b"C57P03" not in got and b"fine" not in got
-    assert len(world.got) == 1                         # that of the other client
+    assert len(world.got) == 1  # that of the other client
 
 
 def test_an_id_that_is_open_for_another_client_is_refused():
@@ -138,11 +174,14 @@
         yield from client.send(statement(1), start=True)
         yield from world.until(lambda: world.got)
         return (yield from world.raw(HEAD + pg.query(statement(1))))
+
     assert b"C42601" in world.run(go()) and len(world.got) == 1
 
 
 def test_pipelined_commands_are_answered_in_order():
-    world = PgWorld(answering(lambda text, _: good(text).replace(b"fine", text[text.find(b"id=") + 15:][:4])))
+    world = PgWorld(
+        answering(lambda text, _: good(text).replace(b"fine", text[text.find(b"id=") + 15 :][:4]))
+    )
 
     def go():
         client, got = (yield from world.connect()), []
@@ -151,6 +190,7 @@
         for _ in range(8):
             got.append(told((yield from client.read())))
         return got
+
     assert world.run(go()) == [("delivered", b"%04x" % n) for n in range(1, 9)]
 
 
@@ -163,6 +203,7 @@
         yield from world.until(lambda: world.got)
         client.connection.close()
         yield from world.until(lambda: world.edge.places.open == 0)
+
     world.run(go())
     assert world.seen() == {"called off": 1} and world.edge.host.hits == {} and world.edge.door.open_ids == {}
 
@@ -178,6 +219,7 @@
         yield from world.until(lambda: len(world.edge.door.clients) == 4)
         yield from world.until(lambda: len(world.edge.door.clients) == 1)
         return world.loop.now() - began
+
     assert 2_000_000 < world.run(go()) < 2_900_000
 
 
@@ -195,16 +237,27 @@
         for client in crowd:
             client.connection.close()
         return answers, most <= world.edge.config.room
+
     assert world.run(go()) == ([OK], True)
 
 
-@pytest.mark.parametrize("change, heard", [
-    (lambda world: world.tell(host="s-0", health="draining"),
-     lambda world: world.edge.places.by_id["s-0"].row["state"] == "draining"),
-    (lambda world: world.say(State="reverting", MaxShare=0.0),
-     lambda world: world.edge.platform.last[2] == "going back")])
+@pytest.mark.parametrize(
+    "change, heard",
+    [
+        (
+            lambda world: world.tell(host="s-0", health="draining"),
+            lambda world: world.edge.places.by_id["s-0"].row["state"] == "draining",
+        ),
+        (
+            lambda world: world.say(State="reverting", MaxShare=0.0),
+            lambda world: world.edge.platform.last[2] == "going back",
+        ),
+    ],
+)
 def test_what_is_told_while_a_dial_lasts_is_kept(change, heard):
-    """The instance is slow to welcome; meanwhile it is to drain, or its build's cap falls: no hit may reach it."""
+    """The instance is slow to welcome; meanwhile it is to drain, or its build's cap falls: no hit may reach
+    it."""
+
     def slow(world, connection):
         yield from connection.read()
         if not heard(world):
@@ -213,8 +266,9 @@
         yield from connection.write(pg.welcome())
         while data := (yield from connection.read()):
             world.got.append(data)
+
     world = PgWorld(slow, news={"Revision": 1, "Wave": 0, "State": "canary", "MaxShare": 1.0, "AgeMs": 0})
-    (code, _), = world.run(world.ask(statement(1)))
+    ((code, _),) = world.run(world.ask(statement(1)))
     assert code == "53300" and world.got == [] and world.seen() == {"changed meanwhile": 1}
 
 
@@ -223,32 +277,57 @@
 
     def go():
         yield from world.ask(statement(1))
-        (kept, _), = world.edge.places.by_id["s-0"].idle
+        ((kept, _),) = world.edge.places.by_id["s-0"].idle
         world.tell(host="s-0", revision_no=2)
         yield from world.until(lambda: kept.closed)
         second = yield from world.ask(statement(2))
-        (kept, _), = world.edge.places.by_id["s-0"].idle
+        ((kept, _),) = world.edge.places.by_id["s-0"].idle
         world.tell(host="s-0", revision_no=2, born_ms=1_700_000_000_000)
         yield from world.until(lambda: kept.closed)
         return second
+
     assert world.run(go()) == [OK]
 
 
 def test_start_times_are_worked_out_once_a_start_and_nonsense_changes_nothing():
-    listed, host = Listed(), {"host": "a", "dial": "1.2.3.4:5", "site": "z", "block": 1, "health": "up", "share": 1.0,
-                              "born_ms": 1000, "revision_no": 3}
-    whole, ((row_, address),) = listed.apply(50_000_000, 3_000_000, {"seq": 4, "whole": True, "hosts": [host]})
+    listed, host = (
+        Listed(),
+        {
+            "host": "a",
+            "dial": "1.2.3.4:5",
+            "site": "z",
+            "block": 1,
+            "health": "up",
+            "share": 1.0,
+            "born_ms": 1000,
+            "revision_no": 3,
+        },
+    )
+    whole, ((row_, address),) = listed.apply(
+        50_000_000, 3_000_000, {"seq": 4, "whole": True, "hosts": [host]}
+    )
     assert whole and address == ("1.2.3.4", 5) and row_["started"] == 48_000_000
     # the wall clock was set: the same start stays where it was
-    assert listed.apply(51_000_000, 9_000_000, {"seq": 5, "whole": False, "hosts": [host]})[1][0][0][
-        "started"] == 48_000_000
-    for wrong in ({}, {"seq": float("inf"), "whole": True, "hosts": []}, {"seq": 6, "whole": False}, [], None,
-                  {"seq": 6, "whole": True, "hosts": [{"host": "b"}]},
-                  {"seq": 6, "whole": True, "hosts": [host, {**host, "health": "odd"}]}):
+    assert (
+        listed.apply(51_000_000, 9_000_000, {"seq": 5, "whole": False, "hosts": [host]})[1][0][0]["started"]
+        == 48_000_000
+    )
+    for wrong in (
+        {},
+        {"seq": float("inf"), "whole": True, "hosts": []},
+        {"seq": 6, "whole": False},
+        [],
+        None,
+        {"seq": 6, "whole": True, "hosts": [{"host": "b"}]},
+        {"seq": 6, "whole": True, "hosts": [host, {**host, "health": "odd"}]},
+    ):
         with pytest.raises(BadLine):
             listed.apply(0, 0, wrong)
     assert listed.seq == 5
-    assert listed.apply(52_000_000, 0, {"seq": 3, "whole": False, "hosts": [host]}) == (False, [])   # overtaken
+    assert listed.apply(52_000_000, 0, {"seq": 3, "whole": False, "hosts": [host]}) == (
+        False,
+        [],
+    )  # overtaken
     gone = {**host, "health": "removed", "dial": ""}
     assert listed.apply(0, 0, {"seq": 6, "whole": False, "hosts": [gone]})[1][0][0]["state"] == "gone"
 
@@ -262,15 +341,23 @@
         yield from world.until(lambda: world.edge.discovery.counts["errors"])
         world.discovery_says = None
         count = len(world.asked)
-        yield from world.until(lambda: any(
-            path == "/discovery/hosts" and not watch for _, path, watch in world.asked[count:]))
+        yield from world.until(
+            lambda: any(path == "/discovery/hosts" and not watch for _, path, watch in world.asked[count:])
+        )
         world.tell(host="s-0", health="draining")
         yield from world.until(lambda: world.edge.places.by_id["s-0"].row["state"] == "draining")
+
     world.run(go())
 
 
-@pytest.mark.parametrize("line", [{"type": "R\x00LLOUT", "object": {}}, {"type": "ROLLOUT", "object": {"Wave": 1}},
-                                  {"type": "DISPUTE", "object": 7}])
+@pytest.mark.parametrize(
+    "line",
+    [
+        {"type": "R\x00LLOUT", "object": {}},
+        {"type": "ROLLOUT", "object": {"Wave": 1}},
+        {"type": "DISPUTE", "object": 7},
+    ],
+)
 def test_a_spoilt_line_of_the_feed_drops_it_and_the_state_is_asked_for_anew(line):
     world = PgWorld(answering(lambda text, _: good(text)))
 
@@ -281,6 +368,7 @@
         yield from world.until(lambda: len(world.feeds) == 2)
         world.say(State="canary", Revision=2, MaxShare=0.2)
         yield from world.until(lambda: world.edge.platform.last == (2, 0, "trial", 0.2))
+
     world.run(go())
 
 
@@ -290,23 +378,36 @@
     def go():
         yield from world.until(lambda: world.edge.platform.heard)
         (tmp_path / "config.json").write_text("{")
-        world.edge.stop("HUP")                         # it is read again for a while: it may be only half there
+        world.edge.stop("HUP")  # it is read again for a while: it may be only half there
         yield from world.until(lambda: any(level == "error" for level, _, _ in world.log.lines))
         assert world.edge.discovery.address[1] == world.base + 1
-        for list_at, desk_at in ((5, 5), (3, 4)):      # first where nobody listens: all that came before must end
-            (tmp_path / "config.json").write_text(json.dumps({
-                **world.told, "discovery": f"127.0.0.1:{world.base + list_at}",
-                "rollouts": {"address": f"127.0.0.1:{world.base + desk_at}"}}))
+        for list_at, desk_at in ((5, 5), (3, 4)):  # first where nobody listens: all that came before must end
+            (tmp_path / "config.json").write_text(
+                json.dumps(
+                    {
+                        **world.told,
+                        "discovery": f"127.0.0.1:{world.base + list_at}",
+                        "rollouts": {"address": f"127.0.0.1:{world.base + desk_at}"},
+                    }
+                )
+            )
             world.edge.stop("HUP")
-        yield from world.until(lambda: {3, 4} <= {offset for offset, _, _ in world.asked} and len(world.feeds) == 2)
-        yield from world.until(lambda: world.feeds[0].over)                # the old feed is let go
-        yield from world.until(lambda: sorted(task.name for task in world.loop.tasks if task.name in (
-            "discovery", "feed")) == ["discovery", "feed"])
+        yield from world.until(
+            lambda: {3, 4} <= {offset for offset, _, _ in world.asked} and len(world.feeds) == 2
+        )
+        yield from world.until(lambda: world.feeds[0].over)  # the old feed is let go
+        yield from world.until(
+            lambda: sorted(task.name for task in world.loop.tasks if task.name in ("discovery", "feed"))
+            == ["discovery", "feed"]
+        )
         yield from world.edge.platform.vote(1, 0, "hold")
         return (yield from world.ask(statement(1)))
+
     assert world.run(go()) == [OK]
     assert world.asked[-1][0] == 4 and world.votes == [{"Revision": 1, "Wave": 0, "Decision": "pause"}]
-    assert [event for level, event, _ in world.log.lines if level == "error"] == ["configuration kept as it was"]
+    assert [event for level, event, _ in world.log.lines if level == "error"] == [
+        "configuration kept as it was"
+    ]
 
 
 def test_after_term_new_clients_are_served_for_a_while_and_open_hits_are_answered():
@@ -322,7 +423,8 @@
         late, answer = (yield from world.ask(statement(2))), told((yield from client.read()))
         yield from world.main.join()
         return late, answer[0]
-    assert world.run(go()) == ([OK], "53300")          # called off as silent; a repeat is harmless
+
+    assert world.run(go()) == ([OK], "53300")  # called off as silent; a repeat is harmless
 
 
 def test_what_is_still_open_when_the_time_after_term_is_up_gets_its_answer_then():
@@ -335,6 +437,7 @@
         yield from world.until(lambda: world.got)
         yield from world.edge.door.drain(50_000, 50_000)
         return world.edge.host.open_hits, told((yield from client.read()))
+
     assert world.run(go()) == (0, ("57014", None))
 
 
@@ -345,6 +448,7 @@
         world.edge.host.post("on_wrong", None)
         yield from world.until(lambda: world.deaths)
         return (yield from world.ask(statement(1)))[0], world.deaths.pop()[0]
+
     assert world.run(go()) == (OK, "decisions")
 
 
@@ -363,16 +467,33 @@
                     return
         except PeerLost:
             pass
+
     world.run(go())
     assert counts["unread"] == 1
 
 
-@pytest.mark.parametrize("change", [
-    {"settings": {}}, {"listen": None}, {"rollouts": {}}, {"listen": "nowhere"}, {"seed": "xyz"}, {"settings": 7},
-    {"limits": {"sockets": "many"}}, {"peers": 3}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"settings": {}},
+        {"listen": None},
+        {"rollouts": {}},
+        {"listen": "nowhere"},
+        {"seed": "xyz"},
+        {"settings": 7},
+        {"limits": {"sockets": "many"}},
+        {"peers": 3},
+    ],
+)
 def test_a_bad_configuration_is_one_clear_line(change, tmp_path):
-    fine = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "a",
-            "rollouts": {"address": "127.0.0.1:3"}, "settings": SETTINGS}
+    fine = {
+        "name": "n",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "seed": "a",
+        "rollouts": {"address": "127.0.0.1:3"},
+        "settings": SETTINGS,
+    }
     assert config_of(fine).runsheet["path_groups"][0]["name"] == "look"
     with pytest.raises(BadConfig) as trouble:
         config_of({**fine, **change})
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -1,4 +1,5 @@
 """Fetching: bad sources, cuts at any byte, shared chunks, rates; drawn plans."""
+
 import json
 
 import pytest
@@ -16,16 +17,23 @@
 from cobaltpond.loop.chance import seeded
 from cobaltpond.standins.buildserver import BuildServer
 
-# --- fetching --------------------------------------------------------------------------------------------------
+# --- fetching -----------------------------------------------------------------------------------------------
 
 
 class Yard:
     def __init__(self, tmp_path, servers=1, **more):
         self.loop = Loop(EpollKernel())
-        self.servers = [BuildServer(self.loop, self.loop.kernel.listen(("127.0.0.1", 0), 32)) for _ in range(servers)]
+        self.servers = [
+            BuildServer(self.loop, self.loop.kernel.listen(("127.0.0.1", 0), 32)) for _ in range(servers)
+        ]
         self.store = Store(self.loop.kernel, str(tmp_path / "store"))
-        self.fetcher = Fetcher(self.loop, self.store, [s.address for s in self.servers], seeded(1).randrange,
-                               **{"grace": 300_000, **more})
+        self.fetcher = Fetcher(
+            self.loop,
+            self.store,
+            [s.address for s in self.servers],
+            seeded(1).randrange,
+            **{"grace": 300_000, **more},
+        )
 
     def add(self, signed, chunks, servers=None):
         for server in servers or self.servers:
@@ -36,6 +44,7 @@
         def go():
             with Deadline(self.loop, bound):
                 yield from self.fetcher.fetch(manifest)
+
         try:
             self.loop.run(self.loop.spawn(go(), "fetch"))
         finally:
@@ -43,9 +52,19 @@
             self.store.close()
 
 
-@pytest.mark.parametrize("way, lost", [("cut 1000", "cut"), ("cut 0", "cut"), ("lie", "length"), ("junk", "digest"),
-                                       ("slow", "slow"), ("redirect", "redirect"), ("status", "status"),
-                                       ("redirect http://127.0.0.1:9/x", "redirect")])
+@pytest.mark.parametrize(
+    "way, lost",
+    [
+        ("cut 1000", "cut"),
+        ("cut 0", "cut"),
+        ("lie", "length"),
+        ("junk", "digest"),
+        ("slow", "slow"),
+        ("redirect", "redirect"),
+        ("status", "status"),
+        ("redirect http://127.0.0.1:9/x", "redirect"),
+    ],
+)
 def test_one_bad_source_beside_a_good_one(tmp_path, way, lost):
     yard = Yard(tmp_path, servers=2)
     manifest = yard.add(*build())
@@ -92,8 +111,13 @@
         before = yard.fetcher.bytes
         yield from yard.fetcher.fetch(second)
         return before, yard.fetcher.bytes - before
+
     before, after = yard.loop.run(yard.loop.spawn(both(), "both"))
-    assert before == 400_000 and after <= 44_096 and len(yard.servers[0].asked) == len(set(yard.servers[0].asked))
+    assert (
+        before == 400_000
+        and after <= 44_096
+        and len(yard.servers[0].asked) == len(set(yard.servers[0].asked))
+    )
 
 
 def test_no_more_than_the_rate_and_no_more_than_the_disk(tmp_path):
@@ -110,8 +134,10 @@
 
 
 @fixed
-@given(st.integers(0, 1 << 30), st.lists(st.sampled_from(["ok", "cut", "slow", "refused", "digest", "length"]),
-                                         max_size=60))
+@given(
+    st.integers(0, 1 << 30),
+    st.lists(st.sampled_from(["ok", "cut", "slow", "refused", "digest", "length"]), max_size=60),
+)
 def test_every_plan_ends_and_asks_nobody_who_lied_about_a_chunk(seed, ends):
     plan = FetchPlan({f"c{n}": 100 for n in range(6)}, ["a", "b", "c"], seeded(seed).randrange, most=3)
     now, out, lied, steps = 0, [], set(), 0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,6 @@
-"""Limits: the definition and the compiled form agree on drawn limits and hits; what a sheet may not say; leases."""
+"""Limits: the definition and the compiled form agree on drawn limits and hits; what a sheet may not say;
+leases."""
+
 import os
 import sys
 
@@ -26,17 +28,38 @@
         counts, share = draw(st.sampled_from(["hits", "tries", "repeats"])), draw(st.booleans()) and n > 0
         by = draw(st.sampled_from(["nothing", "customer", "key"]))
         within = out[0].name if out and not share and out[0].rate and draw(st.booleans()) else ""
-        out.append(Limit(
-            f"l{n}", "repeats" if share else counts, by, 0 if share else draw(st.integers(1, 20_000)),
-            draw(st.integers(1, 6)), "tries" if share else "", draw(st.integers(1, 900)) if share else 0, within,
-            draw(st.integers(0, out[0].rate)) if within else 0, draw(st.sampled_from(["bounce", "bounce", "count"])),
-            draw(st.booleans()), draw(st.integers(0, 4)) == 0, keys=1000,
-            group=draw(st.sampled_from([None, None, *GROUPS])), customer=draw(st.sampled_from([None, None, "ann"]))))
+        out.append(
+            Limit(
+                f"l{n}",
+                "repeats" if share else counts,
+                by,
+                0 if share else draw(st.integers(1, 20_000)),
+                draw(st.integers(1, 6)),
+                "tries" if share else "",
+                draw(st.integers(1, 900)) if share else 0,
+                within,
+                draw(st.integers(0, out[0].rate)) if within else 0,
+                draw(st.sampled_from(["bounce", "bounce", "count"])),
+                draw(st.booleans()),
+                draw(st.integers(0, 4)) == 0,
+                keys=1000,
+                group=draw(st.sampled_from([None, None, *GROUPS])),
+                customer=draw(st.sampled_from([None, None, "ann"])),
+            )
+        )
     return out
 
 
-HITS = st.lists(st.tuples(st.integers(0, 400_000), st.sampled_from(list(GROUPS)), st.sampled_from([None, "ann", "bob"]),
-                          st.sampled_from([None, 1, 2]), st.booleans()), max_size=60)
+HITS = st.lists(
+    st.tuples(
+        st.integers(0, 400_000),
+        st.sampled_from(list(GROUPS)),
+        st.sampled_from([None, "ann", "bob"]),
+        st.sampled_from([None, 1, 2]),
+        st.booleans(),
+    ),
+    max_size=60,
+)
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
@@ -67,7 +90,7 @@
             assert 0 < verdict.wait <= 100_000
             probe = Limits([limit])
             probe.levels["a"].rows[None] = list(compiled.levels["a"].rows[None])
-            assert probe.ask(at + verdict.wait, Hit("look", "repeatable")).by is None      # there is room then
+            assert probe.ask(at + verdict.wait, Hit("look", "repeatable")).by is None  # there is room then
     for begin in range(0, 9 * S, S // 10):
         assert sum(begin <= at < begin + S for at in through) <= 15
     assert 100 <= len(through) <= 106
@@ -77,10 +100,10 @@
     limit = Limit("retries", "repeats", "nothing", 0, 2, "tries", 200)
     first, again = Hit("look", "repeatable"), Hit("look", "repeatable", again=True)
     through, bounced = asked([limit], [(n, again) for n in range(5)])
-    assert (through, bounced) == (2, 3)                # the burst, and no more
+    assert (through, bounced) == (2, 3)  # the burst, and no more
     hits = [(n, again if n % 2 else first) for n in range(200)]
     through, bounced = asked([limit], hits)
-    assert 118 <= through <= 123                       # all first tries, a fifth as many repeats, and the burst
+    assert 118 <= through <= 123  # all first tries, a fifth as many repeats, and the burst
 
 
 def test_a_guarantee_holds_when_what_it_lies_within_is_over():
@@ -91,7 +114,7 @@
         for customer, times in (("ann", 9), ("bob", 1 if at % 500_000 == 0 else 0)):
             for _ in range(times):
                 through[customer] += compiled.ask(at, Hit("look", "repeatable", customer)).by is None
-    assert through["bob"] == 20                        # all of its two a second, whatever the other one wants
+    assert through["bob"] == 20  # all of its two a second, whatever the other one wants
     assert 90 <= through["ann"] <= 125
 
 
@@ -108,18 +131,24 @@
         compiled.ask(n * 100, Hit("look", "repeatable", key=n))
     assert len(compiled.levels["k"].rows) <= 101
     rows = Limits([Limit("k", "hits", "key", 1, 1, keys=3)])
-    assert [rows.ask(n, Hit("look", "repeatable", key=n)).by for n in range(6)] == [None] * 3 + [None, "k", "k"]
+    assert [rows.ask(n, Hit("look", "repeatable", key=n)).by for n in range(6)] == [None] * 3 + [
+        None,
+        "k",
+        "k",
+    ]
 
 
-# --- the sheet -----------------------------------------------------------------------------------------------------
+# --- the sheet ----------------------------------------------------------------------------------------------
 
 EXAMPLE = open("examples/resale.star").read()
-FINE = '''limit(name = "buys", where = where(group = "resale-buy"), by = "customer", rate = per_second(40), burst = 80)
+FINE = """limit(name = "buys", where = where(group = "resale-buy"), by = "customer", rate = per_second(40), \
+burst = 80)
 limit(name = "all", rate = per_second(900), burst = 100)
 limit(name = "floor", by = "customer", rate = per_second(500), burst = 10, within = "all", least = 0.1)
-limit(name = "retries", counts = "repeats", share_of = "tries", most = 0.2, burst = 20, over = bounce(advice = False))
+limit(name = "retries", counts = "repeats", share_of = "tries", most = 0.2, burst = 20, \
+over = bounce(advice = False))
 limit(name = "taste", by = "key", rate = per_minute(30), keys = 500, trial = True, over = only_count())
-'''
+"""
 
 
 def test_a_sheet_with_limits_is_read_and_its_digest_does_not_know_their_order():
@@ -132,50 +161,89 @@
     assert sheet.digest() != read_sheet("x", EXAMPLE + FINE.replace("(40)", "(41)")).digest()
 
 
-@pytest.mark.parametrize("line, said", [
-    ('limit(name = "a")', "either a rate or a share_of"),
-    ('limit(name = "a", rate = per_second(1), share_of = "tries", most = 0.1)', "either a rate or a share_of"),
-    ('limit(name = "a", rate = 40)\nlimit(name = "a", rate = 41)', "two limits are called 'a'"),
-    ('limit(name = "a", counts = "visits", rate = per_second(1))', "counts"),
-    ('limit(name = "a", counts = "repeats", share_of = "tries")', "needs most"),
-    ('limit(name = "a", counts = "hits", share_of = "tries", most = 0.1)', "share of itself"),
-    ('limit(name = "a", rate = per_second(1), where = where(group = "nope"))', "no path group 'nope'"),
-    ('limit(name = "a", rate = per_second(1), where = where(customer = "nope"))', "no customer 'nope'"),
-    ('limit(name = "a", rate = per_second(1), where = where(color = "red"))', "color"),
-    ('limit(name = "a", rate = per_second(1), by = "customer", where = where(customer = "emajoe-hall"))',
-     "leave out one"),
-    ('limit(name = "a", rate = per_second(1), scope = "fleet")', "needs members"),
-    ('limit(name = "a", rate = per_second(1), least = 0.5)', "say which one with within"),
-    ('limit(name = "a", rate = per_second(1), within = "b")', "no limit 'b' above this line"),
-    ('limit(name = "b", rate = per_second(1))\nlimit(name = "a", rate = per_second(2), within = "b")', "never binds"),
-    ('limit(name = "b", rate = per_second(9), where = where(group = "transfer"))\n'
-     'limit(name = "a", rate = per_second(2), within = "b")', "does not count all"),
-    ('limit(name = "b", rate = per_second(9))\n'
-     'limit(name = "a", by = "customer", rate = per_second(8), within = "b", least = 0.4)', "come to 1.20 of it"),
-    ('limit(name = "b", rate = per_second(9))\nlimit(name = "a", rate = per_second(1), within = "b", least = 0.5)',
-     "more than 'a' itself allows"),
-    ('limit(name = "b", rate = per_second(9))\nlimit(name = "a", rate = per_second(8))', "'b' never binds beside 'a'"),
-    ('limit(name = "a", rate = per_second(1), burst = 0)', "burst")])
+@pytest.mark.parametrize(
+    "line, said",
+    [
+        ('limit(name = "a")', "either a rate or a share_of"),
+        (
+            'limit(name = "a", rate = per_second(1), share_of = "tries", most = 0.1)',
+            "either a rate or a share_of",
+        ),
+        ('limit(name = "a", rate = 40)\nlimit(name = "a", rate = 41)', "two limits are called 'a'"),
+        ('limit(name = "a", counts = "visits", rate = per_second(1))', "counts"),
+        ('limit(name = "a", counts = "repeats", share_of = "tries")', "needs most"),
+        ('limit(name = "a", counts = "hits", share_of = "tries", most = 0.1)', "share of itself"),
+        ('limit(name = "a", rate = per_second(1), where = where(group = "nope"))', "no path group 'nope'"),
+        ('limit(name = "a", rate = per_second(1), where = where(customer = "nope"))', "no customer 'nope'"),
+        ('limit(name = "a", rate = per_second(1), where = where(color = "red"))', "color"),
+        (
+            'limit(name = "a", rate = per_second(1), by = "customer", '
+            'where = where(customer = "emajoe-hall"))',
+            "leave out one",
+        ),
+        ('limit(name = "a", rate = per_second(1), scope = "fleet")', "needs members"),
+        ('limit(name = "a", rate = per_second(1), least = 0.5)', "say which one with within"),
+        ('limit(name = "a", rate = per_second(1), within = "b")', "no limit 'b' above this line"),
+        (
+            'limit(name = "b", rate = per_second(1))\nlimit(name = "a", rate = per_second(2), within = "b")',
+            "never binds",
+        ),
+        (
+            'limit(name = "b", rate = per_second(9), where = where(group = "transfer"))\n'
+            'limit(name = "a", rate = per_second(2), within = "b")',
+            "does not count all",
+        ),
+        (
+            'limit(name = "b", rate = per_second(9))\n'
+            'limit(name = "a", by = "customer", rate = per_second(8), within = "b", least = 0.4)',
+            "come to 1.20 of it",
+        ),
+        (
+            'limit(name = "b", rate = per_second(9))\n'
+            'limit(name = "a", rate = per_second(1), within = "b", least = 0.5)',
+            "more than 'a' itself allows",
+        ),
+        (
+            'limit(name = "b", rate = per_second(9))\nlimit(name = "a", rate = per_second(8))',
+            "'b' never binds beside 'a'",
+        ),
+        ('limit(name = "a", rate = per_second(1), burst = 0)', "burst"),
+    ],
+)
 def test_what_a_limit_may_not_say_is_named_with_its_line(line, said):
     with pytest.raises(BadSheet) as trouble:
         read_sheet("f.star", EXAMPLE + line + "\n")
     number = len((EXAMPLE + line).splitlines())
-    assert said in str(trouble.value) and str(trouble.value).startswith(f"f.star:{number}: limit"), trouble.value
+    assert said in str(trouble.value) and str(trouble.value).startswith(
+        f"f.star:{number}: limit"
+    ), trouble.value
+
 
+# --- leases -------------------------------------------------------------------------------------------------
 
-# --- leases --------------------------------------------------------------------------------------------------------
 
 def test_no_interleaving_of_a_small_world_of_leases_passes_its_bound():
     """Further down by hand: `bench/leases_model.py --depth 7`."""
     from leases_model import search
+
     for depth, apart in ((4, False), (3, True)):
         worlds, path = search(depth, apart=apart)
         assert path is None and worlds > 500, (worlds, path)
 
 
-@pytest.mark.parametrize("name", ["no wait", "stands still unnoticed", "whole pool in a split", "forgets what is out",
-                                  "forgets an older lease", "counts from its coming"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "no wait",
+        "stands still unnoticed",
+        "whole pool in a split",
+        "forgets what is out",
+        "forgets an older lease",
+        "counts from its coming",
+    ],
+)
 def test_the_search_finds_what_is_broken_on_purpose(name):
     from leases_model import BREAKS, broken
+
     worlds, path = broken(name, 8, most=12_000)
     assert name in BREAKS and path is not None and " of 6" in path[-1], (worlds, path)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,5 @@
 """Tasks, deadlines, cancellation, timers, sockets and children of the loop, on the real kernel."""
+
 import ast
 import pathlib
 import resource
@@ -47,8 +48,9 @@
             with Deadline(loop, 20 * MS):
                 yield from inner()
         except TimedOut:
-            yield Sleep(1 * MS)                        # and nothing of it is left behind
+            yield Sleep(1 * MS)  # and nothing of it is left behind
             return loop.now() - began
+
     assert 20 * MS <= run(loop, outer()) < 200 * MS
 
 
@@ -62,6 +64,7 @@
                 pass
             yield Sleep(100)
         return "whole"
+
     assert run(loop, go()) == "whole"
 
 
@@ -82,6 +85,7 @@
         task.cancel()
         yield task
         return said
+
     assert run(loop, go()) == ["cleaning", "clean"] and not loop.deaths
 
 
@@ -98,6 +102,7 @@
         task = loop.spawn(victim(), "victim")
         task.cancel()
         yield task
+
     run(loop, go())
     assert said == ["clean"]
 
@@ -110,12 +115,14 @@
     def alone():
         loop.spawn(bad(), "bad")
         yield Sleep(5 * MS)
+
     run(loop, alone())
-    (name, trouble), = loop.deaths
+    ((name, trouble),) = loop.deaths
     assert name == "bad" and str(trouble) == "oh"
 
     def joined():
         yield from loop.spawn(bad(), "bad").join()
+
     with pytest.raises(ValueError):
         run(loop, joined())
     assert len(loop.deaths) == 1
@@ -136,9 +143,10 @@
         task = loop.spawn(waits(), "waits")
         yield Sleep(1 * MS)
         event.set("value")
-        task.interrupt(task)                           # in the same turn
+        task.interrupt(task)  # in the same turn
         task.spare(task)
         yield task
+
     run(loop, go())
     assert got == ["value", "late"]
 
@@ -158,6 +166,7 @@
             got.append((yield from queue.get()))
             yield Sleep(10)
         return got
+
     assert run(loop, go()) == list(range(50)) and max(most) <= 3
 
 
@@ -173,6 +182,7 @@
 
     def go():
         yield Sleep(10 * MS)
+
     began = loop.kernel.now()
     run(loop, go())
     assert fired == [1, 2, 3] and loop.kernel.now() - began < 500 * MS
@@ -189,7 +199,7 @@
         with pytest.raises(Refused):
             yield from dial(loop, nobody, 200 * MS)
         kept, late = [], False
-        for _ in range(20):                            # nobody accepts: the backlog fills, and then dials hang
+        for _ in range(20):  # nobody accepts: the backlog fills, and then dials hang
             try:
                 kept.append((yield from dial(loop, address, 50 * MS)))
             except TimedOut:
@@ -198,6 +208,7 @@
         for connection in kept:
             connection.close()
         return late
+
     assert run(loop, go())
 
 
@@ -223,6 +234,7 @@
             yield from connection.read()
         task.cancel()
         yield task
+
     run(loop, go())
     assert sum(map(len, got)) == 5 << 20
 
@@ -246,8 +258,7 @@
         try:
             with pytest.raises(HandlesUsedUp):
                 while True:
-                    hoard.append(loop.kernel.dial(
-                        listener.address()))
+                    hoard.append(loop.kernel.dial(listener.address()))
             yield from first.write(b"still here")
             assert (yield from first.read()) == b"still here"
             yield Sleep(20 * MS)
@@ -256,6 +267,7 @@
             for handle in hoard:
                 handle.close()
         from cobaltpond.loop import Connection
+
         late = Connection(loop, second)
         yield from late.write(b"late")
         with Deadline(loop, 2_000 * MS):
@@ -264,12 +276,14 @@
             connection.close()
         task.cancel()
         yield task
+
     run(loop, go())
     assert not loop.deaths
 
 
 def test_what_can_be_spared_goes_before_accepting_pauses(loop):
     """Found by simulation: hits waited in the backlog while idle connections held on to handles."""
+
     class Full:
         reader, tries, spared = None, 0, 0
 
@@ -284,6 +298,7 @@
 
         def close(self):
             pass
+
     full = Full()
 
     def go():
@@ -291,6 +306,7 @@
         yield Sleep(20 * MS)
         task.cancel()
         yield task
+
     run(loop, go())
     assert full.spared == 1 and full.tries >= 2
 
@@ -302,7 +318,7 @@
         def accept(self):
             self.tries += 1
             if self.tries == 1:
-                return None                            # nobody there: it waits
+                return None  # nobody there: it waits
             if self.tries < 5:
                 raise HandlesUsedUp("none left")
             self.taken += 1
@@ -310,6 +326,7 @@
 
         def close(self):
             self.closed = True
+
     used, answered = Used(), []
 
     def answer(connection):
@@ -322,13 +339,15 @@
         task.cancel()
         yield task
         yield Sleep(5 * MS)
+
     run(loop, go())
     assert answered == [True] and used.tries == 6 and not loop.deaths
 
 
 def test_children_end_and_are_told_to(loop, tmp_path):
-    child = loop.kernel.spawn([sys.executable, "-c", "print('up', flush=True); import time; time.sleep(60)"],
-                              str(tmp_path / "out"))
+    child = loop.kernel.spawn(
+        [sys.executable, "-c", "print('up', flush=True); import time; time.sleep(60)"], str(tmp_path / "out")
+    )
 
     def go():
         with Deadline(loop, 5_000 * MS):
@@ -338,6 +357,7 @@
             while child.ended() is None:
                 yield Sleep(2 * MS)
         return child.ended()
+
     assert run(loop, go()) == -15
 
 
@@ -345,15 +365,34 @@
     """Above loop/ nothing reads clocks, sockets, chance, processes or files by itself. The command line reads
     the files that it is given; the decisions and the bench's adapter import only what they always did."""
     root = pathlib.Path(__file__).parent.parent / "cobaltpond"
-    forbidden = {"time", "socket", "select", "selectors", "random", "subprocess", "threading", "asyncio", "signal",
-                 "secrets", "datetime", "uuid", "resource", "multiprocessing"}
+    forbidden = {
+        "time",
+        "socket",
+        "select",
+        "selectors",
+        "random",
+        "subprocess",
+        "threading",
+        "asyncio",
+        "signal",
+        "secrets",
+        "datetime",
+        "uuid",
+        "resource",
+        "multiprocessing",
+    }
     bad = []
     for path in sorted(root.rglob("*.py")):
         room = path.relative_to(root).parts[0]
         for node in ast.walk(ast.parse(path.read_text())):
-            names = [a.name for a in node.names] if isinstance(node, ast.Import) else (
-                [node.module or ""] if isinstance(node, ast.ImportFrom) else [])
-            bad += [f"{path.name}: import {n}" for n in names if n.split(".")[0] in forbidden and room != "loop"]
+            names = (
+                [a.name for a in node.names]
+                if isinstance(node, ast.Import)
+                else ([node.module or ""] if isinstance(node, ast.ImportFrom) else [])
+            )
+            bad += [
+                f"{path.name}: import {n}" for n in names if n.split(".")[0] in forbidden and room != "loop"
+            ]
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "open":
                 bad += [f"{path.name}: open"] if room not in ("loop", "cli") else []
             if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "os":
@@ -364,23 +403,52 @@
 
 def test_rooms_import_only_from_rooms_below():
     """The order of docs/architecture.md."""
-    order = ["decisions", "benchlink", "loop", "wire", "sheet", "keep", "calls", "builds", "audit", "members",
-             "recovery", "leases", "limits", "gateway", "edge", "desk", "agent", "standins", "day", "sim", "cli"]
-    alone = {"decisions": {"decisions"}, "benchlink": {"benchlink", "decisions"}, "loop": {"loop"}, "wire": {"wire"},
-             "audit": {"audit"}, "members": {"members", "loop"},
-             "recovery": {"recovery", "members", "keep", "loop"},
-             "leases": {"leases", "decisions", "members", "loop"}, "limits": {"limits"},
-             "keep": {"keep", "loop"}, "sheet": {"sheet", "wire"},
-             "builds": {"builds", "loop", "wire"},
-             "desk": {"desk", "builds", "keep", "loop", "wire", "sheet", "calls", "recovery"},
-             "agent": {"agent", "builds", "keep", "loop", "wire", "sheet", "calls"},
-             "standins": {"standins", "builds", "loop", "wire", "calls"}}
+    order = [
+        "decisions",
+        "benchlink",
+        "loop",
+        "wire",
+        "sheet",
+        "keep",
+        "calls",
+        "builds",
+        "audit",
+        "members",
+        "recovery",
+        "leases",
+        "limits",
+        "gateway",
+        "edge",
+        "desk",
+        "agent",
+        "standins",
+        "day",
+        "sim",
+        "cli",
+    ]
+    alone = {
+        "decisions": {"decisions"},
+        "benchlink": {"benchlink", "decisions"},
+        "loop": {"loop"},
+        "wire": {"wire"},
+        "audit": {"audit"},
+        "members": {"members", "loop"},
+        "recovery": {"recovery", "members", "keep", "loop"},
+        "leases": {"leases", "decisions", "members", "loop"},
+        "limits": {"limits"},
+        "keep": {"keep", "loop"},
+        "sheet": {"sheet", "wire"},
+        "builds": {"builds", "loop", "wire"},
+        "desk": {"desk", "builds", "keep", "loop", "wire", "sheet", "calls", "recovery"},
+        "agent": {"agent", "builds", "keep", "loop", "wire", "sheet", "calls"},
+        "standins": {"standins", "builds", "loop", "wire", "calls"},
+    }
     root, bad = pathlib.Path(__file__).parent.parent / "cobaltpond", []
     for path in sorted(root.rglob("*.py")):
         room = path.relative_to(root).parts[0]
         if room not in order:
             continue
-        allowed = alone.get(room, set(order[:order.index(room) + 1]))
+        allowed = alone.get(room, set(order[: order.index(room) + 1]))
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("cobaltpond."):
                 other = node.module.split(".")[1]
