--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -1,4 +1,6 @@
-"""A desk whose journal was lost, cut or put back from a copy: what it goes on from, at drawn moments of releases."""
+"""A desk whose journal was lost, cut or put back from a copy: what it goes on from, at drawn moments of
+releases."""
+
 import os
 from dataclasses import replace
 
@@ -35,7 +37,8 @@
     return one, one.conclude(running)
 
 
-# --- collecting --------------------------------------------------------------------------------------------------
+# --- collecting ---------------------------------------------------------------------------------------------
+
 
 def test_it_waits_for_all_that_it_spoke_to_but_no_longer_than_its_bound():
     one = returning()
@@ -44,7 +47,7 @@
     assert one.missing() == ["g1"] and not one.due(2 * S - 1) and one.due(2 * S)
     one.heard("g1", None)
     assert one.due(0) and one.state == COLLECTING
-    one.heard("g2", replace(SEEN, mark=(5, 6), build=9))           # an older word of the same one, come late
+    one.heard("g2", replace(SEEN, mark=(5, 6), build=9))  # an older word of the same one, come late
     assert one.words["g2"] == SEEN
 
 
@@ -54,30 +57,45 @@
         assert state == CARRIED and one.plan is None
 
 
-# --- concluding --------------------------------------------------------------------------------------------------
+# --- concluding ---------------------------------------------------------------------------------------------
+
 
 def test_an_older_journal_goes_on_from_what_was_seen_at_no_cap_above_the_lowest_heard():
     one, state = concluded([SEEN, replace(SEEN, mark=(5, 6), stage=0, cap=0.2), None])
-    assert state == RESUMED and (one.plan.build, one.plan.stage, one.plan.phase, one.plan.stable) == (43, 0, TRIAL, 42)
+    assert state == RESUMED and (one.plan.build, one.plan.stage, one.plan.phase, one.plan.stable) == (
+        43,
+        0,
+        TRIAL,
+        42,
+    )
     one, state = concluded([SEEN, SEEN])
     assert (one.plan.stage, one.plan.cap) == (1, 0.6)
     one, state = concluded([SEEN, replace(SEEN, mark=(5, 6), cap=0.1)])
-    assert one.plan.phase == GOING_BACK                # not even the first stage fits
+    assert one.plan.phase == GOING_BACK  # not even the first stage fits
 
 
-@pytest.mark.parametrize("other", [
-    replace(SEEN, mark=(5, 6), phase=GOING_BACK), replace(SEEN, mark=(4, 9), build=41, gone=(43,)),
-    replace(SEEN, mark=(5, 7), gone=(43, 40))])
+@pytest.mark.parametrize(
+    "other",
+    [
+        replace(SEEN, mark=(5, 6), phase=GOING_BACK),
+        replace(SEEN, mark=(4, 9), build=41, gone=(43,)),
+        replace(SEEN, mark=(5, 7), gone=(43, 40)),
+    ],
+)
 def test_a_build_that_anybody_saw_go_back_goes_back(other):
     one, state = concluded([SEEN, other])
     assert state == RESUMED and one.plan.phase == GOING_BACK and 43 in one.plan.condemned
 
 
-@pytest.mark.parametrize("words, why", [
-    ([SEEN, replace(SEEN, stage=2)], "g1: build 43 stage 2 trial"),
-    ([SEEN, replace(SEEN, phase=RELEASED)], "released"),
-    ([SEEN, replace(SEEN, stable=41)], "the one to return to"),
-    ([replace(SEEN, mark=(6, 1), build=42, phase=RELEASED), SEEN], "of build 42, but g1: build 43")])
+@pytest.mark.parametrize(
+    "words, why",
+    [
+        ([SEEN, replace(SEEN, stage=2)], "g1: build 43 stage 2 trial"),
+        ([SEEN, replace(SEEN, phase=RELEASED)], "released"),
+        ([SEEN, replace(SEEN, stable=41)], "the one to return to"),
+        ([replace(SEEN, mark=(6, 1), build=42, phase=RELEASED), SEEN], "of build 42, but g1: build 43"),
+    ],
+)
 def test_words_that_contradict_are_named_and_wait_for_the_operator(words, why):
     one, state = concluded(words)
     assert state == WAITING and why in one.why
@@ -95,38 +113,58 @@
 def test_a_late_word_of_somebody_who_was_cut_off():
     one, _ = concluded([SEEN])
     assert one.late("g2", None, 43, 6) == one.late("g2", replace(SEEN, mark=(5, 2)), 43, 6) == ""
-    assert one.late("g2", replace(SEEN, mark=(6, 9), build=44), 43, 6) == ""       # its own word, since it is back
+    assert one.late("g2", replace(SEEN, mark=(6, 9), build=44), 43, 6) == ""  # its own word, since it is back
     assert one.late("g2", replace(SEEN, mark=(5, 6), build=42, phase=RELEASED, gone=(43,)), 43, 6) == "back"
     one, _ = concluded([SEEN])
     assert one.late("g2", SEEN, 43, 6) == ""
     assert one.late("g2", replace(SEEN, mark=(5, 9), build=44), 43, 6) == "waiting" and "build 44" in one.why
 
 
-@pytest.mark.parametrize("bad", [
-    7, {}, {"mark": [1]}, {"mark": ["x", 1], "build": 1, "stage": 0, "phase": TRIAL, "cap": 1},
-    {"mark": [1, 1], "build": 1, "stage": 0, "phase": "no", "cap": 1},
-    {"mark": [1, 1], "build": 1, "stage": 0, "phase": TRIAL, "cap": None}])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        7,
+        {},
+        {"mark": [1]},
+        {"mark": ["x", 1], "build": 1, "stage": 0, "phase": TRIAL, "cap": 1},
+        {"mark": [1, 1], "build": 1, "stage": 0, "phase": "no", "cap": 1},
+        {"mark": [1, 1], "build": 1, "stage": 0, "phase": TRIAL, "cap": None},
+    ],
+)
 def test_a_word_that_makes_no_sense_is_none(bad):
     with pytest.raises(ValueError):
         word_of(bad)
     assert word_of(None) is None
 
 
-# --- whole releases, cut at drawn moments ----------------------------------------------------------------------------
-
-RELEASE = Release(gate="any", layout="beside", shares=[0.25, 0.5, 1.0], caps=list(CAPS), exposure_window=2 * S,
-                  vote_life=60 * S, vote_wait=S, dwell=0, settle=0, step=S, start_within=S, drain_time=0)
+# --- whole releases, cut at drawn moments -------------------------------------------------------------------
+
+RELEASE = Release(
+    gate="any",
+    layout="beside",
+    shares=[0.25, 0.5, 1.0],
+    caps=list(CAPS),
+    exposure_window=2 * S,
+    vote_life=60 * S,
+    vote_wait=S,
+    dwell=0,
+    settle=0,
+    step=S,
+    start_within=S,
+    drain_time=0,
+)
 ACTS = st.lists(st.sampled_from(["offer", "on", "on", "on", "back", "wait"]), min_size=1, max_size=25)
 
 
 class Told:
-    """A desk's stages with a platform that obeys at once; after each act, what is told, and who hears of it."""
+    """A desk's stages with a platform that obeys at once; after each act, what is told, and who hears of
+    it."""
 
     def __init__(self):
         self.stages, self.now, self.serial = Stages(RELEASE, [f"p{n}" for n in range(4)], 41), 0, 0
         self.platform()
         self.journal = [self.record(1)]
-        self.told = []                                 # every word ever told, in order
+        self.told = []  # every word ever told, in order
 
     def record(self, epoch):
         return {**self.stages.dump(), "told": [epoch, self.stages.turns]}
@@ -135,8 +173,11 @@
         for place in self.stages.places:
             for build in self.stages.wanted()[place]:
                 self.stages.machine(self.now, f"{place}/{build}", place, build, "up")
-            for id in [m.id for m in self.stages.machines.values()
-                       if m.place == place and m.build not in self.stages.wanted()[place]]:
+            for id in [
+                m.id
+                for m in self.stages.machines.values()
+                if m.place == place and m.build not in self.stages.wanted()[place]
+            ]:
                 self.stages.machine(self.now, id, place, 0, "gone")
 
     def act(self, what, epoch):
@@ -154,15 +195,26 @@
             self.platform()
         self.journal.append(self.record(epoch))
         news = stages.news(self.now)
-        self.told.append(Word((epoch, stages.turns), news["build"], news["stage"], news["phase"], news["cap"],
-                              stages.stable, tuple(stages.condemned)))
+        self.told.append(
+            Word(
+                (epoch, stages.turns),
+                news["build"],
+                news["stage"],
+                news["phase"],
+                news["cap"],
+                stages.stable,
+                tuple(stages.condemned),
+            )
+        )
 
 
 @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
-@given(ACTS, st.integers(0, 1000), st.integers(0, 1000), st.sampled_from(["lost", "cut", "rolled back"]), ACTS)
+@given(
+    ACTS, st.integers(0, 1000), st.integers(0, 1000), st.sampled_from(["lost", "cut", "rolled back"]), ACTS
+)
 def test_state_lost_at_any_moment_passes_no_cap_and_starts_no_condemned_build(acts, cut, behind, how, after):
-    """Three gateways: one heard all, one is `behind`, one has begun anew. What goes on from there offers nothing above
-    what was heard, brings nothing back that went back, and uses no mark twice."""
+    """Three gateways: one heard all, one is `behind`, one has begun anew. What goes on from there offers
+    nothing above what was heard, brings nothing back that went back, and uses no mark twice."""
     world = Told()
     for what in acts:
         world.act(what, 1)
@@ -170,7 +222,9 @@
     last = words[-1]
     older = words[max(0, len(words) - 1 - behind % 3)]
     kept = None if how == "lost" else world.journal[cut % len(world.journal)]
-    stages = Stages(RELEASE, [f"p{n}" for n in range(4)], max(m.build for m in world.stages.machines.values()))
+    stages = Stages(
+        RELEASE, [f"p{n}" for n in range(4)], max(m.build for m in world.stages.machines.values())
+    )
     if kept is not None:
         stages.load(kept, world.now)
     one = Returning(tuple(kept["told"]) if kept else None, ("g0", "g1", "g2"), CAPS, world.now, S)
@@ -183,8 +237,10 @@
     else:
         assert tuple(kept["told"]) >= last.mark
     epoch = max(2, one.floor() + 1)
-    lowest = min([w.cap for w in (last, older) if w.build == last.build and w.mark > (one.told or (0, 0))],
-                 default=last.cap)
+    lowest = min(
+        [w.cap for w in (last, older) if w.build == last.build and w.mark > (one.told or (0, 0))],
+        default=last.cap,
+    )
     assert stages.build == last.build and (stages.phase == RELEASED) == (last.phase == RELEASED)
     if stages.phase == TRIAL:
         assert stages.cap() <= lowest + 1e-9 and stages.build not in last.gone
--- a/tests/test_lost_desk.py
+++ b/tests/test_lost_desk.py
@@ -1,4 +1,5 @@
 """A real desk and real agents whose journals are lost or put back from a copy, with a release under way."""
+
 import os
 import shutil
 
@@ -31,8 +32,14 @@
 
 
 def settled(town, bound=15_000_000):
-    return (yield from town.insist("GET", "/v1/status", bound=bound,
-                                   good=lambda s, a: s == 200 and a["returning"]["state"] != "collecting"))
+    return (
+        yield from town.insist(
+            "GET",
+            "/v1/status",
+            bound=bound,
+            good=lambda s, a: s == 200 and a["returning"]["state"] != "collecting",
+        )
+    )
 
 
 @pytest.mark.parametrize("how", ["a copy from before it went back", "lost"])
@@ -46,7 +53,7 @@
         copy = copied(town, "copy")
         yield from town.vote(2, 0, "back")
         yield from town.until(lambda: town.exactly(1))
-        yield Sleep(1_200_000)                         # the hosts hear of it with the news' period
+        yield Sleep(1_200_000)  # the hosts hear of it with the news' period
         town.kill("desk")
         put_back(town, copy if how != "lost" else None)
         before = len(town.record)
@@ -58,9 +65,10 @@
         assert 2 in status["condemned"] and (2, "up") not in after and town.exactly(1)
         refused = yield from town.ask("POST", "/v1/builds", {"build": 2})
         assert refused[0] == 409
-        yield from on_trial(town, 3)                   # and it goes on
+        yield from on_trial(town, 3)  # and it goes on
         yield from town.push(3)
         yield from town.until(lambda: town.exactly(3))
+
     run.go(go())
     assert not run.deaths
 
@@ -85,6 +93,7 @@
         assert {place for place, build in town.up() if build == 1} == set(town.places)
         yield from town.push(2)
         yield from town.until(lambda: town.exactly(2))
+
     run.go(go())
     assert not run.deaths
 
@@ -95,17 +104,26 @@
 
     def go():
         yield from first_build(town)
-        running = {place: pid for pid, words in town.loop.kernel.command_lines() for place in town.places
-                   if any(word.startswith(f"{town.folder}/{place}/store") for word in words)}
+        running = {
+            place: pid
+            for pid, words in town.loop.kernel.command_lines()
+            for place in town.places
+            if any(word.startswith(f"{town.folder}/{place}/store") for word in words)
+        }
         town.kill("h1")
         shutil.rmtree(os.path.join(town.folder, "h1", "journal"))
         town.start("h1")
         yield Sleep(2_500_000)
-        now = {place: pid for pid, words in town.loop.kernel.command_lines() for place in town.places
-               if any(word.startswith(f"{town.folder}/{place}/store") for word in words)}
+        now = {
+            place: pid
+            for pid, words in town.loop.kernel.command_lines()
+            for place in town.places
+            if any(word.startswith(f"{town.folder}/{place}/store") for word in words)
+        }
         assert now == running and town.exactly(1)
         yield from on_trial(town, 2)
         yield from town.push(2)
         yield from town.until(lambda: town.exactly(2))
+
     run.go(go())
     assert not run.deaths
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,5 @@
 """Membership between real gateway processes, with faults between them and in them."""
+
 import json
 import subprocess
 import sys
@@ -40,9 +41,10 @@
         assert None not in (yield from one.hits(2, 5))
         one.signal("CONT", 1)
         yield from one.until_seen("alive", [0, 1, 2, 3], [0, 1, 2, 3])
+
     one.run(go())
     assert "failed" not in changes(one, 0, 4) and "suspect" not in changes(one, 0, 4)
-    assert not any("failed" in changes(one, 1, n) for n in (0, 2))       # whoever stood still accused nobody
+    assert not any("failed" in changes(one, 1, n) for n in (0, 2))  # whoever stood still accused nobody
 
 
 def test_a_zone_cut_off_a_one_way_link_and_rough_links(tmp_path):
@@ -51,11 +53,12 @@
 
     def go():
         yield from one.gathered()
-        one.links[1, 0].cut = True                     # 0 does not hear 1; 1 hears 0
+        one.links[1, 0].cut = True  # 0 does not hear 1; 1 hears 0
 
         def named():
             table = yield from one.table(0)
             return table["broken_links"] == [1]
+
         yield from one.until(named)
         states = yield from one.states(0)
         assert states[1] == "alive"
@@ -63,26 +66,29 @@
         one.between(range(6), range(6), lose=0.1, repeat=0.3, late=(0, 20 * MS))
         assert None not in (yield from one.hits(3, 10))
         one.between(range(6), range(6), lose=0.0, repeat=0.0, late=(0, 0))
-        one.between([1], [0, 2, 3, 4, 5], cut=True)    # one alone
+        one.between([1], [0, 2, 3, 4, 5], cut=True)  # one alone
 
         def alone():
             return (yield from one.get(1, "/-/prefer"))[0] == 503
+
         yield from one.until(alone)
         assert (yield from one.get(1, "/-/ready"))[0] == 200
-        assert None not in (yield from one.hits(1, 5)) # it goes on serving whoever comes
+        assert None not in (yield from one.hits(1, 5))  # it goes on serving whoever comes
         assert (yield from one.get(0, "/-/prefer"))[0] == 200
         one.between([1], [0, 2, 3, 4, 5], cut=False)
 
         def back():
             return (yield from one.get(1, "/-/prefer"))[0] == 200
+
         yield from one.until(back)
         one.between(north, south, cut=True)
         yield from one.until_seen("failed", south, north)
         yield from one.until_seen("failed", north, south)
         one.between(north, south, cut=False)
         yield from one.until_seen("alive", range(6), range(6))
+
     one.run(go())
-    assert changes(one, 0, 1)[0] == "alive" and "failed" in changes(one, 0, 1)     # by the cuts, not by the link
+    assert changes(one, 0, 1)[0] == "alive" and "failed" in changes(one, 0, 1)  # by the cuts, not by the link
 
 
 def test_what_others_hear_of_a_release_and_of_instances_shuts_and_never_opens(tmp_path):
@@ -99,27 +105,31 @@
 
         def seen():
             return new_ones((yield from one.hits(0, 10)))
+
         yield from one.until(seen)
-        one.deaf_desk[0] = True                        # its own link stays up and says nothing
+        one.deaf_desk[0] = True  # its own link stays up and says nothing
         one.tell_news([1, 2], build=2, stage=1, phase="going back", cap=0.0)
 
         def shut():
             table = yield from one.table(0)
             return table["hearsay"]["shut"] == 2
+
         yield from one.until(shut)
         assert not new_ones((yield from one.hits(0, 20)))
         one.tell_news([1, 2], build=2, stage=1, phase="released", cap=1.0)
-        assert not new_ones((yield from one.hits(0, 20)))      # no word of theirs opens it
+        assert not new_ones((yield from one.hits(0, 20)))  # no word of theirs opens it
         one.tell_news([0], build=2, stage=1, phase="released", cap=1.0)
-        yield from one.until(seen)                     # its own desk's does
-        for n in range(3):                             # and an instance that drains by others' lists
+        yield from one.until(seen)  # its own desk's does
+        for n in range(3):  # and an instance that drains by others' lists
             row = next(r for r in one.rows if r["id"] == f"old-{n}")
             one.tell_list({**row, "state": "draining"}, [1, 2])
 
         def drained():
             names = yield from one.hits(0, 12)
             return None not in names and len(new_ones(names)) == 12
+
         yield from one.until(drained)
+
     one.run(go())
 
 
@@ -140,9 +150,11 @@
         def heard():
             table = yield from one.table(0)
             return table and table["evidence"]["answers"] == 2 and table["evidence"]["tallies"]
+
         yield from one.until(heard)
         status, body = yield from one.get(0, "/-/status")
         assert json.loads(body)["hits"]["taken"] == 0
+
     one.run(go())
 
 
@@ -154,21 +166,32 @@
         one.signal("KILL", 2)
         yield from one.until_seen("failed", [2], [0, 1])
         told = one.loop.kernel.spawn(
-            [sys.executable, "-m", "cobaltpond", "members", one.sheet(0), "--as-json"], str(tmp_path / "told"))
+            [sys.executable, "-m", "cobaltpond", "members", one.sheet(0), "--as-json"], str(tmp_path / "told")
+        )
         yield from one.until(lambda: ended(told))
         return told.ended()
 
     def ended(child):
         return child.ended() is not None
         yield
+
     assert one.run(go()) == 1
     told = json.loads((tmp_path / "told").read_text())
-    assert told["silent"] == [2] and told["members"][2]["state"] == "failed" and not told["members"][0]["otherwise"]
-
-
-@pytest.mark.parametrize("line, why", [
-    ("members(period = ms(200), wait = ms(100))", "wait may be a third of period"),
-    ("members(period = 5)", "period"), ("members()\nmembers()", "only one such call")])
+    assert (
+        told["silent"] == [2]
+        and told["members"][2]["state"] == "failed"
+        and not told["members"][0]["otherwise"]
+    )
+
+
+@pytest.mark.parametrize(
+    "line, why",
+    [
+        ("members(period = ms(200), wait = ms(100))", "wait may be a third of period"),
+        ("members(period = 5)", "period"),
+        ("members()\nmembers()", "only one such call"),
+    ],
+)
 def test_a_sheet_whose_membership_makes_no_sense_is_refused_with_its_line(tmp_path, line, why):
     one = rig(tmp_path, 2)
     path = one.sheet(0)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,5 @@
 """Membership: the table, the datagram, hearsay, and whole societies of its service on the virtual kernel."""
+
 import os
 
 import pytest
@@ -30,7 +31,8 @@
 BRISK = Settings(200_000, 60_000)
 
 
-# --- the table -------------------------------------------------------------------------------------------------
+# --- the table ----------------------------------------------------------------------------------------------
+
 
 def test_every_change_goes_by_the_table_and_a_failed_one_comes_back_only_by_its_own_word():
     member = Member(3, "a", 0)
@@ -51,11 +53,18 @@
     member = Member(3, "a", 0)
     change(member, HEARD, 1, 3, 100, 4)
     change(member, "told left", 2, 3, 100, 4)
-    assert not member.newer(FAILED, 100, 4) and not member.newer(ALIVE, 100, 4) and member.newer(ALIVE, 101, 0)
+    assert (
+        not member.newer(FAILED, 100, 4) and not member.newer(ALIVE, 100, 4) and member.newer(ALIVE, 101, 0)
+    )
 
 
-ROWS = st.tuples(st.integers(1, 4), st.integers(1, 3), st.integers(0, 3),
-                 st.sampled_from([ALIVE, SUSPECT, FAILED, LEFT]), st.integers(1, 4))
+ROWS = st.tuples(
+    st.integers(1, 4),
+    st.integers(1, 3),
+    st.integers(0, 3),
+    st.sampled_from([ALIVE, SUSPECT, FAILED, LEFT]),
+    st.integers(1, 4),
+)
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
@@ -70,12 +79,13 @@
         view = View(0, dict.fromkeys(range(5), "a"), Settings(), Chance(1), 50, 0)
         for row in rows:
             view.told(10, *row)
-        assert {n: (m.start, m.incarnation, rank[m.state]) for n, m in view.members.items()
-                if m.state != UNHEARD} == best
+        assert {
+            n: (m.start, m.incarnation, rank[m.state]) for n, m in view.members.items() if m.state != UNHEARD
+        } == best
         again = 0
         for n in view.zones:
             again ^= view.row_hash(n)
-        assert view.hash == again                      # kept up step by step, it is what it would be anew
+        assert view.hash == again  # kept up step by step, it is what it would be anew
         dice.shuffle(rows)
 
 
@@ -84,7 +94,8 @@
         assert set(CAUSE_OF.values()) <= set(nexts), state
 
 
-# --- the datagram ----------------------------------------------------------------------------------------------
+# --- the datagram -------------------------------------------------------------------------------------------
+
 
 def pair(zones="ab", settings=BRISK):
     names = {n: zones[n % len(zones)] for n in range(4)}
@@ -114,10 +125,18 @@
     assert sum(m.state != UNHEARD for m in other.members.values()) >= 5
 
 
-@pytest.mark.parametrize("spoil, why", [
-    (lambda d: b"", "length"), (lambda d: d[:-1], "checksum"), (lambda d: d + b"\0", "checksum"),
-    (lambda d: d[:10] + bytes([d[10] ^ 1]) + d[11:], "checksum"), (lambda d: bytes([0x25]) + d[1:], "version"),
-    (lambda d: d + bytes(260), "length"), (lambda d: b"\xff" * len(d), "version")])
+@pytest.mark.parametrize(
+    "spoil, why",
+    [
+        (lambda d: b"", "length"),
+        (lambda d: d[:-1], "checksum"),
+        (lambda d: d + b"\0", "checksum"),
+        (lambda d: d[:10] + bytes([d[10] ^ 1]) + d[11:], "checksum"),
+        (lambda d: bytes([0x25]) + d[1:], "version"),
+        (lambda d: d + bytes(260), "length"),
+        (lambda d: b"\xff" * len(d), "version"),
+    ],
+)
 def test_what_is_garbled_is_dropped_and_nothing_of_it_kept(spoil, why):
     one, two = pair()[:2]
     with pytest.raises(wire.Odd, match=why):
@@ -128,7 +147,7 @@
 def test_anothers_datagram_is_not_taken():
     one, two, three, _ = pair()
     with pytest.raises(wire.Odd, match="checksum"):
-        two.heard(5, 2, datagram(one))                 # said to come from the third
+        two.heard(5, 2, datagram(one))  # said to come from the third
     with pytest.raises(wire.Odd, match="receiver"):
         three.heard(5, 0, datagram(one))
     with pytest.raises(wire.Odd, match="stranger"):
@@ -140,13 +159,19 @@
     one.told_of_me["out"] = 41
     fields = wire.self_field({**one.told_of_me, "start": 1000, "incarnation": 0, "state": 1})
     longer = wire.field(wire.SELF, fields[2:] + b"later")
-    data = wire.sealed(wire.PING, 0, 1, 7, 1, wire.field(200, b"unknown") + longer + wire.field(wire.NEWS, bytes(20)))
+    data = wire.sealed(
+        wire.PING, 0, 1, 7, 1, wire.field(200, b"unknown") + longer + wire.field(wire.NEWS, bytes(20))
+    )
     newer = bytes([wire.MAJOR << 4 | 5]) + data[1:]
-    newer = newer[:2] + wire.pack(">I", wire.crc32(wire.pack(">HBB", 0, newer[0], newer[1]) + newer[6:])) + newer[6:]
+    newer = (
+        newer[:2]
+        + wire.pack(">I", wire.crc32(wire.pack(">HBB", 0, newer[0], newer[1]) + newer[6:]))
+        + newer[6:]
+    )
     for n, given_ in enumerate((data, newer)):
         two.heard(5 + n, 0, given_)
     assert two.members[0].state == ALIVE and two.members[0].facts["out"] == 41
-    assert len(two.out) == 2                           # both were answered
+    assert len(two.out) == 2  # both were answered
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
@@ -155,8 +180,13 @@
     one, two = pair()[:2]
     whole = datagram(one)
     at %= len(whole)
-    for data in (noise, whole[:at] + bytes([byte]) + whole[at + 1:], whole[:at], whole + noise,
-                 wire.sealed(wire.PING, 0, 1, 1, 1, noise[:200])):
+    for data in (
+        noise,
+        whole[:at] + bytes([byte]) + whole[at + 1 :],
+        whole[:at],
+        whole + noise,
+        wire.sealed(wire.PING, 0, 1, 1, 1, noise[:200]),
+    ):
         try:
             two.heard(5, 0, data)
         except wire.Odd:
@@ -172,7 +202,7 @@
     two.heard(5, 0, datagram(one))
     two.heard(6, 0, first)
     assert two.members[0].facts["out"] == 2 and two.counts["old"] == 1
-    two.told(7, 0, 2000, 0, ALIVE, 3)                  # a newer start is known by now
+    two.told(7, 0, 2000, 0, ALIVE, 3)  # a newer start is known by now
     two.out.clear()
     two.heard(8, 0, datagram(one))
     assert two.members[0].start == 2000 and not two.out
@@ -189,7 +219,8 @@
 
 
 def test_a_probe_of_a_former_life_says_nothing_of_the_next():
-    """Found by a transcript: killed while asked, and back before the wait was over, it was doubted in its new life."""
+    """Found by a transcript: killed while asked, and back before the wait was over, it was doubted in its new
+    life."""
     one, other = pair()[:2]
     one.told(0, 1, 1001, 0, ALIVE, 1)
     one.begin_probe(10)
@@ -199,7 +230,8 @@
     assert one.members[1].state == ALIVE and one.counts["probes failed"] == 0
 
 
-# --- hearsay ---------------------------------------------------------------------------------------------------
+# --- hearsay ------------------------------------------------------------------------------------------------
+
 
 def hearsay():
     said = []
@@ -213,13 +245,22 @@
 TRIAL, RELEASED, BACK, GONE_ = 0, 1, 2, 3
 
 
-@pytest.mark.parametrize("own, told, shut", [
-    ((7, 1, "trial", 0.5), (7, 1, BACK, 0.0), True), ((7, 1, "released", 1.0), (7, 1, GONE_, 0.0), True),
-    ((7, 1, "trial", 0.5), (8, 0, BACK, 0.0), True), ((7, 1, "trial", 0.5), (7, 1, TRIAL, 0.2), True),
-    ((7, 1, "trial", 0.5), (7, 0, TRIAL, 0.2), False),           # its teller is behind
-    ((7, 1, "trial", 0.5), (6, 1, BACK, 0.0), False), ((7, 1, "trial", 0.5), (7, 1, RELEASED, 1.0), False),
-    ((7, 1, "trial", 0.5), (7, 2, TRIAL, 1.0), False), ((7, 1, "trial", 0.5), (8, 0, TRIAL, 1.0), False),
-    ((7, 1, "withdrawn", 0.0), (7, 1, BACK, 0.0), False), ((7, 1, "trial", 0.5), (7, 1, 9, 0.0), False)])
+@pytest.mark.parametrize(
+    "own, told, shut",
+    [
+        ((7, 1, "trial", 0.5), (7, 1, BACK, 0.0), True),
+        ((7, 1, "released", 1.0), (7, 1, GONE_, 0.0), True),
+        ((7, 1, "trial", 0.5), (8, 0, BACK, 0.0), True),
+        ((7, 1, "trial", 0.5), (7, 1, TRIAL, 0.2), True),
+        ((7, 1, "trial", 0.5), (7, 0, TRIAL, 0.2), False),  # its teller is behind
+        ((7, 1, "trial", 0.5), (6, 1, BACK, 0.0), False),
+        ((7, 1, "trial", 0.5), (7, 1, RELEASED, 1.0), False),
+        ((7, 1, "trial", 0.5), (7, 2, TRIAL, 1.0), False),
+        ((7, 1, "trial", 0.5), (8, 0, TRIAL, 1.0), False),
+        ((7, 1, "withdrawn", 0.0), (7, 1, BACK, 0.0), False),
+        ((7, 1, "trial", 0.5), (7, 1, 9, 0.0), False),
+    ],
+)
 def test_a_member_s_word_only_ever_shuts(own, told, shut):
     one, member, said = hearsay()
     one.news(100, *own, 50)
@@ -232,7 +273,7 @@
     one, member, said = hearsay()
     one.news(100, 7, 1, "trial", 0.5, 50)
     one.word(200, member, (7, 1, BACK, 0.0, 10), [])
-    assert one.say(300)[0] == (7, 1, BACK, 0.0, 110)   # told on, older by the time it lay here
+    assert one.say(300)[0] == (7, 1, BACK, 0.0, 110)  # told on, older by the time it lay here
     one.news(400, 7, 1, "trial", 0.5, 350)
     one.word(500, member, (7, 1, BACK, 0.0, 310), [])
     assert said == [("on_shut", 7), ("on_shut", None)] and one.say(500)[0][2] == TRIAL
@@ -242,7 +283,7 @@
     one, member, said = hearsay()
     one.listed(0, 9, [5])
     one.word(1, member, None, [11])
-    assert said == []                                  # that list is as old as ours
+    assert said == []  # that list is as old as ours
     member.facts["revision"] = 10
     one.word(2, member, None, [11])
     assert said == [("on_drains", [11])]
@@ -255,6 +296,7 @@
 
     def judges(build, living):
         return sorted(living, key=lambda n: -lot(build, n))[:2]
+
     times = {n: 0 for n in everybody}
     for build in range(2000):
         before = judges(build, everybody)
@@ -262,46 +304,65 @@
         assert after[0] == before[1] and after[1] not in before
         for n in before:
             times[n] += 1
-    assert min(times.values()) > 40 and max(times.values()) < 130     # 80 on the mean
+    assert min(times.values()) > 40 and max(times.values()) < 130  # 80 on the mean
 
 
 def test_counts_of_a_trial_are_asked_of_two_weighed_by_age_and_never_added_up():
     said = []
     one = Evidence(1000, lambda *what: said.append(what), Chance(3), 500)
-    one.news(600, 7, "trial", 50)                      # began after we did: nothing was missed
+    one.news(600, 7, "trial", 50)  # began after we did: nothing was missed
     assert one.due(600, [1, 2, 3, 4]) == []
     one.news(610, 8, "trial", 300)
     first = one.due(610, [1, 2, 3, 4])
     assert len(first) == 2 and one.due(620, [1, 2, 3, 4]) == []
-    one.answered(9, [(8, "look", 100, 50, 0)])         # was not asked
+    one.answered(9, [(8, "look", 100, 50, 0)])  # was not asked
     assert said == []
     one.answered(first[0], [(8, "look", 100, 10, 500), (7, "look", 40, 0, 2000)])
     assert said == [("on_tally", 8, "look", 50, 5, 0, 500)]
     one.answered(first[0], [(8, "look", 900, 90, 0)])  # it has answered
     living = [n for n in (1, 2, 3, 4) if n != first[1]]
-    second = one.due(610 + 500_000, living)            # the other one has gone: another is asked
+    second = one.due(610 + 500_000, living)  # the other one has gone: another is asked
     assert len(second) == 1 and second[0] not in first
-    one.answered(second[0], [(8, "look", 80, 6, 0)])   # of the same hits, perhaps: the larger holds
+    one.answered(second[0], [(8, "look", 80, 6, 0)])  # of the same hits, perhaps: the larger holds
     assert said[1:] == [("on_tally", 8, "look", 30, 1, 0, 0)]
     assert one.due(10**9, living) == []
 
 
-# --- who is there in whose eyes --------------------------------------------------------------------------------
+# --- who is there in whose eyes -----------------------------------------------------------------------------
+
 
 def test_tables_side_by_side_name_who_differs_and_since_when():
     def table(at, **states):
-        rows = [{"number": n, "zone": "a", "state": ALIVE, "start": 5, "since_us": 9_000_000, "settings": 1,
-                 "version": 2, "revision": 3 + (at == 2), "build": 1, "stage": 0, "phase": 1, "cause": "", "by": None}
-                for n in range(3)]
+        rows = [
+            {
+                "number": n,
+                "zone": "a",
+                "state": ALIVE,
+                "start": 5,
+                "since_us": 9_000_000,
+                "settings": 1,
+                "version": 2,
+                "revision": 3 + (at == 2),
+                "build": 1,
+                "stage": 0,
+                "phase": 1,
+                "cause": "",
+                "by": None,
+            }
+            for n in range(3)
+        ]
         for name, state in states.items():
             rows[int(name[1:])].update(state=state, since_us=2_000_000, cause="ran out", by=at)
         return {"members": rows, "zones": {"a": "fine"}, "broken_links": []}
+
     told = compare({0: table(0), 1: table(1), 2: table(2, m0=FAILED), 3: None})
     assert told["silent"] == [3] and told["apart"]["revision"] == {"3": [0, 1], "4": [2]}
-    assert told["members"][0]["otherwise"] == {2: {"state": FAILED, "since_us": 2_000_000, "cause": "ran out", "by": 2}}
+    assert told["members"][0]["otherwise"] == {
+        2: {"state": FAILED, "since_us": 2_000_000, "cause": "ran out", "by": 2}
+    }
     text = "\n".join(lines(told))
     assert "no answer from: 3" in text and "but failed at gateway 2 for 2.0 s (ran out by 2)" in text
     idle = table(1)
-    idle["members"][1]["flags"] = 0                    # answers probes, and has no open door
+    idle["members"][1]["flags"] = 0  # answers probes, and has no open door
     assert "there, but not open for hits: 1" in "\n".join(lines(compare({0: table(0), 1: idle})))
     assert some([0, 1, 2, 5, 7, 8]) == "0-2, 5, 7-8"
--- a/tests/test_pg.py
+++ b/tests/test_pg.py
@@ -1,4 +1,6 @@
-"""PostgreSQL's protocol and the platform's statements: cut anywhere, bad lengths, noise, what may not pass."""
+"""PostgreSQL's protocol and the platform's statements: cut anywhere, bad lengths, noise, what may not
+pass."""
+
 import struct
 
 import pytest
@@ -22,8 +24,10 @@
 
 
 @fixed
-@given(st.lists(st.binary(min_size=1, max_size=60).map(lambda b: b.replace(b"\0", b"x")), max_size=4),
-       st.lists(st.integers(0, 400), max_size=12))
+@given(
+    st.lists(st.binary(min_size=1, max_size=60).map(lambda b: b.replace(b"\0", b"x")), max_size=4),
+    st.lists(st.integers(0, 400), max_size=12),
+)
 def test_clients_read_the_same_however_they_are_cut(queries, cuts):
     data = struct.pack(">II", 8, pg.TLS) + pg.startup("web", "orders") + b"".join(map(pg.query, queries))
     data += pg.message(b"X", b"")
@@ -72,18 +76,42 @@
     assert not answers.whole
 
 
-@pytest.mark.parametrize("data", [
-    b"\0\0\0\0", b"\xff\xff\xff\xff", b"\0\0\0\7", b"\0\1\0\0", b"GET / HTTP/1.1\r\n", b"a" * 8,
-    struct.pack(">II", 8, 2 << 16), struct.pack(">II", 9, pg.TLS), struct.pack(">II", 8, pg.TLS) * 3,
-    struct.pack(">II", 14, 3 << 16) + b"user\0\0", struct.pack(">II", 15, 3 << 16) + b"user\0\0\0"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\0\0\0\0",
+        b"\xff\xff\xff\xff",
+        b"\0\0\0\7",
+        b"\0\1\0\0",
+        b"GET / HTTP/1.1\r\n",
+        b"a" * 8,
+        struct.pack(">II", 8, 2 << 16),
+        struct.pack(">II", 9, pg.TLS),
+        struct.pack(">II", 8, pg.TLS) * 3,
+        struct.pack(">II", 14, 3 << 16) + b"user\0\0",
+        struct.pack(">II", 15, 3 << 16) + b"user\0\0\0",
+    ],
+)
 def test_bad_openings_are_told_apart_at_once(data):
-    (kind, trouble), = pg.Asked().feed(data)[-1:]
+    ((kind, trouble),) = pg.Asked().feed(data)[-1:]
     assert kind == "wrong" and len(trouble.code) == 5
 
 
-@pytest.mark.parametrize("data", [
-    b"Q\xff\xff\xff\xff", b"Q\0\0\0\4", b"Q\0\0\0\0", b"Q\x7f\xff\xff\xff", b"X\0\0\0\5", b"P\0\0\0\x10", b"\0",
-    b"Q" + struct.pack(">I", pg.QUERY_MOST + 1), b"Q\0\0\0\6ab", b"Q\0\0\0\7a\0\0"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"Q\xff\xff\xff\xff",
+        b"Q\0\0\0\4",
+        b"Q\0\0\0\0",
+        b"Q\x7f\xff\xff\xff",
+        b"X\0\0\0\5",
+        b"P\0\0\0\x10",
+        b"\0",
+        b"Q" + struct.pack(">I", pg.QUERY_MOST + 1),
+        b"Q\0\0\0\6ab",
+        b"Q\0\0\0\7a\0\0",
+    ],
+)
 def test_a_length_is_judged_before_anything_is_kept(data):
     asked = pg.Asked()
     asked.feed(pg.startup("web", "orders"))
@@ -93,16 +121,31 @@
 
 def spoil(at, by):
     data = row(b"value") + pg.READY
-    return data[:at] + by + data[at + len(by):]
-
-
-@pytest.mark.parametrize("data", [
-    spoil(0, b"\x13"), spoil(1, b"\xff\xff\xff\xff"), spoil(1, b"\0\0\0\0"), spoil(5, b"\0\2"), row(tag=b"SELECT 2"),
-    row(tag=b"INSERT 0 1"), row(b"x" * (pg.VALUE_MOST + 100)), pg.message(b"D", b"\0\1\0\0\0\1x"), pg.READY,
-    row()[:40] + row(), pg.message(b"T", b"\0\1"), row().replace(b"\0\0\0\x04fine", b"\0\0\0\x09fine"),
-    row().replace(b"\0\0\0\x04fine", b"\xff\xff\xff\xfffine"), pg.message(b"E", b"no code"),
-    pg.message(b"R", b"\0" * 4),
-    b"D" + struct.pack(">I", 3 << 30), pg.message(b"N", b"x") * 40])
+    return data[:at] + by + data[at + len(by) :]
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        spoil(0, b"\x13"),
+        spoil(1, b"\xff\xff\xff\xff"),
+        spoil(1, b"\0\0\0\0"),
+        spoil(5, b"\0\2"),
+        row(tag=b"SELECT 2"),
+        row(tag=b"INSERT 0 1"),
+        row(b"x" * (pg.VALUE_MOST + 100)),
+        pg.message(b"D", b"\0\1\0\0\0\1x"),
+        pg.READY,
+        row()[:40] + row(),
+        pg.message(b"T", b"\0\1"),
+        row().replace(b"\0\0\0\x04fine", b"\0\0\0\x09fine"),
+        row().replace(b"\0\0\0\x04fine", b"\xff\xff\xff\xfffine"),
+        pg.message(b"E", b"no code"),
+        pg.message(b"R", b"\0" * 4),
+        b"D" + struct.pack(">I", 3 << 30),
+        pg.message(b"N", b"x") * 40,
+    ],
+)
 def test_a_spoilt_answer_is_never_whole(data):
     answers = pg.Answers()
     answers.feed(pg.welcome())
@@ -112,8 +155,17 @@
     assert not answers.whole and len(answers.rest) < 1000
 
 
-@pytest.mark.parametrize("more", [row(), b"\xde\xad\xbe\xef noise", pg.READY + b"x", pg.READY + row(),
-                                  b"D" + struct.pack(">I", 3 << 30), pg.message(b"Z", b"?")])
+@pytest.mark.parametrize(
+    "more",
+    [
+        row(),
+        b"\xde\xad\xbe\xef noise",
+        pg.READY + b"x",
+        pg.READY + row(),
+        b"D" + struct.pack(">I", 3 << 30),
+        pg.message(b"Z", b"?"),
+    ],
+)
 def test_a_good_answer_with_more_than_belongs_to_it_is_good_and_the_connection_is_not(more):
     answers = pg.Answers()
     answers.feed(pg.welcome())
@@ -122,8 +174,22 @@
     assert answers.whole and answers.value == row(b"value") and not answers.reusable
 
 
-@pytest.mark.parametrize("gauges", [b"inflight", b"inflight=", b"inflight=nan", b"inflight=-1", b"util=inf", b"=3",
-                                    b"\xff=1", b"a=1,,b=2", b",".join(b"f%d=1" % n for n in range(40)), b"", None])
+@pytest.mark.parametrize(
+    "gauges",
+    [
+        b"inflight",
+        b"inflight=",
+        b"inflight=nan",
+        b"inflight=-1",
+        b"util=inf",
+        b"=3",
+        b"\xff=1",
+        b"a=1,,b=2",
+        b",".join(b"f%d=1" % n for n in range(40)),
+        b"",
+        None,
+    ],
+)
 def test_a_report_that_cannot_be_read_is_none(gauges):
     assert pg.report(gauges) == {}
 
@@ -133,18 +199,45 @@
         text = statement(7, group, 480)
         read = Statement(text)
         assert (read.group, read.customer, read.left, read.id, read.tag, read.again) == (
-            group, "ann", 480_000, b"%016x" % 7, tag, False)
+            group,
+            "ann",
+            480_000,
+            b"%016x" % 7,
+            tag,
+            False,
+        )
         assert read.waiting(33) == text.replace(b"d=480", b"d=33")
     assert read.key == b"00000000000000aa"
     assert Statement(statement(7).replace(b" */", b",r=1 */")).again
 
 
-@pytest.mark.parametrize("old, new", [
-    (b"id=", b"ID="), (b"0000000000000007,", b"7,"), (b"d=480", b"d=soon"), (b"d=480", b"d=-1"), (b"d=480", b"d=4.8"),
-    (b"d=480", b"d="), (b"d=480", b"d=9999999999"), (b" */", b""), (b" */", b" */ "), (b"SELECT", b"select"),
-    (b"FROM", b" FROM"), (b"/* id", b"/*id"), (b"t=ann", b"t=a'n"), (b"t=ann", b"t=a*/n"), (b"payload", b"*"),
-    (b"id=0000000000000007,", b""), (b" */", b",x=1 */"), (b"'0", b"'G"), (b"d=480", b"d=480;d=481"),
-    (b"SELECT", b"SELECT 1; SELECT"), (b"c=look", b"c="), (b"c=look,", b"")])
+@pytest.mark.parametrize(
+    "old, new",
+    [
+        (b"id=", b"ID="),
+        (b"0000000000000007,", b"7,"),
+        (b"d=480", b"d=soon"),
+        (b"d=480", b"d=-1"),
+        (b"d=480", b"d=4.8"),
+        (b"d=480", b"d="),
+        (b"d=480", b"d=9999999999"),
+        (b" */", b""),
+        (b" */", b" */ "),
+        (b"SELECT", b"select"),
+        (b"FROM", b" FROM"),
+        (b"/* id", b"/*id"),
+        (b"t=ann", b"t=a'n"),
+        (b"t=ann", b"t=a*/n"),
+        (b"payload", b"*"),
+        (b"id=0000000000000007,", b""),
+        (b" */", b",x=1 */"),
+        (b"'0", b"'G"),
+        (b"d=480", b"d=480;d=481"),
+        (b"SELECT", b"SELECT 1; SELECT"),
+        (b"c=look", b"c="),
+        (b"c=look,", b""),
+    ],
+)
 def test_statements_of_another_form_are_none(old, new):
     text = statement(7, "look", 480)
     assert old in text
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,6 @@
-"""Coming back, free of I/O: phases, turns, warm start, snapshots, lists that begin anew, the measure of it all."""
+"""Coming back, free of I/O: phases, turns, warm start, snapshots, lists that begin anew, the measure of it
+all."""
+
 import json
 import os
 
@@ -39,11 +41,18 @@
 LONGEST = {BLANK: 3 * S, HEARING: 3 * S, WARMING: S // 2, SERVING: 10 * S}
 
 
-# --- phases ------------------------------------------------------------------------------------------------------
+# --- phases -------------------------------------------------------------------------------------------------
+
 
 @settings(max_examples=EXAMPLES, deadline=None)
-@given(st.lists(st.tuples(st.integers(0, 2 * S), st.sampled_from(
-    [HEARD, ALL_HEARD, WARMED, IN_STEP, STOOD_STILL, "tick"])), max_size=30))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 2 * S), st.sampled_from([HEARD, ALL_HEARD, WARMED, IN_STEP, STOOD_STILL, "tick"])
+        ),
+        max_size=30,
+    )
+)
 def test_whatever_happens_the_table_holds_and_nobody_stays_past_the_longest(events):
     life, now, seen = Life(0, LONGEST), 0, []
     life.moved = lambda before, cause: seen.append((before, cause, life.phase))
@@ -70,7 +79,9 @@
     life = Life(0, LONGEST)
     for cause in (HEARD, ALL_HEARD, WARMED, IN_STEP):
         assert life.on(1, cause)
-    assert life.phase == SETTLED and life.on(2, STOOD_STILL) and life.phase == WARMING and not life.may(VOTE_ON)
+    assert (
+        life.phase == SETTLED and life.on(2, STOOD_STILL) and life.phase == WARMING and not life.may(VOTE_ON)
+    )
     assert not life.on(3, HEARD) and life.status(5)["since_us"] == 3
 
 
@@ -89,11 +100,13 @@
     assert quiet.fine()
 
 
-# --- the fleet's budgets -------------------------------------------------------------------------------------------
+# --- the fleet's budgets ------------------------------------------------------------------------------------
+
 
 @pytest.mark.parametrize("count", [1, 3, 30, 200])
 def test_dials_of_all_gateways_to_one_target_stay_within_what_it_bears(count):
-    """All begin at once, want a connection at every moment and take every turn; then the target resets all of them."""
+    """All begin at once, want a connection at every moment and take every turn; then the target resets all of
+    them."""
     rate, chance = 40.0, Chance(7)
     fleet = [Turns(rate, lambda: count, Chance(chance.below(1 << 30))) for _ in range(count)]
     times, first = [], {}
@@ -102,13 +115,14 @@
             if turns.take("i0", now):
                 times.append(now)
                 first.setdefault(n, now)
-    # of 200 drawn offsets some lie close together: the mean is the rate, a second may have a root or three more
-    assert len(times) / 20 <= rate * 1.02 and greatest(times) <= rate + 3 * rate ** 0.5
+    # of 200 drawn offsets some lie close together: the mean is the rate, a second may have a root or three
+    # more
+    assert len(times) / 20 <= rate * 1.02 and greatest(times) <= rate + 3 * rate**0.5
     assert len(first) == count and max(first.values()) <= count * S / rate + 5 * MS
 
 
 def test_a_turn_that_is_not_taken_at_once_is_lost():
-    turns = Turns(10.0, lambda: 100, Chance(3))                    # one every 10 s, for half a second
+    turns = Turns(10.0, lambda: 100, Chance(3))  # one every 10 s, for half a second
     due = [now for now in range(0, 30 * S, 10 * MS) if turns.due("i0", now)]
     assert 3 * 45 <= len(due) <= 3 * 51
     begin = due[0]
@@ -122,12 +136,12 @@
 
 def test_who_has_just_begun_is_reckoned_from_those_heard():
     fresh = Fresh(200)
-    assert fresh.count(100 * S) == 200 and fresh.there() == 200    # nobody heard: everybody may have begun
+    assert fresh.count(100 * S) == 200 and fresh.there() == 200  # nobody heard: everybody may have begun
     fresh.heard({n: 0 for n in range(199)})
     assert fresh.count(100 * S) == 1 and fresh.there() == 199
     fresh.heard({n: 0 if n < 60 else 98 * S for n in range(199)})
     assert 130 <= fresh.count(100 * S) <= 150
-    fresh.heard({1: 0, 2: 0})                                      # the smaller side of a split asks for no more
+    fresh.heard({1: 0, 2: 0})  # the smaller side of a split asks for no more
     assert fresh.there() == 100
     spread = Spread(100.0, Chance(1))
     assert max(spread.wait(200) for _ in range(500)) <= 2 * S and spread.wait(1) <= 10 * MS
@@ -141,11 +155,15 @@
     assert [one.allows(0, 1) for _ in range(6)] == [True] * 4 + [False] * 2
 
 
-# --- warm start ----------------------------------------------------------------------------------------------------
+# --- warm start ---------------------------------------------------------------------------------------------
+
 
 def test_only_what_speaks_against_an_instance_is_told_the_worst_first():
     rows = [(n, 1.0, 2, 0.0, 0, 0) for n in range(100)] + [
-        (200, 1.0, 9, 0.0, SILENT, 0), (201, 4.0, 9, 0.0, 0, 0), (202, 1.0, 0, 0.9, 0, 0)]
+        (200, 1.0, 9, 0.0, SILENT, 0),
+        (201, 4.0, 9, 0.0, 0, 0),
+        (202, 1.0, 0, 0.9, 0, 0),
+    ]
     assert [row_[0] for row_ in remarkable(rows)] == [200, 202, 201]
     assert len(remarkable([(n, 9.0, 1, 0, 0, 0) for n in range(500)])) == ROWS_MOST
 
@@ -160,17 +178,33 @@
 
 def test_two_donors_are_asked_and_the_worse_word_holds_weighed_by_age():
     a, b = mark_of("a", 1, 5), mark_of("b", 1, 5)
-    warm, to = asked({1: [(a, 3.0, 10, 0.0, SILENT, 0), (b, 2.0, 4, 0.5, SILENT, 6 * S)],
-                      2: [(a, 2.0, 20, 0.1, 0, 0)]})
+    warm, to = asked(
+        {1: [(a, 3.0, 10, 0.0, SILENT, 0), (b, 2.0, 4, 0.5, SILENT, 6 * S)], 2: [(a, 2.0, 20, 0.1, 0, 0)]}
+    )
     assert sorted(to) == [1, 2] and warm.over(0) and warm.due(1, [1, 2, 3]) == []
-    assert warm.believed({a: "a", b: "b"}) == sorted([
-        ("a", 3.0, 20.0, 0.1, False),                  # silent to one of two: a link of that donor's
-        ("b", 1.5, 2.0, 0.25, False)], key=lambda r: {"a": a, "b": b}[r[0]])
+    assert warm.believed({a: "a", b: "b"}) == sorted(
+        [
+            ("a", 3.0, 20.0, 0.1, False),  # silent to one of two: a link of that donor's
+            ("b", 1.5, 2.0, 0.25, False),
+        ],
+        key=lambda r: {"a": a, "b": b}[r[0]],
+    )
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
-@given(st.lists(st.tuples(st.integers(0, 9), st.floats(0, 12), st.integers(0, 255), st.floats(0, 1),
-                          st.integers(0, 1), st.integers(0, 30 * S)), max_size=40))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 9),
+            st.floats(0, 12),
+            st.integers(0, 255),
+            st.floats(0, 1),
+            st.integers(0, 1),
+            st.integers(0, 30 * S),
+        ),
+        max_size=40,
+    )
+)
 def test_no_word_makes_an_instance_look_better_than_unknown(rows):
     warm, _ = asked({1: rows, 2: rows[::2]})
     for _, pace, load, faults, silent in warm.believed({n: f"i{n}" for n in range(10)}):
@@ -202,8 +236,16 @@
     met = bench.host.open[0][3]
     bench.end(bench.host.open[0])
     others = [r["id"] for r in OLD if r["id"] != met]
-    bench.gateway.on_recalled(bench.host.now, [(met, 9.0, 50, 0.9, True), (others[0], 9.0, 0, 0.0, False),
-                                               (others[1], 1.0, 0, 0.0, True), ("gone", 2.0, 1, 1, True)], [])
+    bench.gateway.on_recalled(
+        bench.host.now,
+        [
+            (met, 9.0, 50, 0.9, True),
+            (others[0], 9.0, 0, 0.0, False),
+            (others[1], 1.0, 0, 0.0, True),
+            ("gone", 2.0, 1, 1, True),
+        ],
+        [],
+    )
     by_id = bench.gateway.fleet.by_id
     assert by_id[met].pace < 2 and by_id[met].benched_until == 0
     assert by_id[others[0]].pace == 9.0 and by_id[others[1]].benched_until > bench.host.now
@@ -220,8 +262,8 @@
 
 
 def test_a_gateway_that_begins_again_and_again_carries_a_trial_no_further_than_its_cap():
-    """Each start had two hits free; one that fell over every 300 ms sent a third of them all to a build with a cap of
-    a twentieth."""
+    """Each start had two hits free; one that fell over every 300 ms sent a third of them all to a build with
+    a cap of a twentieth."""
     sent = taken = 0
     for life in range(20):
         bench = Bench(OLD + NEW, seed=life, news=(2, 0, "trial", 0.05), stage_caps=[0.05, 1.0])
@@ -235,7 +277,7 @@
     assert sent <= 0.05 * taken + 2 and taken == 200
 
 
-# --- snapshots -----------------------------------------------------------------------------------------------------
+# --- snapshots ----------------------------------------------------------------------------------------------
 
 HEAD = {"number": 3, "settings": 77, "wall": 100 * S, "epoch": "e", "seen": None}
 ROWS = [[f"i{n}", 1, 5, 1.0 + n / 10, n, n / 100, n == 7, 1000] for n in range(60)]
@@ -256,8 +298,10 @@
     snapshot.fits_list(told["head"], "e")
     listed = {"i7": (1, 5), "i8": (2, 5), "i9": (1, 6), "i50": (1, 5)}
     about = pytest.approx
-    assert snapshot.believed(told, listed) == [("i7", about(1.63), about(6.3), about(0.063), True),
-                                               ("i50", about(5.5), about(45), about(0.45), False)]
+    assert snapshot.believed(told, listed) == [
+        ("i7", about(1.63), about(6.3), about(0.063), True),
+        ("i50", about(5.5), about(45), about(0.45), False),
+    ]
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
@@ -265,21 +309,29 @@
 def test_a_snapshot_torn_or_flipped_anywhere_is_refused_whole(at, byte):
     data = file_of(rows=ROWS[:5], keys=KEYS[:5])
     at %= len(data)
-    for bad in (data[:at], data[:at] + bytes([byte]) + data[at + 1:]):
+    for bad in (data[:at], data[:at] + bytes([byte]) + data[at + 1 :]):
         if bad == data:
             continue
         with pytest.raises(snapshot.Unfit, match="torn"):
             taken(bad)
 
 
-@pytest.mark.parametrize("data, more, why", [
-    (None, {}, "there is none"), (b"x" * (snapshot.MOST_BYTES + 1), {}, "more than one has"),
-    (file_of(), {"number": 4}, "of gateway 3, not 4"), (file_of(), {"settings": 78}, "other settings"),
-    (file_of(), {"wall": 99 * S}, "1000 ms in the future"), (file_of(), {"wall": 110 * S}, "10000 ms old"),
-    (file_of({**HEAD, "wall": "x"}), {}, "makes no sense"), (file_of(rows=[["i1", 1, 5]]), {}, "makes no sense"),
-    (file_of({**HEAD, "format": 9}), {}, None)])
+@pytest.mark.parametrize(
+    "data, more, why",
+    [
+        (None, {}, "there is none"),
+        (b"x" * (snapshot.MOST_BYTES + 1), {}, "more than one has"),
+        (file_of(), {"number": 4}, "of gateway 3, not 4"),
+        (file_of(), {"settings": 78}, "other settings"),
+        (file_of(), {"wall": 99 * S}, "1000 ms in the future"),
+        (file_of(), {"wall": 110 * S}, "10000 ms old"),
+        (file_of({**HEAD, "wall": "x"}), {}, "makes no sense"),
+        (file_of(rows=[["i1", 1, 5]]), {}, "makes no sense"),
+        (file_of({**HEAD, "format": 9}), {}, None),
+    ],
+)
 def test_each_reason_to_refuse_a_snapshot_is_named(data, more, why):
-    if why is None:                                    # the format is the writer's own word, whatever the head says
+    if why is None:  # the format is the writer's own word, whatever the head says
         assert taken(data)["head"]["format"] == snapshot.FORMAT
         data, why = data.replace(b'"format":1', b'"format":2'), "torn"
     with pytest.raises(snapshot.Unfit, match=why):
@@ -296,7 +348,8 @@
         snapshot.fits_list(taken(file_of())["head"], "f")
 
 
-# --- lists that begin anew -----------------------------------------------------------------------------------------
+# --- lists that begin anew ----------------------------------------------------------------------------------
+
 
 def listed(id, state="up", start=1):
     return {"id": id, "state": state, "start": start, "build": 1}
@@ -321,9 +374,16 @@
     assert doubt.whole(0, HELD, rows) == rows and doubt.due(PATIENCE) == []
 
 
-@pytest.mark.parametrize("before, told, obeyed", [
-    ("draining", "up", "draining"), ("gone", "up", "gone"), ("gone", "draining", "gone"),
-    ("up", "draining", "draining"), ("draining", "gone", "gone")])
+@pytest.mark.parametrize(
+    "before, told, obeyed",
+    [
+        ("draining", "up", "draining"),
+        ("gone", "up", "gone"),
+        ("gone", "draining", "gone"),
+        ("up", "draining", "draining"),
+        ("draining", "gone", "gone"),
+    ],
+)
 def test_an_older_list_brings_no_drained_start_back(before, told, obeyed):
     doubt = Doubt(lambda id, now: True)
     doubt.seen([listed("i0", before)])
@@ -333,7 +393,8 @@
     assert doubt.whole(0, HELD, [another, *rows[1:]])[0] == another
 
 
-# --- the measure ---------------------------------------------------------------------------------------------------
+# --- the measure --------------------------------------------------------------------------------------------
+
 
 def test_full_service_is_a_second_like_before_with_everybody_settled():
     hits = [(at, not 10 * S <= at < 12 * S) for at in range(0, 20 * S, 10 * MS)]
@@ -346,18 +407,24 @@
 
 def test_the_sheet_says_what_makes_no_sense():
     from cobaltpond.sheet import BadSheet, read_sheet
+
     text = open("examples/resale.star").read()
     assert read_sheet("x", text).recovery is None and not read_sheet("x", text).runsheet(0)["paced"]
     sheet = read_sheet("x", text + "recovery(dials = 30.0, calls = 100.0)\n")
     assert sheet.runsheet(0)["paced"] and sheet.recovery.warm
     assert json.loads(json.dumps(sheet.runsheet(0)))["paced"]
-    for bad, why in (("dials = 0.01", "dials below 0.1"), ("calls = 0.05", "calls below 0.1"), ("hear = 3", "a time")):
+    for bad, why in (
+        ("dials = 0.01", "dials below 0.1"),
+        ("calls = 0.05", "calls below 0.1"),
+        ("hear = 3", "a time"),
+    ):
         with pytest.raises(BadSheet, match=why):
             read_sheet("x", text + f"recovery({bad})\n")
 
 
 def test_an_instance_that_is_not_our_turn_gets_no_forward():
-    """Dials are paced by the host; the module narrows its choice, and holds or bounces where nothing is left."""
+    """Dials are paced by the host; the module narrows its choice, and holds or bounces where nothing is
+    left."""
     bench = Bench([row("a"), row("b")], paced=True)
     bench.host.reaches = lambda id: id == "b"
     for _ in range(3):
@@ -374,6 +441,7 @@
     from types import SimpleNamespace
 
     from cobaltpond.gateway.instances import PROMISED, Place, Places
+
     loop = SimpleNamespace(clock=S)
     loop.now = lambda: loop.clock
     places = Places(loop, SimpleNamespace(rest_time=0, idle_time=15 * S))
@@ -382,6 +450,6 @@
     place.idle.append((object(), 0))
     assert places.reaches(place)
     places.promise(place)
-    assert not places.reaches(place)                   # it is on its way to the one that is kept
+    assert not places.reaches(place)  # it is on its way to the one that is kept
     loop.clock += PROMISED + 1
     assert places.reaches(place)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,5 @@
 """The module beside the plain model, the rank test on worked figures, and one test for each failure met."""
+
 from itertools import combinations, product
 from math import sqrt
 
@@ -11,11 +12,18 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-@pytest.mark.parametrize("changes", [{}, {"gate": "clock", "exposure_by": "path group"},
-                                     {"list_by": "asking", "most_forwards": 5}, {"shielded_stages": 1},
-                                     {"gateways": 100, "may_probe": True, "may_tell": True},
-                                     {"keys_stay": True, "path_groups": scoped("zone")},
-                                     {"keys_stay": True, "path_groups": scoped("cell"), "gateways": 1}])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {},
+        {"gate": "clock", "exposure_by": "path group"},
+        {"list_by": "asking", "most_forwards": 5},
+        {"shielded_stages": 1},
+        {"gateways": 100, "may_probe": True, "may_tell": True},
+        {"keys_stay": True, "path_groups": scoped("zone")},
+        {"keys_stay": True, "path_groups": scoped("cell"), "gateways": 1},
+    ],
+)
 def test_module_and_plain_model_agree_on_what_is_allowed(seed, changes):
     bench, asked, told = random_day(seed, **changes)
     assert len(asked) > 700 and len(bench.host.named("forward")) > 150
@@ -36,7 +44,7 @@
 
 
 def test_chance_of_errored_hits_agrees_with_listing_every_deal():
-    deals = list(combinations(range(9), 4))            # 4 new hits of 9, of which hits 0, 1 and 2 errored
+    deals = list(combinations(range(9), 4))  # 4 new hits of 9, of which hits 0, 1 and 2 errored
     share = sum(len({0, 1, 2} & set(deal)) >= 2 for deal in deals) / len(deals)
     assert draw_chance(2, 4, 1, 5) == pytest.approx(share)
 
@@ -72,7 +80,7 @@
 def test_lost_vote_is_tried_again_and_a_standing_one_renewed_in_time():
     votes, bench = trial(steady(), vote_wait=800 * MS)
     gaps = [b[0] - a[0] for a, b in zip(votes, votes[1:], strict=False)]
-    assert gaps and min(gaps) >= 800 * MS              # no answer came: one try each time it is overdue
+    assert gaps and min(gaps) >= 800 * MS  # no answer came: one try each time it is overdue
     bench.gateway.on_news(bench.host.now, 2, 0, "trial", 1.0, 0, True, "ok")
     count = len(bench.host.named("vote"))
     bench.serve(bench.host.now + 4_000 * MS, steady())
@@ -133,11 +141,18 @@
 
 def test_runsheet_speaks_our_words_and_skips_what_it_does_not_know():
     group = {"name": "x", "aim": 1.5, "deadline": 2, "idempotency": "deduplicated", "q": 0}
-    made = runsheet({"discovery": "subscribe", "news": 1, "categories": [group],
-                     "familyInfo": {"gateMode": "by_count", "ballotTtl": 4.5}})
+    made = runsheet(
+        {
+            "discovery": "subscribe",
+            "news": 1,
+            "categories": [group],
+            "familyInfo": {"gateMode": "by_count", "ballotTtl": 4.5},
+        }
+    )
     assert made["list_by"] == "asking" and made["gate"] == "count" and made["vote_life"] == 4500
     assert made["path_groups"] == [
-        {"name": "x", "target_latency": 1500, "client_timeout": 2000, "kind": "tagged"}]
+        {"name": "x", "target_latency": 1500, "client_timeout": 2000, "kind": "tagged"}
+    ]
 
 
 def test_place_that_fails_on_both_builds_does_not_condemn_the_new_one():
@@ -146,8 +161,6 @@
     assert "back" not in {verdict for _, verdict in votes}
 
 
-
-
 def test_thin_gateway_probes_two_in_turn_and_takes_the_freer():
     bench = Bench(OLD, **THIN)
     for _ in range(6):
@@ -194,7 +207,7 @@
         bench.run(bench.host.now + 50 * MS)
     assert not any(i.benched_until > bench.host.now for i in bench.gateway.fleet.up)
     assert "back" not in {a[2] for _, _, a in bench.host.named("vote")}
-    assert len(bench.host.named("forward")) < 340      # and no further forwards
+    assert len(bench.host.named("forward")) < 340  # and no further forwards
 
 
 def test_judge_sends_a_build_back_on_what_others_have_seen():
@@ -209,7 +222,7 @@
             judge.gateway.on_peer(at, 7, data)
             judge.gateway.on_peer(at, 7, b"?")
     assert not any(c[2][2] == "back" for one in many for c in one.host.named("vote"))
-    judge.run(judge.host.now + 1_500 * MS)             # a hold that was cast first waits for its answer
+    judge.run(judge.host.now + 1_500 * MS)  # a hold that was cast first waits for its answer
     assert judge.host.named("vote")[-1][2][2] == "back"
 
 
@@ -230,7 +243,7 @@
 def test_what_goes_out_before_the_first_news_is_no_evidence_and_no_fault():
     """Found by a drawn day in which the desk had lost its state: nobody had told a gateway of any build."""
     bench = Bench(OLD, may_tell=True, gateways=100, stage_caps=[1.0, 1.0])
-    bench.gateway.newest = None                        # as it is until the first news
+    bench.gateway.newest = None  # as it is until the first news
     for ending in ("ok", "error"):
         bench.hit()
         bench.end(bench.host.open[-1], ending)
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,6 @@
-"""`run` of the deploy file: as a process under two settings that share nothing, and settings that make no sense."""
+"""`run` of the deploy file: as a process under two settings that share nothing, and settings that make no
+sense."""
+
 import json
 import signal
 import subprocess
@@ -19,20 +21,61 @@
 MS = 1000
 
 OTHER = {
-    "balancers": 40, "position": 7, "zone": "Põhi", "areas": ["Põhi", "Lõuna"], "quantum": 8.0,
+    "balancers": 40,
+    "position": 7,
+    "zone": "Põhi",
+    "areas": ["Põhi", "Lõuna"],
+    "quantum": 8.0,
     "discovery": "subscribe",
     "categories": [
         {"name": "hinnapäring", "idempotency": "idempotent", "aim": 220.0, "deadline": 900.0, "points": 2.5},
-        {"name": "pilet/välja", "idempotency": "at_most_once", "aim": 350.0, "deadline": 1100.0, "points": 9.0},
-        {"name": "koht", "idempotency": "deduplicated", "dedupScope": "zone", "window": 450.0, "aim": 310.0,
-         "deadline": 1300.0, "points": 4.0}],
+        {
+            "name": "pilet/välja",
+            "idempotency": "at_most_once",
+            "aim": 350.0,
+            "deadline": 1100.0,
+            "points": 9.0,
+        },
+        {
+            "name": "koht",
+            "idempotency": "deduplicated",
+            "dedupScope": "zone",
+            "window": 450.0,
+            "aim": 310.0,
+            "deadline": 1300.0,
+            "points": 4.0,
+        },
+    ],
     "tenants": [{"name": "Kalev & Co", "share": 0.7}, {"name": "õhtu", "share": 0.3}],
-    "familyInfo": {"gateMode": "automatic", "layout": "replace", "shares": [0.2, 1.0], "exposureCaps": [0.3, 1.0],
-                   "exposureWindow": 3500.0, "uncounted": 1.5, "answerWait": 650.0, "ballotTtl": 2500.0, "toAbort": 4},
-    "obligations": {"answerSlack": 12.0, "cold": 900.0, "coldFrom": 0.25, "stopSendingWithin": 410.0,
-                    "overloadFactor": 2.75, "mustAskIn": 6000.0},
-    "policyLimits": {"connIdle": 2600.0, "dialTimeout": 330.0, "maxAttempts": 6, "mayCancel": False,
-                     "retryAfter": True, "maxRetryAfter": 640.0, "probes": True}}
+    "familyInfo": {
+        "gateMode": "automatic",
+        "layout": "replace",
+        "shares": [0.2, 1.0],
+        "exposureCaps": [0.3, 1.0],
+        "exposureWindow": 3500.0,
+        "uncounted": 1.5,
+        "answerWait": 650.0,
+        "ballotTtl": 2500.0,
+        "toAbort": 4,
+    },
+    "obligations": {
+        "answerSlack": 12.0,
+        "cold": 900.0,
+        "coldFrom": 0.25,
+        "stopSendingWithin": 410.0,
+        "overloadFactor": 2.75,
+        "mustAskIn": 6000.0,
+    },
+    "policyLimits": {
+        "connIdle": 2600.0,
+        "dialTimeout": 330.0,
+        "maxAttempts": 6,
+        "mayCancel": False,
+        "retryAfter": True,
+        "maxRetryAfter": 640.0,
+        "probes": True,
+    },
+}
 
 
 def words(told_):
@@ -41,16 +84,33 @@
         return {word for value in told_.values() for word in words(value)}
     if isinstance(told_, list):
         return {word for value in told_ for word in words(value)}
-    own = {"automatic", "subscribe", "by_count", "parallel", "replace", "idempotent", "deduplicated", "at_most_once",
-           "all", "zone", True, False}
+    own = {
+        "automatic",
+        "subscribe",
+        "by_count",
+        "parallel",
+        "replace",
+        "idempotent",
+        "deduplicated",
+        "at_most_once",
+        "all",
+        "zone",
+        True,
+        False,
+    }
     return set() if told_ in own else {told_}
 
 
-@pytest.mark.parametrize("settings, classes, tenant", [
-    (SETTINGS, {"look": "look", "pay": "pay"}, "ann"),
-    (OTHER, {"look": "hinnapäring", "pay": "pilet/välja"}, "Kalev & Co")])
+@pytest.mark.parametrize(
+    "settings, classes, tenant",
+    [
+        (SETTINGS, {"look": "look", "pay": "pay"}, "ann"),
+        (OTHER, {"look": "hinnapäring", "pay": "pilet/välja"}, "Kalev & Co"),
+    ],
+)
 def test_run_serves_settings_that_share_no_name_and_no_figure(settings, classes, tenant, tmp_path):
-    """`run` of the deploy file, as a process: ready, a request of each kind, a request open over SIGTERM, its end."""
+    """`run` of the deploy file, as a process: ready, a request of each kind, a request open over SIGTERM, its
+    end."""
     assert words(SETTINGS) & words(OTHER) == set()
     unanswered = b"id=%016x" % 3
 
@@ -58,16 +118,26 @@
         if text.startswith(b"SHOW"):
             return row(b"inflight=1", b"SHOW") + pg.READY
         return None if unanswered in text else good(text)
+
     world = PgWorld(answering(reply), tmp=tmp_path, here=False)
     Path(world.path).write_text(json.dumps({**world.told, "settings": settings}))
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     with open(tmp_path / "log", "wb") as log:
-        process = subprocess.Popen(["/bin/sh", "-c", run], cwd=ROOT, stderr=log,
-                                   env={"EDGE_CONFIG": world.path, "PATH": "/usr/bin:/bin"})
+        process = subprocess.Popen(
+            ["/bin/sh", "-c", run],
+            cwd=ROOT,
+            stderr=log,
+            env={"EDGE_CONFIG": world.path, "PATH": "/usr/bin:/bin"},
+        )
 
     def text(number, kind):
-        return statement(number, "look" if kind == "look" else "pay", 800).decode().replace(
-            f"c={kind}", f"c={classes[kind]}").replace("t=ann", f"t={tenant}").encode()
+        return (
+            statement(number, "look" if kind == "look" else "pay", 800)
+            .decode()
+            .replace(f"c={kind}", f"c={classes[kind]}")
+            .replace("t=ann", f"t={tenant}")
+            .encode()
+        )
 
     def go():
         while True:
@@ -81,7 +151,7 @@
         got = []
         for _ in range(4):
             got.append(told((yield from client.read())))
-        yield from client.send(text(3, "pay"))         # never answered by the instance
+        yield from client.send(text(3, "pay"))  # never answered by the instance
         yield from world.until(lambda: any(unanswered in text for text in world.got))
         process.send_signal(signal.SIGTERM)
         late = yield from world.connect()
@@ -90,6 +160,7 @@
         got += [told((yield from late.read())), told((yield from client.read()))[0]]
         yield from world.until(lambda: process.poll() is not None)
         return got
+
     try:
         world.opened = lambda: True
         assert world.run(go()) == [("nothing",), ("empty",), OK, OK, OK, "57014"]
@@ -102,6 +173,7 @@
 
 class Answered(Owed):
     """A request whose answers go nowhere."""
+
     def bounce(self, retry_after):
         self.final = True
 
@@ -114,6 +186,7 @@
 
 def test_settings_with_any_part_missing_or_nonsense_are_refused_with_a_reason_or_taken():
     """Never a fault in mid-start: either BadConfig, or a gateway whose decisions begin."""
+
     def changed(settings, path, value):
         copy = json.loads(json.dumps(settings))
         part = copy
@@ -130,6 +203,7 @@
             yield (*path, key)
             if isinstance(part[key], (dict, list)):
                 yield from paths(part[key], (*path, key))
+
     world, refused = PgWorld(), 0
     for settings in (SETTINGS, OTHER):
         for path in paths(settings):
@@ -143,12 +217,17 @@
                     continue
                 edge = Edge(Loop(world.loop.kernel), world.path, config, world.log)
                 edge.host.begin(seed=1)
-                decisions, rows = edge.host.decisions, [
-                    {"id": id, "build": 1, "state": "up", "started": None, "zone": "a", "cell": 0} for id in "ab"]
+                decisions, rows = (
+                    edge.host.decisions,
+                    [
+                        {"id": id, "build": 1, "state": "up", "started": None, "zone": "a", "cell": 0}
+                        for id in "ab"
+                    ],
+                )
                 decisions.on_list(0, True, rows)
                 decisions.on_news(0, 2, 0, "trial", 0.5, 0, False, "ok")
                 decisions.hits.clear()
-                for number, name in enumerate(edge.door.groups):       # known to the host by then
+                for number, name in enumerate(edge.door.groups):  # known to the host by then
                     edge.host.hits[number] = Answered(number, "", edge.door)
                     decisions.on_hit(1, number, name, None, 7, 500_000, None, False)
                     decisions.on_outcome(2, number, 0, "ok", 1_000, False, {})
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,6 @@
-"""The shape of the project: files that can be read at a sitting, and a module that stays within its bounds."""
+"""The shape of the project: files that can be read at a sitting, and a module that stays within its
+bounds."""
+
 import pathlib
 import tomllib
 
@@ -7,7 +9,9 @@
 
 
 def test_no_file_is_longer_than_can_be_read_at_a_sitting():
-    files = [path for folder in ("cobaltpond", "tests", "bench") for path in sorted((ROOT / folder).rglob("*.py"))]
+    files = [
+        path for folder in ("cobaltpond", "tests", "bench") for path in sorted((ROOT / folder).rglob("*.py"))
+    ]
     lengths = {str(path.relative_to(ROOT)): len(path.read_text().splitlines()) for path in files}
     assert len(lengths) > 100 and {name: n for name, n in lengths.items() if n > MOST_LINES} == {}
 
@@ -16,6 +20,6 @@
     names = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     lines = [line for name in names for line in (ROOT / name).read_text().splitlines() if line.strip()]
     assert len(lines) <= POLICY_LINES and max(map(len, lines)) <= POLICY_WIDTH
-    helpers = {"__init__.py", "figures.py", "interface.py", "records.py", "told.py"}     # hold no decision
+    helpers = {"__init__.py", "figures.py", "interface.py", "records.py", "told.py"}  # hold no decision
     there = {path.name for path in (ROOT / "cobaltpond" / "decisions").glob("*.py")}
     assert there - helpers == {name.rpartition("/")[2] for name in names}
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -1,4 +1,6 @@
-"""Simulated days: drawn ones, the same again, what the disk and the network do, and a test for each failure found."""
+"""Simulated days: drawn ones, the same again, what the disk and the network do, and a test for each failure
+found."""
+
 import os
 import subprocess
 import sys
@@ -45,42 +47,65 @@
 def test_the_same_seed_gives_the_same_events_whatever_the_hash_seed():
     """In this process, and in others with other hash seeds, alone and among other seeds."""
     code = "import sys; from cobaltpond.sim.run import run_seed; print(run_seed(int(sys.argv[1])).digest)"
-    for seed in (7, 20):                               # without agents, and with
+    for seed in (7, 20):  # without agents, and with
         digests = {run_seed(seed).digest}
-        children = [subprocess.Popen([sys.executable, "-c", code, str(seed)], stdout=subprocess.PIPE, text=True,
-                                     env={**os.environ, "PYTHONHASHSEED": n}) for n in ("0", "1", "77")]
+        children = [
+            subprocess.Popen(
+                [sys.executable, "-c", code, str(seed)],
+                stdout=subprocess.PIPE,
+                text=True,
+                env={**os.environ, "PYTHONHASHSEED": n},
+            )
+            for n in ("0", "1", "77")
+        ]
         digests |= {child.communicate(timeout=60)[0].strip() for child in children}
         assert len(digests) == 1
     assert run_seed(8).digest != run_seed(7).digest
 
 
-# --- failures found by simulation: docs/simulation.md ------------------------------------------------------------
+# --- failures found by simulation: docs/simulation.md -------------------------------------------------------
 
 
 def test_a_gateway_that_waits_for_news_lets_nobody_wait_in_its_backlog():
-    """Killed while the desk answers nothing: until its door is open, clients must be refused, not kept waiting."""
-    found = run_text(scenario("""
+    """Killed while the desk answers nothing: until its door is open, clients must be refused, not kept
+    waiting."""
+    found = run_text(
+        scenario("""
 trouble(kind = "control_down", at = s(2), length = s(5), how = "errors")
 fault(kind = "kill", at = ms(2500), length = ms(500), on = "gateway-0")
-""")).found
+""")
+    ).found
     assert found == []
 
 
 def test_an_agent_whose_journal_breaks_ends_and_is_started_again():
     """It lived on without its orders: the host kept the earlier build for ever."""
-    found = run_text(scenario("""
+    found = run_text(
+        scenario(
+            """
 offer(at = ms(2600))
 fault(kind = "full", at = ms(2300), length = s(1), on = "place-02")
-""", length=22, agents=True)).found
+""",
+            length=22,
+            agents=True,
+        )
+    ).found
     assert found == []
 
 
 def test_a_drain_begins_when_the_list_has_heard_of_it():
-    """The list was out of reach for longer than a drain: instances were ended while all gateways held them for up."""
-    found = run_text(scenario("""
+    """The list was out of reach for longer than a drain: instances were ended while all gateways held them
+    for up."""
+    found = run_text(
+        scenario(
+            """
 offer(at = s(2), back_after = s(4))
 fault(kind = "silent", at = ms(5900), length = ms(2500), on = "yard")
-""", length=12, agents=True)).found
+""",
+            length=12,
+            agents=True,
+        )
+    ).found
     assert found == []
 
 
@@ -91,10 +116,14 @@
 traffic(group = "hold", share = 0.6, work = ms(60), method = "POST")
 """
 HARD = {
-    "a drain's grace ends as a link comes back": 'offer(at = ms(1500))\n' + "".join(
+    "a drain's grace ends as a link comes back": "offer(at = ms(1500))\n"
+    + "".join(
         f'fault(kind = "cut", at = s(1), length = ms(40), on = "gateway-{n}", to = "yard", aim = "drain", '
-        f'offset = {offset})\n' for n, offset in ((0, -40_000), (1, -39_999), (0, -250_000), (1, -1000))),
-    "a repeat just inside and just past the window": TAGGED + """
+        f"offset = {offset})\n"
+        for n, offset in ((0, -40_000), (1, -39_999), (0, -250_000), (1, -1000))
+    ),
+    "a repeat just inside and just past the window": TAGGED
+    + """
 trouble(kind = "fast_errors", at = s(2), length = s(4), size = 0.8, on = [0, 1, 2])
 trouble(kind = "slow", at = s(2), length = s(4), size = 4.0, on = [0, 1, 2])
 fault(kind = "reset", at = s(2), on = "gateway-0", to = "yard", aim = "window", offset = -1)
@@ -110,7 +139,8 @@
 """,
     "the desk loses its power as a vote comes": """
 offer(at = ms(1500))
-fault(kind = "power_cut", at = s(1), length = ms(500), on = "desk", by = "gateway-0", aim = "vote", offset = -799900)
+fault(kind = "power_cut", at = s(1), length = ms(500), on = "desk", by = "gateway-0", aim = "vote", \
+offset = -799900)
 """,
     "an id comes back while a forward to the first is out": """
 trouble(kind = "vanish", at = s(2), length = ms(300), on = [0, 1])
@@ -136,23 +166,26 @@
         assert verdict.found == [] and verdict.struck == HARD[name].count("fault(")
 
 
-# --- tools -------------------------------------------------------------------------------------------------------
+# --- tools --------------------------------------------------------------------------------------------------
 
 
 # drains last long enough to be broken
-BROKEN = scenario("""
+BROKEN = scenario(
+    """
 offer(at = ms(1500))
 customer(name = "emajoe-hall", share = 0.5)
 trouble(kind = "burst", at = s(4), length = s(1), size = 1.2)
 fault(kind = "cut", at = s(3), length = ms(50), on = "gateway-0", to = "yard")
-""", length=14).replace("drain_time = ms(500)", "drain_time = ms(1500)")
+""",
+    length=14,
+).replace("drain_time = ms(500)", "drain_time = ms(1500)")
 
 
 @pytest.mark.parametrize("name", sorted(path.stem for path in FOUND.glob("*.star")))
 def test_what_drawn_days_have_found_is_found_no_more(name):
-    """7310022: the auditor measured a drifting gateway's window by its own clock. 7310019: the supervisor of a fault
-    started a gateway that the day was ending. 7320030: all keys were bound to a build on trial, one by one.
-    known-1479: a stand-in's job ended as its client's connection broke."""
+    """7310022: the auditor measured a drifting gateway's window by its own clock. 7310019: the supervisor of
+    a fault started a gateway that the day was ending. 7320030: all keys were bound to a build on trial, one
+    by one. known-1479: a stand-in's job ended as its client's connection broke."""
     assert run_text((FOUND / f"{name}.star").read_text(), name).found == []
 
 
@@ -162,7 +195,8 @@
 
 
 def test_a_desk_that_loses_its_state_with_gateways_passes_no_cap_and_starts_no_condemned_build():
-    """Its journal gone, or an older copy put back, at drawn moments of a release; see `Simulated.one_word` too."""
+    """Its journal gone, or an older copy put back, at drawn moments of a release; see `Simulated.one_word`
+    too."""
     verdicts = [run_seed(seed, "lost") for seed in range(10)]
     assert [v.found for v in verdicts] == [[]] * 10 and sum(v.struck for v in verdicts) >= 10
 
@@ -182,11 +216,15 @@
 
 def test_explaining_a_hit_names_all_that_happened_to_it():
     verdict = run_text(scenario("", length=4), keep_lines=True)
-    hit = next(e["hit"] for e in verdict.result["yard"] if e["kind"] == "arrive" and e["hit"] not in ("", "probe"))
+    hit = next(
+        e["hit"] for e in verdict.result["yard"] if e["kind"] == "arrive" and e["hit"] not in ("", "probe")
+    )
     text = "\n".join(explain(verdict, hit))
     for word in ("asked", "try", "arrive", "end", "answer"):
         assert word in text
-    assert any("gateway 0 reads" in row for row in explain(verdict, instance=verdict.result["yard"][0]["instance"]))
+    assert any(
+        "gateway 0 reads" in row for row in explain(verdict, instance=verdict.result["yard"][0]["instance"])
+    )
 
 
 def test_coverage_leans_to_what_was_never_met():
@@ -206,7 +244,7 @@
             read_scenario("drawn", draw(seed, size))
 
 
-# --- the disk ----------------------------------------------------------------------------------------------------
+# --- the disk -----------------------------------------------------------------------------------------------
 
 
 def disk(seed):
@@ -247,7 +285,9 @@
     device.full["/d/a"] = 1
     with pytest.raises(OSError):
         kernel.write_file("/d/a/x", b"12345678")
-    assert kernel.read_file("/d/a/x") == b"1234" and kernel.free_space("/d/a") == 0 < kernel.free_space("/d/ab")
+    assert kernel.read_file("/d/a/x") == b"1234" and kernel.free_space("/d/a") == 0 < kernel.free_space(
+        "/d/ab"
+    )
     kernel.write_file("/d/ab/x", b"1")
     device.full["/d/a"], device.failing["/d/a"] = 0, 1
     with pytest.raises(OSError):
--- a/tests/test_society.py
+++ b/tests/test_society.py
@@ -1,4 +1,5 @@
 """Whole societies of membership's service on the virtual kernel: kills, splits, losses, stops."""
+
 import os
 from dataclasses import replace
 
@@ -20,6 +21,7 @@
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "60"))
 BRISK = Settings(200_000, 60_000)
 
+
 def society(count, seed=1, zones=1, settings=BRISK, **more):
     one = Society(count, seed, zones, settings, **more)
     one.start_all()
@@ -34,7 +36,7 @@
         one.start(n)
     one.until(lambda: one.agree(numbers=range(11)), 20 * SECOND)
     one.lossy()
-    for n in range(10):                                # to all but one of them it has no way at first
+    for n in range(10):  # to all but one of them it has no way at first
         one.cut([11], [n], True)
     one.start(11)
     one.until(lambda: all(one.state(11, n) == ALIVE for n in range(11)), 10 * SECOND)
@@ -49,7 +51,7 @@
     one.signal("KILL", *gone)
     living = one.living()
     one.until(lambda: one.agree(FAILED, gone), 40 * BRISK.period)
-    assert {number for _, _, number in one.declared()} == set(gone)      # and nobody else
+    assert {number for _, _, number in one.declared()} == set(gone)  # and nobody else
     assert all(sorted(one.parts[n].members.view.living()) == living for n in living)
     assert not one.world.troubles
 
@@ -80,7 +82,7 @@
     one.lossy(lose, repeat, shuffle)
     one.run(30 * SECOND)
     assert lose > 0.1 or one.declared() == []
-    assert lose > 0.3 or max(one.wrong(), default=0) < 15 * BRISK.period     # who answers is soon back
+    assert lose > 0.3 or max(one.wrong(), default=0) < 15 * BRISK.period  # who answers is soon back
     one.signal("KILL", 3)
     one.until(lambda: one.agree(FAILED, [3]), 200 * BRISK.period)
     one.lossy()
@@ -94,13 +96,13 @@
     one.lossy(delay=(15, 60))
     one.signal("KILL", 2)
     one.until(lambda: one.agree(FAILED, [2]) and one.agree(), 80 * BRISK.period)
-    one.run(8 * SECOND)                                # what was on its way has come by now
+    one.run(8 * SECOND)  # what was on its way has come by now
     assert one.agree(FAILED, [2]) and one.agree()
 
 
 def test_a_link_broken_one_way_is_named_and_nobody_is_called_failed():
     one = society(9, 7, 3)
-    one.link(1, 5).one_way("gateway-1", True)          # 1 does not hear 5
+    one.link(1, 5).one_way("gateway-1", True)  # 1 does not hear 5
     one.until(lambda: one.parts[1].members.view.picture.links() == [5], 60 * BRISK.period)
     one.run(20 * SECOND)
     assert one.declared() == []
@@ -116,8 +118,13 @@
     one = society(12, 9, 3)
     zone0, rest = [0, 3, 6, 9], [n for n in range(12) if n % 3]
     one.cut(zone0, rest, True)
-    one.until(lambda: zones_seen(one, 1)["zone-0"] == GONE and zones_seen(one, 0)["zone-1"] == CUT_OFF
-              and one.parts[0].members.island and not one.parts[1].members.island, 60 * BRISK.period)
+    one.until(
+        lambda: zones_seen(one, 1)["zone-0"] == GONE
+        and zones_seen(one, 0)["zone-1"] == CUT_OFF
+        and one.parts[0].members.island
+        and not one.parts[1].members.island,
+        60 * BRISK.period,
+    )
     assert zones_seen(one, 1) == {"zone-0": GONE, "zone-1": FINE, "zone-2": FINE}
     one.until(lambda: one.agree(FAILED, zone0, rest) and one.agree(FAILED, rest, zone0), 100 * BRISK.period)
     one.cut(zone0, rest, False)
@@ -168,7 +175,7 @@
     one.run(400_000)
     one.until(lambda: one.agree(), 60 * BRISK.period)
     at = one.world.time
-    one.processes[4].kernel.here += 30 * SECOND        # its clock is half a minute ahead from now on
+    one.processes[4].kernel.here += 30 * SECOND  # its clock is half a minute ahead from now on
     one.processes[4].poke()
     one.run(10 * SECOND)
     assert one.agree() and one.declared(at) == []
@@ -194,12 +201,12 @@
 def test_of_two_with_one_name_the_newer_start_stays_and_the_other_says_why_it_ends():
     one = society(5, 14, lines=True)
     former, old = one.processes[3], one.parts[3]
-    view = one.parts[1].members.view                   # another process of the name has been heard elsewhere
+    view = one.parts[1].members.view  # another process of the name has been heard elsewhere
     newer = old.members.view.start + 10 * SECOND
     view.told(view.began, 3, newer, 0, ALIVE, 3)
     one.until(lambda: old.members.view.bumped, 60 * BRISK.period)
-    assert former.code is None                         # it may have been its own former life
-    view.told(view.began, 3, newer + 2, 0, ALIVE, 3)   # that one lives: it outbids in its turn
+    assert former.code is None  # it may have been its own former life
+    view.told(view.began, 3, newer + 2, 0, ALIVE, 3)  # that one lives: it outbids in its turn
     one.until(lambda: former.code is not None, 60 * BRISK.period)
     assert former.result == 3
     assert [line for line in one.machine.lines if line[3].startswith("replaced")]
@@ -218,8 +225,8 @@
 @settings(max_examples=max(4, EXAMPLES // 12), deadline=None)
 @given(st.integers(0, 10_000))
 def test_drawn_faults_and_then_peace(seed):
-    """Whatever happens, once it is over all that live agree, and whoever was never struck was never called failed
-    for longer than a refutation takes."""
+    """Whatever happens, once it is over all that live agree, and whoever was never struck was never called
+    failed for longer than a refutation takes."""
     one = society(8, seed, 2)
     chance = one.world.chance("plan")
     for _ in range(6):
--- a/tests/test_thin.py
+++ b/tests/test_thin.py
@@ -20,7 +20,7 @@
     bench = Bench(OLD + NEW, gateways=100)
     for _ in range(40):
         bench.hit(left=left)
-        bench.host.now += still                        # no event reaches it meanwhile
+        bench.host.now += still  # no event reaches it meanwhile
         if still:
             bench.end(bench.host.open[0], "ok")
             bench.gateway.on_wake(bench.host.now, 0)
@@ -49,8 +49,12 @@
 def test_what_others_say_of_an_instance_s_former_life_is_no_evidence_of_this_one():
     """The tag of a message is the same over a restart, and a wrong answer is told of seconds later."""
     started = 5_000 * MS
-    gateway = Bench([row("a", 1), row("n", 2, started=started)], news=(2, 0, "trial", 1.0), gateways=100,
-                    stage_caps=[1.0, 1.0]).gateway
+    gateway = Bench(
+        [row("a", 1), row("n", 2, started=started)],
+        news=(2, 0, "trial", 1.0),
+        gateways=100,
+        stage_caps=[1.0, 1.0],
+    ).gateway
     instance, build = gateway.fleet.by_id["n"], gateway.fleet.builds[2]
     for now, latency, age in ((5_400 * MS, 900 * MS, 0), (9_000 * MS, 200 * MS, 4_000 * MS)):
         gateway.on_peer(now, 3, Told.pack(Sample(now, latency, False, instance, 0, 1.0, 0), 0, age))
@@ -62,9 +66,11 @@
 
 
 def test_judges_are_told_of_a_build_long_after_its_release():
-    """Found on join+mass at 30 gateways, seed 4: a build that fails under load alone was out before it met that load,
-    and judges were told for 2.5 warm-ups only."""
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), gateways=100, number=9, may_tell=True, stage_caps=[1.0, 1.0])
+    """Found on join+mass at 30 gateways, seed 4: a build that fails under load alone was out before it met
+    that load, and judges were told for 2.5 warm-ups only."""
+    bench = Bench(
+        OLD + NEW, news=(2, 0, "trial", 1.0), gateways=100, number=9, may_tell=True, stage_caps=[1.0, 1.0]
+    )
     bench.news(2, 0, "released", 1.0)
     bench.serve(60_000 * MS, steady(), every=400 * MS)
     assert [now for now, *_ in bench.host.named("tell") if now > 50_000 * MS]
@@ -76,28 +82,35 @@
     news = [row(f"n{n}", 2) for n in range(10)]
     gateway = Bench(OLD + news, news=(2, 0, "released", 1.0), gateways=30).gateway
     build, instances = gateway.fleet.builds[2], [gateway.fleet.by_id[one["id"]] for one in news]
-    new = [Sample(0, 900, at < 40 // failing and n < failing, instance, 0, 1.0, 0)
-           for n, instance in enumerate(instances) for at in range(20)]
+    new = [
+        Sample(0, 900, at < 40 // failing and n < failing, instance, 0, 1.0, 0)
+        for n, instance in enumerate(instances)
+        for at in range(20)
+    ]
     counts, window = (40, 200, 2, 200), int(2.5 * gateway.cold_time)
     gateway.look(build, gateway.stage_began + window - 1)
-    assert gateway.errors_say(build, "all", counts, gateway.level, new) == "fail"      # beside the earlier build
+    assert gateway.errors_say(build, "all", counts, gateway.level, new) == "fail"  # beside the earlier build
     gateway.look(build, gateway.stage_began + window)
     assert gateway.errors_say(build, "all", counts, gateway.level, new) == says
 
 
 @pytest.mark.parametrize("failing, says", [(10, "fail"), (5, "fine")])
 def test_a_judge_that_has_restarted_since_the_release_says_what_most_instances_err_on(failing, says):
-    """Found on roll+mass at 30 gateways, seed 8: both judges were restarted, had no record of the earlier build, which
-    had gone, and found nothing against one that failed a sixth of its hits at nearly all instances."""
+    """Found on roll+mass at 30 gateways, seed 8: both judges were restarted, had no record of the earlier
+    build, which had gone, and found nothing against one that failed a sixth of its hits at nearly all
+    instances."""
     news = [row(f"n{n}", 2) for n in range(10)]
     gateway = Bench(news, news=(2, 0, "released", 1.0), gateways=30).gateway
     build, instances = gateway.fleet.builds[2], [gateway.fleet.by_id[one["id"]] for one in news]
-    new = [Sample(0, 900, at < 40 // failing and n < failing, instance, 0, 1.0, 0)
-           for n, instance in enumerate(instances) for at in range(20)]
-    gateway.settled = True                             # of what the platform counts no instance is known
+    new = [
+        Sample(0, 900, at < 40 // failing and n < failing, instance, 0, 1.0, 0)
+        for n, instance in enumerate(instances)
+        for at in range(20)
+    ]
+    gateway.settled = True  # of what the platform counts no instance is known
     assert gateway.errors_say(build, "platform", (60, 100_000, 0, 0), gateway.strict) == "fine"
     assert gateway.errors_say(build, "all", (40, 200, 0, 0), gateway.level, new) == says
-    gateway.settled = False                            # the earlier build's record may still come
+    gateway.settled = False  # the earlier build's record may still come
     assert gateway.errors_say(build, "all", (40, 200, 0, 0), gateway.level, new) == "fine"
 
 
@@ -138,8 +151,11 @@
 @pytest.mark.parametrize("first", ["news", "newest row"])
 def test_gateway_that_starts_in_mid_trial_knows_the_earlier_build(first):
     """Whatever it hears first, the build on trial is judged against the one before it."""
-    bench = Bench([], news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0]) if first == "news" else Bench(
-        [], news=(0, 0, "released", 1.0), stage_caps=[1.0, 1.0])
+    bench = (
+        Bench([], news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
+        if first == "news"
+        else Bench([], news=(0, 0, "released", 1.0), stage_caps=[1.0, 1.0])
+    )
     bench.gateway.on_list(bench.host.now, True, NEW + OLD if first == "newest row" else OLD + NEW)
     bench.news(2, 0, "trial", 1.0)
     assert bench.gateway.newest.earlier.number == 1
@@ -148,9 +164,10 @@
 
 
 def test_a_hit_that_takes_most_of_its_target_latency_is_not_called_off():
-    """Few hits reach an instance at a time: that nothing else was heard of it meanwhile is no sign of silence."""
+    """Few hits reach an instance at a time: that nothing else was heard of it meanwhile is no sign of
+    silence."""
     bench = Bench(OLD[:2])
-    bench.serve(6_000 * MS, lambda id: 450 * MS, every=400 * MS)             # of 600
+    bench.serve(6_000 * MS, lambda id: 450 * MS, every=400 * MS)  # of 600
     assert len(bench.host.named("forward")) > 10 and bench.host.named("cancel", "bounce", "error") == []
 
 
@@ -164,19 +181,19 @@
     while bench.host.open:
         bench.end(bench.host.open[0], "ok")
     bench.hit()
-    bench.end(bench.host.open[0], "unreachable")       # one dial in ten fails, as far as it knows
+    bench.end(bench.host.open[0], "unreachable")  # one dial in ten fails, as far as it knows
     bench.hit()
     assert len(bench.host.named("probe")) == 1
 
 
 def slow_one(answers):
-    """A thin gateway with one hit out for longer than it waits before it asks the instance; its probes are answered
-    or not."""
+    """A thin gateway with one hit out for longer than it waits before it asks the instance; its probes are
+    answered or not."""
     bench = Bench(OLD[:2], **PRICED)
     bench.run(100 * MS)
     bench.hit()
-    bench.run(450 * MS)                                # of 600
-    (_, _, (asked,)), = bench.host.named("probe")
+    bench.run(450 * MS)  # of 600
+    ((_, _, (asked,)),) = bench.host.named("probe")
     assert asked == bench.host.open[0][3] and bench.host.named("cancel") == []
     if answers:
         bench.gateway.on_probed(bench.host.now, asked, "ok", MS, {"inflight": 9})
@@ -200,7 +217,7 @@
     bench = Bench(OLD, gateways=100, may_cancel=False)
     for _ in range(8):
         bench.hit()
-    bench.run(700 * MS)                                # of 600
+    bench.run(700 * MS)  # of 600
     while bench.host.open:
         bench.end(bench.host.open[0], "ok")
         bench.run(bench.host.now + 25 * MS)
@@ -213,7 +230,8 @@
 
 
 def test_load_that_moves_to_a_released_build_is_no_evidence_against_it():
-    """The hits of both builds go to the new one once the earlier one drains. What was slow in the trial counts on."""
+    """The hits of both builds go to the new one once the earlier one drains. What was slow in the trial
+    counts on."""
     bench = Bench(OLD + NEW, news=(2, 0, "trial", 0.5), stage_caps=[0.5, 1.0], gate="clock", layout="beside")
     bench.serve(6_000 * MS, steady(), groups=("look",))
     gateway, released = bench.gateway, bench.host.now
@@ -221,8 +239,10 @@
     bench.serve(7_000 * MS, steady(), groups=("look",))
     bench.gateway.on_list(bench.host.now, False, [{**one, "state": "draining"} for one in OLD])
     bench.serve(9_000 * MS, steady(500), groups=("look",))
-    new, old = (gateway.window(b, gateway.groups["look"], bench.host.now)
-                for b in (gateway.newest, gateway.newest.earlier))
+    new, old = (
+        gateway.window(b, gateway.groups["look"], bench.host.now)
+        for b in (gateway.newest, gateway.newest.earlier)
+    )
     pairs, alone = gateway.alike(new, old, bench.host.now)
     assert sum(s.at > released for s in new) > 30 and alone == []
     counted = sum(len(some) for some, _ in pairs)
@@ -237,7 +257,9 @@
     bench.serve(3_500 * MS, steady(500), groups=("look", "hold"))
     gateway = bench.gateway
     for group in gateway.groups.values():
-        new, old = (gateway.window(build, group, bench.host.now) for build in (gateway.newest, gateway.newest.earlier))
+        new, old = (
+            gateway.window(build, group, bench.host.now) for build in (gateway.newest, gateway.newest.earlier)
+        )
         pairs, alone = gateway.alike(new, old, bench.host.now)
         last = max(sample.at - sample.latency for sample in old) if old else 0
         paired, since = sum(len(some) for some, _ in pairs), max(new[0].at, old[0].at) if new and old else 0
@@ -246,12 +268,13 @@
 
 
 def test_a_slow_hit_cuts_the_share_before_its_answer_comes():
-    """Guards against a jam whose answers take several times the target latency: until then all would be let in."""
+    """Guards against a jam whose answers take several times the target latency: until then all would be let
+    in."""
     bench = Bench(OLD[:2], **PRICED)
     bench.run(100 * MS)
     bench.hit()
-    bench.run(450 * MS)                                # of 600
-    (_, _, (asked,)), = bench.host.named("probe")
+    bench.run(450 * MS)  # of 600
+    ((_, _, (asked,)),) = bench.host.named("probe")
     bench.gateway.on_probed(bench.host.now, asked, "ok", MS, {"inflight": 9})
     assert bench.gateway.admitted == 1.0
     bench.run(700 * MS)
@@ -262,7 +285,9 @@
     """A lean of its own at each of them would send all hits of a fleet to the few instances of a stage."""
     shares = []
     for gateways in (3, 180):
-        bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0], gateways=gateways, layout="beside")
+        bench = Bench(
+            OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0], gateways=gateways, layout="beside"
+        )
         bench.gateway.trusted = True
         for _ in range(60):
             bench.hit()
@@ -270,15 +295,18 @@
             bench.host.now += 10 * MS
         sent = [a[1] for _, _, a in bench.host.named("forward")]
         shares.append(sum(id[0] == "n" for id in sent) / len(sent))
-    assert shares[0] == 1.0 and 0.3 < shares[1] < 0.5                      # 4 of 10 instances
+    assert shares[0] == 1.0 and 0.3 < shares[1] < 0.5  # 4 of 10 instances
 
 
 def test_few_errors_spread_over_many_instances_are_seen():
-    """Each of 30 instances errs once in a while: leaving out the worst third of them would leave out every error."""
-    old, new = ([row(f"{mark}{n:02}", build, cell=n // 3) for n in range(30)] for mark, build in (("i", 1), ("n", 2)))
+    """Each of 30 instances errs once in a while: leaving out the worst third of them would leave out every
+    error."""
+    old, new = (
+        [row(f"{mark}{n:02}", build, cell=n // 3) for n in range(30)] for mark, build in (("i", 1), ("n", 2))
+    )
     bench = Bench(old + new, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
     gateway, group = bench.gateway, bench.gateway.groups["look"]
-    for n in range(3_600):                             # 600 of the new build, of which 12 errors at 12 instances
+    for n in range(3_600):  # 600 of the new build, of which 12 errors at 12 instances
         instance = gateway.fleet.by_id[f"{'i' if n % 6 else 'n'}{n // 6 % 30:02}"]
         errored = instance.id[0] == "n" and n >= 3_600 - 12 * 6
         latency = (2500 if errored else 80) * MS
@@ -287,17 +315,24 @@
 
 
 def test_what_is_kept_of_a_busy_build_is_not_the_long_part_of_it():
-    """Both builds are alike, quick mostly and long at times; the newer one gets most hits, so that what is kept of it
-    reaches less far back: of its hits sent long ago only the long ones are still there."""
-    old, new = ([row(f"{mark}{n:02}", build, cell=n // 3) for n in range(30)] for mark, build in (("i", 1), ("n", 2)))
+    """Both builds are alike, quick mostly and long at times; the newer one gets most hits, so that what is
+    kept of it reaches less far back: of its hits sent long ago only the long ones are still there."""
+    old, new = (
+        [row(f"{mark}{n:02}", build, cell=n // 3) for n in range(30)] for mark, build in (("i", 1), ("n", 2))
+    )
     bench = Bench(old + new, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
     gateway, group, dice = bench.gateway, bench.gateway.groups["look"], Chance(3)
     ended = []
-    for n in range(12_000):                            # one a millisecond, a tenth of them to the earlier build
+    for n in range(12_000):  # one a millisecond, a tenth of them to the earlier build
         instance = gateway.fleet.by_id[f"{'n' if n % 10 else 'i'}{dice.below(30):02}"]
         latency = (1500 if dice.below(10) < 2 else 60 + dice.below(80)) * MS
-        ended.append((n * MS + latency, n, Sample(
-            n * MS + latency, latency, False, instance, n * MS // gateway.stretch, 1.0, 0)))
+        ended.append(
+            (
+                n * MS + latency,
+                n,
+                Sample(n * MS + latency, latency, False, instance, n * MS // gateway.stretch, 1.0, 0),
+            )
+        )
     said = []
     for at, n, sample in sorted(ended):
         gateway.enter_sample(group, sample, at)
@@ -307,7 +342,8 @@
 
 
 def test_an_error_that_is_told_is_placed_in_its_own_time():
-    """It counts as a time-out, and yet nothing was waited for: dated back by one it lay among quieter hits."""
+    """It counts as a time-out, and yet nothing was waited for: dated back by one it lay among quieter
+    hits."""
     bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), may_tell=True, gateways=180)
     gateway = bench.gateway
     instance = gateway.fleet.by_id[NEW[0]["id"]]
@@ -325,22 +361,27 @@
 
 
 def test_a_judge_that_dies_gives_place_to_one_that_is_told_what_was_seen_and_nobody_is_told_twice():
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0], may_tell=True, gateways=20, number=3)
-    everybody = {n: 100 + n for n in range(20) if n != 3}     # ours may judge too: not here
+    bench = Bench(
+        OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0], may_tell=True, gateways=20, number=3
+    )
+    everybody = {n: 100 + n for n in range(20) if n != 3}  # ours may judge too: not here
     first = judge_of(bench, everybody)
     bench.serve(3_000 * MS, steady())
     told = bench.host.named("tell")
     assert {a[0] for _, _, a in told} == set(first) and all(len(a[1]) == 8 for _, _, a in told)
     second = judge_of(bench, {n: at for n, at in everybody.items() if n != first[0]})
     fresh = [n for n in second if n not in first]
-    again = bench.host.named("tell")[len(told):]
+    again = bench.host.named("tell")[len(told) :]
     assert len(fresh) == 1 and {a[0] for _, _, a in again} == set(fresh) and 8 <= len(again) <= 40
-    assert all(Told.unpack(a[1])[5] >= 0 for _, _, a in again) and max(Told.unpack(a[1])[5] for _, _, a in again) > 0
+    assert (
+        all(Told.unpack(a[1])[5] >= 0 for _, _, a in again)
+        and max(Told.unpack(a[1])[5] for _, _, a in again) > 0
+    )
     count = len(bench.host.named("tell"))
     judge_of(bench, {n: at for n, at in everybody.items() if n != first[0]})
-    judge_of(bench, everybody)                         # the first is back, of the same start: it knows
+    judge_of(bench, everybody)  # the first is back, of the same start: it knows
     assert len(bench.host.named("tell")) == count
-    judge_of(bench, everybody | {first[0]: 999})       # it was restarted, and knows nothing
+    judge_of(bench, everybody | {first[0]: 999})  # it was restarted, and knows nothing
     assert {a[0] for _, _, a in bench.host.named("tell")[count:]} == {first[0]}
 
 
@@ -355,11 +396,12 @@
                 bench.end(bench.host.open[0])
             bench.host.now += 10 * MS
         return {a[1][0] for _, _, a in bench.host.named("forward")[before:]}
+
     assert "n" in sent()
     bench.gateway.on_shut(bench.host.now, 2)
     assert sent() == {"i"}
     bench.news(2, 0, "trial", 1.0)
-    bench.gateway.on_shut(bench.host.now, None)        # as the host says it once the desk has spoken
+    bench.gateway.on_shut(bench.host.now, None)  # as the host says it once the desk has spoken
     assert "n" in sent()
     tags = [Told.mark(one["id"], 1) for one in OLD]
     bench.gateway.on_drains(bench.host.now, tags + [1, 2])
@@ -367,21 +409,25 @@
     bench.gateway.on_list(bench.host.now, False, [OLD[0]])
     bench.news(2, 0, "going back", 0.0)
     assert sent() == {"i"}
-    bench.gateway.on_shut(bench.host.now, None)        # opens nothing that the desk has shut
+    bench.gateway.on_shut(bench.host.now, None)  # opens nothing that the desk has shut
     assert sent() == {"i"}
 
 
 def test_where_keys_stay_no_more_of_them_are_bound_to_a_trial_than_its_cap_serves():
     """One by one all keys were bound to it, and what its cap did not allow was bounced."""
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 0.2), stage_caps=[0.2, 1.0], keys_stay=True, exposure_free=50)
+    bench = Bench(
+        OLD + NEW, news=(2, 0, "trial", 0.2), stage_caps=[0.2, 1.0], keys_stay=True, exposure_free=50
+    )
     for n in range(2_000):
         bench.hit(key=n % 40)
         bench.end(bench.host.open[0])
         bench.host.now += 20 * MS
     assert not bench.host.named("bounce")
     bound = [key for key, build in bench.gateway.kept_keys.items() if build.number == 2]
-    assert 2 <= len(bound) <= 16                       # 8 on the mean
-    other = Bench(OLD + NEW, news=(2, 0, "trial", 0.2), stage_caps=[0.2, 1.0], keys_stay=True, seed=9, number=2)
+    assert 2 <= len(bound) <= 16  # 8 on the mean
+    other = Bench(
+        OLD + NEW, news=(2, 0, "trial", 0.2), stage_caps=[0.2, 1.0], keys_stay=True, seed=9, number=2
+    )
     assert all(other.gateway.spares(key, other.gateway.newest) == (key in bound) for key in range(40))
     other.news(2, 1, "trial", 1.0)
     assert all(other.gateway.spares(key, other.gateway.newest) for key in range(40))
@@ -392,8 +438,8 @@
     bench = Bench(OLD[:2], **PRICED)
     bench.run(100 * MS)
     bench.hit("pay")
-    bench.run(650 * MS)                                # of 800, and two ticks
-    (_, _, (asked,)), = bench.host.named("probe")
+    bench.run(650 * MS)  # of 800, and two ticks
+    ((_, _, (asked,)),) = bench.host.named("probe")
     bench.gateway.on_probed(bench.host.now, asked, "timeout", 250 * MS, {})
     bench.run(1_500 * MS)
     assert bench.host.open and bench.host.named("cancel") == []
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -2,6 +2,7 @@
 
 `COBALTPOND_EXAMPLES=1000 bin/test tests/test_together.py` draws more.
 """
+
 import json
 import os
 
@@ -14,10 +15,29 @@
 from cobaltpond.sheet.parts import Release
 
 MS, S = 1000, 1_000_000
-RELEASE = {"gate": "any", "shares": [0.34, 1.0], "caps": [0.5, 1.0], "exposure_window": 2 * S, "vote_life": 60 * S,
-           "vote_wait": S, "dwell": 300 * MS, "settle": 0, "start_within": 3 * S, "drain_time": 200 * MS}
-TAKES = {"fetch": 150 * MS, "check": 20 * MS, "start": 150 * MS, "stop": 60 * MS, "kill": 20 * MS,
-         "wait drained": 200 * MS, "wait overdue": 300 * MS, "wait rested": 250 * MS, "wait steady": 2 * S}
+RELEASE = {
+    "gate": "any",
+    "shares": [0.34, 1.0],
+    "caps": [0.5, 1.0],
+    "exposure_window": 2 * S,
+    "vote_life": 60 * S,
+    "vote_wait": S,
+    "dwell": 300 * MS,
+    "settle": 0,
+    "start_within": 3 * S,
+    "drain_time": 200 * MS,
+}
+TAKES = {
+    "fetch": 150 * MS,
+    "check": 20 * MS,
+    "start": 150 * MS,
+    "stop": 60 * MS,
+    "kill": 20 * MS,
+    "wait drained": 200 * MS,
+    "wait overdue": 300 * MS,
+    "wait rested": 250 * MS,
+    "wait steady": 2 * S,
+}
 
 
 class Agent:
@@ -60,15 +80,20 @@
                     self.listed.discard(build)
                     if self.processes.pop(build, None) is None:
                         continue
-                    self.due = [e for e in self.due if (e[1], e[2]) not in [
-                        (build, x) for x in ("ready", "late", "exited")]]
+                    self.due = [
+                        e
+                        for e in self.due
+                        if (e[1], e[2]) not in [(build, x) for x in ("ready", "late", "exited")]
+                    ]
                 self.act(now, self.place.event(build, event))
 
     def crash(self, now):
         """It comes back a while later: the order and its living processes are all it knows."""
         self.down_until = now + 300 * MS
         old, self.place = self.place, Place()
-        self.due = [(max(at, self.down_until), b, e) for at, b, e in self.due if e == "exited" and b in self.processes]
+        self.due = [
+            (max(at, self.down_until), b, e) for at, b, e in self.due if e == "exited" and b in self.processes
+        ]
         self.place.generation = old.generation
         for build in sorted({*old.slots, *self.processes}):
             new = self.place.slots[build] = Slot(build)
@@ -81,8 +106,14 @@
         self.place.forget()
 
     def said(self):
-        return {"place": self.name, "generation": max(0, self.place.generation), "done": self.place.carried_out(),
-                "slots": [{"build": b, "state": s.state, "id": "", "why": s.why} for b, s in self.place.slots.items()]}
+        return {
+            "place": self.name,
+            "generation": max(0, self.place.generation),
+            "done": self.place.carried_out(),
+            "slots": [
+                {"build": b, "state": s.state, "id": "", "why": s.why} for b, s in self.place.slots.items()
+            ],
+        }
 
 
 class Together:
@@ -95,7 +126,8 @@
         self.kept = json.dumps(self.stages.dump())
 
     def crash_desk(self):
-        """What was not yet written is lost; what was is carried on from. Hosts are heard before orders go out."""
+        """What was not yet written is lost; what was is carried on from. Hosts are heard before orders go
+        out."""
         self.epoch += 1
         self.desk_down_until = self.now + 400 * MS
         self.stages = Stages(Release(layout=self.layout, **RELEASE), list(self.agents), NOTHING, self.now)
@@ -143,13 +175,19 @@
             self.step()
 
 
-ACTS = st.tuples(st.sampled_from(["offer", "on", "back", "crash desk", "crash h0", "crash h1", "end", "wait"]),
-                 st.sampled_from([0.04, 0.2, 0.5, 1.5]))
+ACTS = st.tuples(
+    st.sampled_from(["offer", "on", "back", "crash desk", "crash h0", "crash h1", "end", "wait"]),
+    st.sampled_from([0.04, 0.2, 0.5, 1.5]),
+)
 
 
 @settings(derandomize=True, deadline=None, max_examples=int(os.environ.get("COBALTPOND_EXAMPLES", 100)))
-@given(st.sampled_from(["beside", "in place"]), st.lists(ACTS, max_size=16),
-       st.lists(st.sampled_from(["fine", "fine", "fail", "hang"]), max_size=10), st.lists(st.booleans(), max_size=60))
+@given(
+    st.sampled_from(["beside", "in place"]),
+    st.lists(ACTS, max_size=16),
+    st.lists(st.sampled_from(["fine", "fine", "fail", "hang"]), max_size=10),
+    st.lists(st.booleans(), max_size=60),
+)
 def test_desk_and_agents_end_where_the_last_order_says(layout, acts, faults, lost):
     world = Together(layout, [], [])
     world.stages.offer(0, 1)
@@ -183,14 +221,21 @@
         world.stages.vote(world.now, 0, world.stages.build, world.stages.stage, "back")
         world.run(12)
     if any(s.state == "failed" for a in world.agents.values() for s in a.place.slots.values()):
-        world.run(14)                                  # what failed for good is tried again every ten seconds
+        world.run(14)  # what failed for good is tried again every ten seconds
     assert world.stages.phase != GOING_BACK and not world.stages.offered or world.stages.phase == "trial"
     if world.stages.phase in ("released", "withdrawn"):
         right = world.stages.build if world.stages.phase == "released" else world.stages.stable
-        failed = {(n, b) for n, a in world.agents.items() for b, s in a.place.slots.items() if s.state == "failed"}
+        failed = {
+            (n, b) for n, a in world.agents.items() for b, s in a.place.slots.items() if s.state == "failed"
+        }
         for name, agent in world.agents.items():
             assert set(agent.processes) == {right} or (name, right) in failed, (
-                world.stages.phase, right, name, agent.processes, world.hosts.order(name, set()))
+                world.stages.phase,
+                right,
+                name,
+                agent.processes,
+                world.hosts.order(name, set()),
+            )
     assert not any(agent.twice for agent in world.agents.values())
     if "fail" not in faults and "hang" not in faults and "end" not in [what for what, _ in acts]:
-        assert world.emptiest == 0                     # crashes of desk and agents alone leave no place empty
+        assert world.emptiest == 0  # crashes of desk and agents alone leave no place empty
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -1,4 +1,5 @@
 """Real agents and a real desk as processes, with builds that are broken on purpose, and kills."""
+
 import base64
 
 import pytest
@@ -40,8 +41,11 @@
         number, seen = 1, {}
         for flaw in ("exit", "deaf", "crash", "stubborn", "corrupt", "cut", "forged"):
             number += 1
-            _, chunks = town.add_build(number, flaw if flaw in ("exit", "deaf", "crash", "stubborn") else "good",
-                                       key=Ed25519PrivateKey.generate() if flaw == "forged" else None)
+            _, chunks = town.add_build(
+                number,
+                flaw if flaw in ("exit", "deaf", "crash", "stubborn") else "good",
+                key=Ed25519PrivateKey.generate() if flaw == "forged" else None,
+            )
             if flaw in ("corrupt", "cut"):
                 for server in town.servers:
                     way = "junk" if flaw == "corrupt" else "cut 0"
@@ -66,8 +70,11 @@
         yield from town.insist("POST", "/v1/back", {"build": number, "why": "a word"})
         yield from town.until(lambda: town.exactly(1))
         history = yield from town.insist("GET", "/v1/history")
-        assert [number, "going back", "a word"] in [[h["build"], h["phase"], h["why"]] for h in history["history"]]
+        assert [number, "going back", "a word"] in [
+            [h["build"], h["phase"], h["why"]] for h in history["history"]
+        ]
         return seen
+
     seen = run.go(go())
     assert not run.deaths
     assert "WronglySigned" in str(seen["forged"]) and "FetchFailed" in str(seen["corrupt"])
@@ -84,7 +91,7 @@
         town.add_build(2)
         yield from town.insist("POST", "/v1/builds", {"build": 2}, good=lambda s, a: s in (202, 409))
         yield Sleep(150_000)
-        town.kill("h0")                                # in the midst of fetching or starting
+        town.kill("h0")  # in the midst of fetching or starting
         yield Sleep(100_000)
         town.start("h0")
         town.kill("desk")
@@ -94,7 +101,7 @@
         town.start("desk")
         yield from town.push(2)
         yield from town.until(lambda: town.exactly(2))
-        town.kill("h1")                                # its instance goes on without it
+        town.kill("h1")  # its instance goes on without it
         assert ("h1", 2) in town.running()
         yield from town.vote(2, 0, "back")
         town.kill("desk")
@@ -104,34 +111,43 @@
         town.kill("h2")
         for pid, words in town.loop.kernel.command_lines():
             if any(word.startswith(f"{town.folder}/h2/store") for word in words):
-                town.loop.kernel.kill(pid)             # it ends while nobody looks
+                town.loop.kernel.kill(pid)  # it ends while nobody looks
         yield from town.until(lambda: ("h2", 1) not in town.running())
         gone = len(town.record)
         town.start("h2")
         yield from town.until(lambda: town.exactly(1) and len(town.record) > gone)
         assert "gone" in [state for _, _, _, state, _ in town.record[gone:]]
+
     run.go(go())
     assert not run.deaths
 
 
 def test_keys_are_rotated_and_the_build_of_the_old_key_can_still_be_gone_back_to(tmp_path):
-    """A host that was away takes up both rotations; a ring that nobody vouches for, or an old one, changes nothing."""
+    """A host that was away takes up both rotations; a ring that nobody vouches for, or an old one, changes
+    nothing."""
     run = Run(tmp_path, 3, "in place")
     town = run.town
     signers = {n: Ed25519PrivateKey.generate() for n in ("second", "third")}
 
     def ring(version, *names):
-        return Ring(version, [Key(n, base64.b64encode(signers[n].public_key().public_bytes_raw()).decode(), 0, 1 << 40)
-                              for n in names])
+        return Ring(
+            version,
+            [
+                Key(n, base64.b64encode(signers[n].public_key().public_bytes_raw()).decode(), 0, 1 << 40)
+                for n in names
+            ],
+        )
 
     def go():
         yield from first_build(town)
         town.kill("h2")
-        for data, status in ((write_ring(ring(3, "third"), signers), 409),
-                             (write_ring(ring(2, "second"), {"town": town.key}), 202),
-                             (write_ring(ring(2, "third"), {"town": town.key}), 409),
-                             (write_ring(ring(3, "third"), {"second": signers["second"]}), 202),
-                             (b"no ring", 409)):
+        for data, status in (
+            (write_ring(ring(3, "third"), signers), 409),
+            (write_ring(ring(2, "second"), {"town": town.key}), 202),
+            (write_ring(ring(2, "third"), {"town": town.key}), 409),
+            (write_ring(ring(3, "third"), {"second": signers["second"]}), 202),
+            (b"no ring", 409),
+        ):
             assert (yield from town.ask("POST", "/v1/keys", data))[0] == status
         town.kill("desk")
         town.start("desk")
@@ -142,10 +158,11 @@
         yield from town.until(lambda: town.exactly(2))
         town.kill("h1")
         town.start("h1")
-        town.add_build(3)                              # signed by the first key, which is trusted no more
+        town.add_build(3)  # signed by the first key, which is trusted no more
         yield from town.vote(2, 0, "back")
         yield from town.until(lambda: town.exactly(1))
         yield from town.insist("POST", "/v1/builds", {"build": 3}, good=lambda s, a: s in (202, 409))
         yield from town.insist("GET", "/v1/status", good=lambda s, a: "UnknownKey" in str(a["missing"]))
+
     run.go(go())
     assert not run.deaths
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -1,7 +1,8 @@
 """Whole stories as text, approved once and compared in full: every byte that passes between the parts, to the
-microsecond, on the virtual kernel. `bin/test tests/test_transcripts.py --snapshot-update` takes a new text on; read the
-difference before you do. What is left out: the day's own looking, bytes of builds, and pings that say nothing new
-(see `plain`)."""
+microsecond, on the virtual kernel. `bin/test tests/test_transcripts.py --snapshot-update` takes a new text
+on; read the difference before you do. What is left out: the day's own looking, bytes of builds, and pings
+that say nothing new (see `plain`)."""
+
 import re
 
 import pytest
@@ -34,8 +35,9 @@
 
 
 def plain(sender, receiver, what):
-    """Pings, answers to them and news that say again what was said are left out of a story; so are lists' beats."""
-    if "builds" in (sender, receiver):                 # the bytes of builds
+    """Pings, answers to them and news that say again what was said are left out of a story; so are lists'
+    beats."""
+    if "builds" in (sender, receiver):  # the bytes of builds
         return True
     again = r"(ping|ack); #\d+; I am alive \d+ (ready|ready settled)(; build \d+ .* cap \d\.\d\d)?"
     return bool(re.fullmatch(again, what)) or what == '{"beat":true}'
@@ -55,45 +57,105 @@
     # killed at 2 s, back half a second later: asks the settled one, serves, settles
     "a gateway comes back": (KNOWN + "kill(gateway = 1, at = s(2), back_after = ms(500))\n", 1.9, 4.5, {}),
     # both killed: nobody is settled, nobody waits for a donor; the snapshots are taken back
-    "all gateways come back": (KNOWN + "".join(
-        f"kill(gateway = {n}, at = s(3), back_after = ms(300))\n" for n in range(2)), 2.9, 5.0, {}),
+    "all gateways come back": (
+        KNOWN + "".join(f"kill(gateway = {n}, at = s(3), back_after = ms(300))\n" for n in range(2)),
+        2.9,
+        5.0,
+        {},
+    ),
     # the desk is killed in mid-trial: what it is told when it comes back, before it tells anything
-    "a desk comes back": ("""offer(at = s(1), flaw = "")
+    "a desk comes back": (
+        """offer(at = s(1), flaw = "")
 fault(kind = "kill", on = "desk", at = s(2), length = ms(700))
-""", 1.9, 5.2, {}),
+""",
+        1.9,
+        5.2,
+        {},
+    ),
     # a journal two seconds old is put back while the build it holds on trial has gone back meanwhile
-    "a desk is put back to an older copy": ("""offer(at = s(1), flaw = "", back_after = s(2))
+    "a desk is put back to an older copy": (
+        """offer(at = s(1), flaw = "", back_after = s(2))
 fault(kind = "rolled_back", on = "desk", at = ms(3600), length = ms(400), size = 1.5)
-""", 2.9, 6.0, {}),
+""",
+        2.9,
+        6.0,
+        {},
+    ),
     # everything it knew is gone: what gateways and hosts have seen is all there is
-    "a desk loses everything": ("""offer(at = s(1), flaw = "")
+    "a desk loses everything": (
+        """offer(at = s(1), flaw = "")
 fault(kind = "lost", on = "desk", at = s(2), length = ms(400))
-""", 1.9, 6.0, {"agents": True, "rate": 0.5, "gateways": 1}),
+""",
+        1.9,
+        6.0,
+        {"agents": True, "rate": 0.5, "gateways": 1},
+    ),
     # an agent's journal is gone; its instance runs on and is taken on again
-    "an agent loses its journal": ("""fault(kind = "lost", on = "place-01", at = s(2), length = ms(300))
-""", 1.9, 4.0, {"agents": True, "rate": 0.5, "gateways": 1}),
+    "an agent loses its journal": (
+        """fault(kind = "lost", on = "place-01", at = s(2), length = ms(300))
+""",
+        1.9,
+        4.0,
+        {"agents": True, "rate": 0.5, "gateways": 1},
+    ),
     # stopped for longer than a cold time, then going on: what it heard meanwhile comes all at once
-    "a gateway stands still": (KNOWN + """fault(kind = "stall", on = "gateway-1", at = s(2), length = ms(2500))
-""", 1.9, 5.5, {}),
+    "a gateway stands still": (
+        KNOWN
+        + """fault(kind = "stall", on = "gateway-1", at = s(2), length = ms(2500))
+""",
+        1.9,
+        5.5,
+        {},
+    ),
     # told to stop, and started again by its supervisor
-    "a gateway is restarted in order": (KNOWN + """fault(kind = "restart", on = "gateway-1", at = s(2))
-""", 1.9, 4.0, {}),
+    "a gateway is restarted in order": (
+        KNOWN
+        + """fault(kind = "restart", on = "gateway-1", at = s(2))
+""",
+        1.9,
+        4.0,
+        {},
+    ),
     # killed in mid-trial: it asks the other one for its counts of the trial
-    "a gateway comes back in mid-trial": (KNOWN + """offer(at = s(1), flaw = "")
+    "a gateway comes back in mid-trial": (
+        KNOWN
+        + """offer(at = s(1), flaw = "")
 kill(gateway = 1, at = ms(2200), back_after = ms(300))
-""", 2.1, 4.5, {"rate": 4.0}),
+""",
+        2.1,
+        4.5,
+        {"rate": 4.0},
+    ),
     # nothing that one says reaches the other for a second and a half
-    "a link is broken one way": (KNOWN + """fault(kind = "one_way", on = "gateway-0", to = "gateway-1", at = s(2),
+    "a link is broken one way": (
+        KNOWN
+        + """fault(kind = "one_way", on = "gateway-0", to = "gateway-1", at = s(2),
       length = ms(1500))
-""", 1.9, 5.0, {"gateways": 3}),
-    # an allowance of the fleet: asked for and lent; its owner falls over, and lends again a life after it has come back
-    "the owner of a lease falls over": (KNOWN + """limit(name = "house", rate = per_second(24), burst = 60,
+""",
+        1.9,
+        5.0,
+        {"gateways": 3},
+    ),
+    # an allowance of the fleet: asked for and lent; its owner falls over, and lends again a life after it has
+    # come back
+    "the owner of a lease falls over": (
+        KNOWN
+        + """limit(name = "house", rate = per_second(24), burst = 60,
       scope = "fleet")
 kill(gateway = 0, at = s(5), back_after = s(2))
-""", 4.4, 11.5, {"gateways": 3, "rate": 6.0, "length": 12}),
+""",
+        4.4,
+        11.5,
+        {"gateways": 3, "rate": 6.0, "length": 12},
+    ),
     # a bad build goes back by votes, host by host
-    "a build goes back": ("""offer(at = s(1), flaw = "errors", strength = 1.0, back_after = s(2))
-""", 0.9, 6.0, {"agents": True, "rate": 0.5, "gateways": 1}),
+    "a build goes back": (
+        """offer(at = s(1), flaw = "errors", strength = 1.0, back_after = s(2))
+""",
+        0.9,
+        6.0,
+        {"agents": True, "rate": 0.5, "gateways": 1},
+    ),
 }
 
 
@@ -106,6 +168,7 @@
 def test_a_break_that_no_rule_sees_shows_in_a_story(monkeypatch):
     """A gateway that forgets to say what it has seen breaks no rule of a day; its story reads otherwise."""
     from cobaltpond.gateway.news import News
+
     more, begin, end, rest = STORIES["a desk comes back"]
     whole = story(more, begin, end, **rest)
     monkeypatch.setattr(News, "note", lambda self, told, state: None)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,6 @@
-"""One process with a gateway, a scripted list, desk and instances, and raw clients, on real loopback sockets."""
+"""One process with a gateway, a scripted list, desk and instances, and raw clients, on real loopback
+sockets."""
+
 import json
 
 from cobaltpond.calls import Refusal, Stream, json_answer, service
@@ -40,15 +42,18 @@
 
 
 class Around:
-    """What the worlds of all gateways share; they set `loop`, `lock`, `deaths`, `door` and say when it is `opened`."""
+    """What the worlds of all gateways share; they set `loop`, `lock`, `deaths`, `door` and say when it is
+    `opened`."""
 
     def run(self, generator, bound=12 * SECOND):
         """Once the gateway's door is open; whatever died on the way fails the test."""
+
         def all_of_it():
             with Deadline(self.loop, bound):
                 while not self.opened():
                     yield Sleep(2_000)
                 return (yield from generator)
+
         try:
             return self.finish(self.loop.spawn(all_of_it(), "test"))
         finally:
@@ -79,7 +84,8 @@
 
 
 class World(Around):
-    """`scripts`: one generator function `(world, connection)` an instance, called for each connection to it."""
+    """`scripts`: one generator function `(world, connection)` an instance, called for each connection to
+    it."""
 
     def __init__(self, *scripts, more="", decisions=None, by="push"):
         self.deaths = []
@@ -94,8 +100,18 @@
         for n, script in enumerate(scripts):
             listener = self.loop.kernel.listen(("127.0.0.1", 0), 64)
             host, port = listener.address()
-            self.rows.append({"id": f"i{n}", "address": f"{host}:{port}", "build": 1, "zone": "a", "cell": 0,
-                              "state": "up", "start": 1, "age_us": 60 * SECOND})
+            self.rows.append(
+                {
+                    "id": f"i{n}",
+                    "address": f"{host}:{port}",
+                    "build": 1,
+                    "zone": "a",
+                    "cell": 0,
+                    "state": "up",
+                    "start": 1,
+                    "age_us": 60 * SECOND,
+                }
+            )
             self.loop.spawn(serve(self.loop, listener, self.scripted(n, script), 64, f"i{n}"), f"i{n}")
         for name, handler in (("list", self.on_list), ("desk", self.on_desk)):
             listener = self.loop.kernel.listen(("127.0.0.1", names[name]), 64)
@@ -110,6 +126,7 @@
         def answer(connection):
             self.seen[number] += 1
             yield from script(self, connection)
+
         return answer
 
     def on_list(self, request):
@@ -139,7 +156,7 @@
         self.news.put({"news": {"build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age_us": 0}})
         return self.news
 
-    # --- clients ---------------------------------------------------------------------------------------------
+    # --- clients --------------------------------------------------------------------------------------------
 
     def connect(self):
         return (yield from dial(self.loop, self.door, SECOND))
@@ -170,7 +187,7 @@
     parser, head, body = http1.ResponseParser(LIMITS, no_body), None, b""
     while True:
         data = yield from connection.read()
-        for kind, value in (parser.feed(data) if data else parser.closed()):
+        for kind, value in parser.feed(data) if data else parser.closed():
             if kind == "head":
                 head = value
             elif kind == "body":
@@ -197,6 +214,7 @@
             if not data:
                 return None, b""
             waiting.extend(parser.feed(data))
+
     return get
 
 
