--- a/bench/planted.py
+++ b/bench/planted.py
@@ -22,8 +22,11 @@
 BUGS = {
     "kept key lowered by a late answer": (
         "decisions/rules.py",
-        "max(self.kept_keys.get(hit.key, forward.instance.build),\n"
-        "                                          forward.instance.build, key=lambda build: build.number)",
+        "max(\n"
+        "                self.kept_keys.get(hit.key, forward.instance.build),\n"
+        "                forward.instance.build,\n"
+        "                key=lambda build: build.number,\n"
+        "            )",
         "forward.instance.build",
     ),
     "door listens before it takes hits": (
@@ -107,8 +110,8 @@
     ),
     "desk forgets votes over a restart": (
         "desk/stages.py",
-        "self.votes = {int(n): Vote(b, s, verdict, at + moved)",
-        'self.votes = {int(n): Vote(b, s, "none", at + moved)',
+        "int(n): Vote(b, s, verdict, at + moved)",
+        'int(n): Vote(b, s, "none", at + moved)',
     ),
     "desk forgets a take-back over a restart": (
         "desk/service.py",
@@ -118,9 +121,9 @@
     ),
     "agent kills without a drain": (
         "agent/states.py",
-        '"keep": (DRAINING, "list draining", "wait drained"), '
-        '"gone": (DRAINING, "list draining", "wait drained")',
-        '"keep": (STOPPING, "kill"), "gone": (STOPPING, "kill")',
+        '"keep": (DRAINING, "list draining", "wait drained"),\n'
+        '        "gone": (DRAINING, "list draining", "wait drained")',
+        '"keep": (STOPPING, "kill"),\n        "gone": (STOPPING, "kill")',
     ),
     "agent starts a second process after a restart": (
         "agent/main.py",
