--- a/bench/comeback.py
+++ b/bench/comeback.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.day.script import call  # noqa: E402
+from cobaltpond.day.sheettext import call  # noqa: E402
 from cobaltpond.loop import in_workers  # noqa: E402
 from cobaltpond.recovery.measure import SHARE, greatest, in_time_share, time_to_full_service  # noqa: E402
 from cobaltpond.sim.run import Simulated  # noqa: E402
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -40,7 +40,7 @@
         ("gateway/instances.py", "if not self.evict():", "if True:"),
     ],
     "held build asks for its key again": (
-        "agent/main.py",
+        "agent/actions.py",
         "        self.manifests[build] = held_manifest(signed), signed\n",
         "        self.manifests[build] = read_manifest(signed, Ring(9, []), 1, ordered=build), signed\n",
     ),
--- a/cobaltpond/cli/main.py
+++ b/cobaltpond/cli/main.py
@@ -264,9 +264,10 @@
 def day(script, bench, seed, keep, as_json):
     """Plays a day over real sockets and checks the five rules. Exit code 0 only if all held."""
     from cobaltpond.day.frombench import BadDay, from_bench
-    from cobaltpond.day.run import DayFailed, DayRun
+    from cobaltpond.day.run import DayRun
     from cobaltpond.day.script import read_day
     from cobaltpond.day.table import figures, table
+    from cobaltpond.day.timing import DayFailed
 
     if (script is None) == (bench is None):
         raise click.UsageError("give either a SCRIPT or --from DAY.json")
--- /dev/null
+++ b/cobaltpond/day/sheettext.py
@@ -0,0 +1,103 @@
+"""Writes the sheets that the desk and the gateways of a day are started with."""
+
+from cobaltpond.sheet import parts as p
+
+
+def starlark(value) -> str:
+    """A plain value as Starlark text."""
+    if isinstance(value, list | tuple):
+        return "[" + ", ".join(map(starlark, value)) + "]"
+    if isinstance(value, dict):
+        return (
+            "{" + ", ".join(f"{starlark(k)}: {starlark(v)}" for k, v in value.items() if v is not None) + "}"
+        )
+    return (
+        {True: "True", False: "False", None: "None"}[value]
+        if isinstance(value, bool) or value is None
+        else (repr(value) if not isinstance(value, str) else '"' + value.replace('"', '\\"') + '"')
+    )
+
+
+def call(name: str, fields: dict) -> str:
+    return f"{name}({', '.join(f'{k} = {starlark(v)}' for k, v in fields.items() if v is not None)})"
+
+
+def sheet_text(plan: dict, zone: str, ports: dict, folder: str) -> str:
+    """The sheet that the desk, and the gateways of one zone, are started with."""
+    known = set(p.PathGroup.__struct_fields__)
+    lines = [call("path_group", {k: v for k, v in g.items() if k in known}) for g in plan["groups"]]
+    lines += [
+        call("route", {"method": g["method"], "path": f"/{g['name']}", "group": g["name"]})
+        for g in plan["groups"]
+    ]
+    lines += [call("customer", {"name": c["name"], "share": c["share"]}) for c in plan["customers"]]
+    for name in ("release", "rules", "allow", "reports", "prices", "door"):
+        lines.append(call(name, plan[name]))
+    lines.append(
+        call(
+            "listing",
+            {
+                "address": f"127.0.0.1:{ports['list']}",
+                "by": plan["list"]["by"],
+                "ask_within": plan["list"]["ask_within"],
+            },
+        )
+    )
+    desk = ports["relays"][zone] if zone else ports["desk"]
+    lines.append(
+        call(
+            "desk",
+            {
+                "address": f"127.0.0.1:{desk}",
+                "platform": f"127.0.0.1:{ports['platform']}",
+                "journal": f"{folder}/desk.journal",
+            },
+        )
+    )
+    if plan.get("agents"):
+        lines.append(
+            call(
+                "builds",
+                {
+                    "sources": [f"127.0.0.1:{ports['builds']}"],
+                    "keys": f"{folder}/keys.json",
+                    "ready_time": 8_000_000,
+                    "stop_time": 1_000_000,
+                },
+            )
+        )
+        lines += [
+            call(
+                "host",
+                {
+                    "place": place["name"],
+                    "zone": place["zone"],
+                    "cell": place["cell"],
+                    "folder": f"{folder}/{place['name']}",
+                    "ports": ports["machines"] + 8 * n,
+                },
+            )
+            for n, place in enumerate(plan["places"])
+        ]
+    back = dict(plan.get("recovery") or {})
+    snapshots = back.pop("snapshots", False)
+    for n, g in enumerate(plan["gateways"]):
+        lines.append(
+            call(
+                "gateway",
+                {
+                    "number": n,
+                    "zone": g["zone"],
+                    "door": f"127.0.0.1:{ports['doors'] + n}",
+                    "peers": f"127.0.0.1:{ports['peers'] + n}",
+                    "memory": f"{folder}/list-{n}.kept",
+                    "snapshot": f"{folder}/learned-{n}" if snapshots else None,
+                },
+            )
+        )
+    if plan.get("members"):
+        lines.append(call("members", plan["members"]))
+    if back:
+        lines.append(call("recovery", back))
+    lines += [call("limit", limit) for limit in plan.get("limits", ())]
+    return "\n".join(lines) + "\n"
--- /dev/null
+++ b/cobaltpond/day/startup.py
@@ -0,0 +1,154 @@
+"""Starts the processes of a day: stand-ins, desk, agents, gateways and clients."""
+
+from cobaltpond.day.sheettext import sheet_text
+from cobaltpond.loop import Sleep
+from cobaltpond.sheet import read_sheet
+
+
+class Startup:
+    """A part of `run.DayRun`, which has the state."""
+
+    def start_gateway(self, number):
+        self.act("started", gateway=number)
+        zone = self.plan["gateways"][number]["zone"]
+        self.gateways[number] = self.spawn(
+            f"gateway-{number}",
+            "gateway",
+            self.path(f"sheet-{zone}.star"),
+            "--number",
+            str(number),
+            *self.extra.get(number, ()),
+        )
+
+    def gateway_ready(self, number):
+        def ask():
+            return (yield from self.get(self.port["doors"] + number, "GET", "/-/status"))
+
+        yield from self.until(f"gateway {number}", ask, lambda b: b["desk"]["news"] and b["list"]["revision"])
+
+    def start(self, ports):
+        plan = self.plan
+        zones = {n: g["zone"] for n, g in enumerate(plan["gateways"])}
+        if plan.get("agents"):
+            self.write_builds()
+        yard = {
+            **{
+                k: plan[k]
+                for k in (
+                    "seed",
+                    "places",
+                    "kind",
+                    "build",
+                    "boot",
+                    "list",
+                    "report",
+                    "flaws",
+                    "home",
+                    "zone_names",
+                )
+            },
+            "zones": [zones[n] for n in sorted(zones)],
+            "ports": ports["machines"],
+            "services": ports,
+            "groups": {
+                g["name"]: {"scope": g.get("scope", "all"), "window": g.get("repeat_window", 0)}
+                for g in plan["groups"]
+            },
+            "rules": {"factor": plan["rules"]["overload_factor"], "tip_time": plan["rules"]["tip_time"]},
+            "tally": {"sample": plan["release"].get("tally_sample", 0.0)},
+        }
+        self.write("plan.json", plan)
+        for zone in plan["zone_names"]:
+            self.write(f"sheet-{zone}.star", sheet_text(plan, zone, ports, self.folder))
+        self.sheet_path = self.write("sheet-desk.star", sheet_text(plan, "", ports, self.folder))
+        self.sheet = read_sheet(self.sheet_path, sheet_text(plan, "", ports, self.folder))
+        if plan.get("agents"):
+            yard["places"] = []
+            self.spawn("builds", "standin", "builds", self.path("builds.json"), str(ports["builds"]))
+        self.spawn("yard", "standin", "yard", self.write("yard.json", yard), self.path("yard.records"))
+        yield from self.until(
+            "the yard",
+            lambda: self.get(ports["platform"], "GET", "/v1/machines"),
+            lambda b: len(b["machines"]) == len(yard["places"]),
+        )
+        # its list starts whole: instances that ran before the day
+        yield from self.get(ports["troubles"], "POST", "/v1/trouble", {"kind": "list_begins", "begins": True})
+        self.spawn("desk", "desk", self.sheet_path)
+        if plan.get("agents"):
+            yield from self.start_agents(ports)
+        yield from self.until(
+            "the desk", lambda: self.get(ports["desk"], "GET", "/v1/status"), lambda b: True
+        )
+        for number in range(len(plan["gateways"])):
+            self.start_gateway(number)
+        for number in range(len(plan["gateways"])):
+            yield from self.gateway_ready(number)
+
+    def write_builds(self):
+        """Every build of the plan as a tree that starts a stand-in instance, signed by the day's own key."""
+        plan = self.plan
+        solo = {
+            **{k: plan[k] for k in ("seed", "kind", "report", "flaws")},
+            "folder": self.folder,
+            "places": {p["name"]: p for p in plan["places"]},
+            "groups": {g["name"]: {} for g in plan["groups"]},
+            "rules": {"factor": plan["rules"]["overload_factor"], "tip_time": plan["rules"]["tip_time"]},
+        }
+        self.write("solo.json", solo)
+        self.write(
+            "builds.json",
+            {
+                "python": self.python,
+                "solo": self.path("solo.json"),
+                "keys": self.path("keys.json"),
+                "broken": {b: f["how"] for b, f in plan["flaws"].items()},
+                "builds": [plan["build"], *(o["build"] for o in plan["offers"])],
+            },
+        )
+
+    def start_agents(self, ports):
+        """All places up with the first build, and warm, before the day begins."""
+        plan = self.plan
+        yield from self.until(
+            "the desk", lambda: self.get(ports["desk"], "GET", "/v1/status"), lambda b: True
+        )
+        for place in plan["places"]:
+            self.spawn(f"agent-{place['name']}", "agent", self.sheet_path, "--place", place["name"])
+        yield from self.get(ports["desk"], "POST", "/v1/builds", {"build": plan["build"]})
+        yield from self.until(
+            "the fleet",
+            lambda: self.get(ports["desk"], "GET", "/v1/status"),
+            lambda b: sum(m["state"] == "up" for m in b["machines"]) == len(plan["places"]),
+        )
+        yield Sleep(plan["kind"]["cold_time"])
+
+    def start_crowds(self, ports, begin):
+        plan, crowds = self.plan, []
+        for n in range(plan["crowds"]):
+            crowd = {
+                "seed": plan["seed"],
+                "number": n,
+                "rate": plan["rate"] / plan["crowds"],
+                "length": plan["length"],
+                "begin": begin,
+                "customers": plan["customers"],
+                "gateways": [
+                    {**g, "door": f"127.0.0.1:{ports['doors'] + i}"} for i, g in enumerate(plan["gateways"])
+                ],
+                "groups": [{**g, "path": f"/{g['name']}"} for g in plan["groups"]],
+                "keys": plan["keys"],
+                "clients": plan["clients"],
+                "troubles": plan["troubles"],
+                "desk": ["127.0.0.1", ports["desk"]],
+                "wrong_reported": plan["release"].get("wrong_reported", 0.0),
+            }
+            crowds.append(
+                self.spawn(
+                    f"crowd-{n}",
+                    "standin",
+                    "crowd",
+                    self.write(f"crowd-{n}.json", crowd),
+                    self.path(f"crowd-{n}.records"),
+                )
+            )
+        return crowds
--- a/cobaltpond/day/table.py
+++ b/cobaltpond/day/table.py
@@ -4,7 +4,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from cobaltpond.audit.check import RULES
+from cobaltpond.audit.findings import RULES
 
 WINDOW = 10_000_000
 
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -12,13 +12,14 @@
 from math import ceil, log, log10
 
 from cobaltpond.members import wire
-from cobaltpond.members.picture import DIRECT, HELPED, Picture
-from cobaltpond.members.rounds import HELPERS, NACK_SHARE, Rounds
+from cobaltpond.members.picture import Picture
+from cobaltpond.members.receiving import Receiving
+from cobaltpond.members.rounds import HELPERS, Rounds
+from cobaltpond.members.sending import Sending
 from cobaltpond.members.states import (
     ALIVE,
     CAUSE_OF,
     CODES,
-    FAILED,
     LEFT,
     RAN_OUT,
     SUSPECT,
@@ -30,8 +31,6 @@
 ALPHA, BETA, DOUBTS = 5, 6, 3  # Lifeguard, IV: suspicion's least and most, confirmations
 HEALTH_MOST = 8  # Lifeguard's S
 TELLINGS = 4  # times the logarithm of the members a change is told
-RELAYED = 64  # questions for others that are open here
-EACH_PERIOD = 24  # datagrams of one sender that are read in a period
 STOOD_STILL = 0.5  # of a wait: a tick so late says that we stood still
 
 
@@ -48,7 +47,7 @@
         return 1 if self.plain else BETA
 
 
-class View(Rounds):
+class View(Rounds, Sending, Receiving):
     """`zones`: name of each gateway's zone by number, ours included. `chance`: as `Chance` of the decisions.
     What is to be sent collects in `out` as (number, datagram), what has changed in `changes` as (member,
     state before)."""
@@ -201,167 +200,6 @@
         elif state == SUSPECT == member.state and (start, incarnation) == member.mark:
             self.more_doubt(member, by, now)
 
-    # --- what is sent ---------------------------------------------------------------------------------------
-
-    def row_of(self, number: int) -> bytes:
-        if number == self.number:
-            return wire.row(number, self.start, self.incarnation, self.state, number)
-        member = self.members[number]
-        if member.state == SUSPECT and member.doubters:  # in turn: each of those who doubt is heard of
-            doubters = list(member.doubters)
-            by = doubters[member.given % len(doubters)]
-            member.given += 1
-        else:
-            by = member.by if member.by is not None else self.number
-        return wire.row(number, *member.mark, member.state, by)
-
-    def rows_for(self, receiver: int, room: int, differs: bool) -> bytes:
-        """The buddy's row first (Lifeguard: who is suspect learns of it by the next datagram), then what is
-        told the least often, then, where the views differ, the table in turn."""
-        most, chosen = room // wire.ROW_SIZE, []
-        target = self.members[receiver]
-        if target.state in (SUSPECT, FAILED, LEFT) and not (self.settings.plain and target.state == SUSPECT):
-            chosen.append(receiver)
-        limit = self.tellings()
-        for number in sorted(self.telling, key=self.telling.get):
-            if len(chosen) >= most:
-                break
-            if number not in chosen:
-                chosen.append(number)
-                self.telling[number] += 1
-        for number in [n for n, times in self.telling.items() if times >= limit]:
-            del self.telling[number]
-        if differs:
-            for _ in self.members:
-                if len(chosen) >= most:
-                    break
-                number = self.order[self.cursor % len(self.order)]
-                self.cursor += 1
-                if number not in chosen and self.members[number].state != UNHEARD:
-                    chosen.append(number)
-        return b"".join(self.row_of(number) for number in chosen[:most])
-
-    def send(
-        self,
-        kind: int,
-        receiver: int,
-        sequence: int,
-        about: int | None = None,
-        differs=False,
-        more: bytes = b"",
-    ) -> None:
-        self.stamp += 1
-        facts = {
-            **self.told_of_me,
-            "start": self.start,
-            "incarnation": self.incarnation,
-            "state": CODES[self.state],
-        }
-        fields = wire.self_field(facts) + wire.field(wire.DIGEST, wire.pack(">I", self.hash))
-        fields += more
-        if about is not None:
-            fields += wire.field(wire.ABOUT, wire.pack(">H", about))
-        if self.news is not None:
-            fields += wire.news_field(*self.news)
-        if self.drains:
-            fields += wire.drains_field(self.drains[: wire.DRAINS_MOST])
-        rows = self.rows_for(receiver, wire.MOST - wire.BEGIN - len(fields) - 2, differs)
-        if rows:
-            fields += wire.field(wire.ROWS, rows)
-        self.out.append((receiver, wire.sealed(kind, self.number, receiver, sequence, self.stamp, fields)))
-
-    def ping(self, receiver: int) -> int:
-        self.sequence = (self.sequence + 1) & 0xFFFFFFFF
-        self.counts["pings"] += 1
-        self.send(wire.PING, receiver, self.sequence)
-        return self.sequence
-
-    # --- what comes in --------------------------------------------------------------------------------------
-
-    def heard(self, now: int, sender: int, data: bytes) -> None:
-        """One datagram from the address of a member. Raises wire.Odd on what is not read; nothing of it is
-        kept."""
-        member = self.members.get(sender)
-        if member is None:
-            raise wire.Odd("stranger")
-        if (
-            now - member.spent_at >= self.settings.period
-        ):  # guards against floods: before anything is worked out
-            member.spent, member.spent_at = 0, now
-        member.spent += 1
-        if member.spent > EACH_PERIOD:
-            self.counts["flood"] += 1
-            return
-        kind, sequence, stamp, fields = wire.opened(sender, self.number, data)
-        facts, rows = wire.facts_of(fields), wire.rows_of(fields)
-        about, digest = wire.number_of(fields, wire.ABOUT, ">H"), wire.number_of(fields, wire.DIGEST, ">I")
-        news, drains, trial = wire.news_of(fields), wire.drains_of(fields), wire.trial_of(fields)
-        warm, leases = wire.warm_of(fields), wire.leases_of(fields)
-        self.counts["heard"] += 1
-        self.feel(member.missed)
-        member.missed = 0
-        fresh = (
-            facts["start"] > member.start
-            or facts["start"] == member.start
-            and (member.stamp is None or stamp > member.stamp)
-        )
-        self.told(now, sender, facts["start"], facts["incarnation"], wire.NAMES[facts["state"]], sender)
-        if fresh and facts["start"] == member.start:
-            member.facts, member.stamp, member.heard_at = facts, stamp, now
-            if self.hearsay is not None:
-                self.hearsay(member, news, drains)
-        elif facts["start"] < member.start:
-            self.counts["old"] += 1  # a former life's, late or replayed: its word is not taken
-            return
-        else:
-            self.counts["old"] += 1
-        for told in rows:
-            self.told(now, *told)
-        if facts["state"] == CODES[LEFT]:
-            return
-        differs = digest is not None and digest != self.hash
-        if kind == wire.PING:
-            self.send(wire.ACK, sender, sequence, differs=differs)
-        elif kind == wire.ACK:
-            self.acked(now, sender, sequence, about)
-        elif kind == wire.ASK and about in self.members and len(self.relays) < RELAYED:
-            relayed = self.ping(about)
-            wait = self.settings.wait
-            self.relays[relayed] = (
-                sender,
-                sequence,
-                about,
-                now + int(NACK_SHARE * wait),
-                now + self.settings.period,
-            )
-        elif kind in (wire.TRIAL_ASK, wire.TRIAL_TOLD) and self.trial is not None:
-            self.trial(kind, sender, sequence, trial)
-        elif kind in (wire.WARM_ASK, wire.WARM_TOLD) and self.warm is not None:
-            self.warm(kind, sender, sequence, warm)
-        elif kind in (wire.LEASE_ASK, wire.LEASE_TOLD) and self.leases is not None:
-            self.leases(kind, sender, sequence, leases)
-        elif (
-            kind == wire.NACK
-            and self.probe is not None
-            and sequence == self.probe.sequence
-            and (sender in self.probe.helpers)
-        ):
-            self.probe.nacks[sender] = True
-
-    def acked(self, now: int, sender: int, sequence: int, about: int | None) -> None:
-        relay = self.relays.get(sequence)
-        if relay is not None and relay[2] == sender and about is None:
-            del self.relays[sequence]
-            self.send(wire.ACK, relay[0], relay[1], sender)
-            return
-        probe = self.probe
-        if probe is None or sequence != probe.sequence:
-            return
-        if about is None and sender == probe.member.number:
-            probe.reached = DIRECT
-        elif about == probe.member.number and sender in probe.helpers and probe.reached is None:
-            probe.reached = HELPED
-
     # --- time -----------------------------------------------------------------------------------------------
 
     def next_at(self) -> int:
--- a/cobaltpond/sheet/read.py
+++ b/cobaltpond/sheet/read.py
@@ -88,6 +88,7 @@
     """A `Sheet` from the text of a file. Raises BadSheet."""
     from cobaltpond.sheet import parts as p
     from cobaltpond.sheet.limits import WORDS, Limit
+    from cobaltpond.sheet.sheet import Sheet
 
     calls = Reader(
         {
@@ -121,7 +122,7 @@
     def one(name, kind):
         return calls[name][0] if calls[name] else kind()
 
-    return p.Sheet(
+    return Sheet(
         path_groups=tuple(calls["path_group"]),
         routes=tuple(calls["route"]),
         customers=tuple(calls["customer"]),
--- /dev/null
+++ b/cobaltpond/sheet/sheet.py
@@ -0,0 +1,143 @@
+"""The whole sheet: all declarations together, its digest, and the plain map the decisions are given."""
+
+from zlib import crc32
+
+import msgspec
+from msgspec import Struct
+
+from cobaltpond.sheet.parts import (
+    Allow,
+    Builds,
+    Customer,
+    DeskAddress,
+    Door,
+    GatewayPlace,
+    Host,
+    Instances,
+    Listing,
+    Membership,
+    PathGroup,
+    Prices,
+    Recovery,
+    Release,
+    Reports,
+    Route,
+    Rules,
+)
+
+
+class Sheet(Struct, frozen=True):
+    """All of it. `runsheet(number)` is the plain map that the module gets."""
+
+    path_groups: tuple[PathGroup, ...]
+    routes: tuple[Route, ...]
+    customers: tuple[Customer, ...]
+    gateways: tuple[GatewayPlace, ...]
+    release: Release
+    rules: Rules
+    allow: Allow
+    reports: Reports
+    prices: Prices
+    door: Door
+    instances: Instances
+    listing: Listing
+    desk: DeskAddress
+    builds: Builds | None = None
+    hosts: tuple[Host, ...] = ()
+    members: Membership | None = None
+    recovery: Recovery | None = None
+    limits: tuple = ()  # of `sheet.limits.Limit`
+    tick: int = 1000
+    over_share_benefit: float = 0.1
+
+    def digest(self) -> int:
+        """Of all that the gateways must have alike; where each of them stands does not count."""
+        alike = msgspec.structs.replace(
+            self,
+            gateways=tuple(
+                GatewayPlace(number=g.number, zone=g.zone, door="0.0.0.0:0") for g in self.gateways
+            ),
+        )
+        ordered = msgspec.structs.replace(
+            alike, limits=tuple(sorted(alike.limits, key=lambda limit: limit.name))
+        )
+        return crc32(msgspec.json.encode(ordered))
+
+    @property
+    def zones(self) -> list[str]:
+        return list(dict.fromkeys(g.zone for g in self.gateways))
+
+    def runsheet(self, number: int) -> dict:
+        release, rules, allow = self.release, self.rules, self.allow
+        groups = [
+            {
+                "name": g.name,
+                "kind": g.kind,
+                "scope": g.scope,
+                "repeat_window": g.repeat_window,
+                "target_latency": g.target_latency,
+                "client_timeout": g.client_timeout,
+                "benefit": g.benefit,
+                "late_benefit": g.late_benefit,
+                "target_stretch": g.target_stretch,
+            }
+            for g in self.path_groups
+        ]
+        return {
+            "path_groups": groups,
+            "customers": [{"name": c.name, "share": c.share} for c in self.customers],
+            "gateways": len(self.gateways),
+            "number": number,
+            "zone": self.gateways[number].zone,
+            "zones": self.zones,
+            "tick": self.tick,
+            "over_share_benefit": self.over_share_benefit,
+            "benefit_by": "request",
+            "weights": "nominal",
+            "reports": self.reports.how,
+            "report_names": list(self.reports.names),
+            "gate": release.gate,
+            "layout": release.layout,
+            "stage_shares": list(release.shares),
+            "stage_caps": list(release.caps),
+            "exposure_window": release.exposure_window,
+            "exposure_free": release.exposure_free,
+            "exposure_by": release.exposure_by,
+            "shielded_stages": release.shielded_stages,
+            "keys_stay": release.keys_stay,
+            "vote_life": release.vote_life,
+            "vote_wait": release.vote_wait,
+            "vote_rate": release.vote_rate,
+            "on_votes": release.on_votes,
+            "back_votes": release.back_votes,
+            "hold_votes": release.hold_votes,
+            "dwell": release.dwell,
+            "step": release.step,
+            "news_period": release.news_period,
+            "delay_price": release.delay_price,
+            "harm_price": release.harm_price,
+            "tally_period": release.tally_period,
+            "tally_sample": release.tally_sample,
+            "wrong_reported": release.wrong_reported,
+            "warm_keys": release.warm_keys,
+            "may_cancel": allow.cancel,
+            "may_duplicate": False,
+            "may_probe": allow.probe,
+            "may_tell": allow.tell and len(self.gateways) > 1,
+            "may_advise": allow.advise,
+            "most_advice": allow.most_advice,
+            "most_forwards": allow.most_forwards,
+            "dial_time_out": self.instances.dial_time,
+            "drain_grace": rules.drain_grace,
+            "cold_time": rules.cold_time,
+            "cold_share": rules.cold_share,
+            "overload_factor": rules.overload_factor,
+            "tip_time": rules.tip_time,
+            "ask_within": self.listing.ask_within,
+            "list_by": self.listing.by,
+            "crossing_price": self.prices.crossing,
+            "probe_price": self.prices.probe,
+            "tell_price": self.prices.tell,
+            "waste_price": self.prices.waste,
+            "paced": bool(self.recovery and self.recovery.dials),
+        }
--- a/cobaltpond/sim/run.py
+++ b/cobaltpond/sim/run.py
@@ -3,7 +3,8 @@
 from dataclasses import dataclass, field
 
 from cobaltpond.audit.check import check_all
-from cobaltpond.day.run import DayFailed, DayRun
+from cobaltpond.day.run import DayRun
+from cobaltpond.day.timing import DayFailed
 from cobaltpond.keep import Broken
 from cobaltpond.loop import run_part
 from cobaltpond.sim.faults import Faults
--- a/cobaltpond/sim/script.py
+++ b/cobaltpond/sim/script.py
@@ -5,7 +5,8 @@
 
 from msgspec import Meta
 
-from cobaltpond.day.script import call, read_day
+from cobaltpond.day.script import read_day
+from cobaltpond.day.sheettext import call
 from cobaltpond.loop.chance import seeded
 from cobaltpond.sheet import parts as p
 from cobaltpond.sheet.read import MANY
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from cobaltpond.audit.check import RULES, check_all
+from cobaltpond.audit.check import check_all
+from cobaltpond.audit.findings import RULES
 
 S = 1_000_000
 GROUPS = [
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cobaltpond.audit.check import RULES
+from cobaltpond.audit.findings import RULES
 from cobaltpond.cli.main import main
 from cobaltpond.day.frombench import BadDay, from_bench
 from cobaltpond.day.run import DayRun
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,6 +12,7 @@
 from cobaltpond.members.compare import compare, lines, some
 from cobaltpond.members.evidence import Evidence
 from cobaltpond.members.hearsay import Hearsay
+from cobaltpond.members.receiving import EACH_PERIOD
 from cobaltpond.members.states import (
     ALIVE,
     CAUSE_OF,
@@ -25,7 +26,7 @@
     Member,
     change,
 )
-from cobaltpond.members.view import EACH_PERIOD, Settings, View
+from cobaltpond.members.view import Settings, View
 
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "60"))
 BRISK = Settings(200_000, 60_000)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,5 +1,4 @@
-"""Coming back, free of I/O: phases, turns, warm start, snapshots, lists that begin anew, the measure of it
-all."""
+"""Recovery of a gateway, free of I/O: phases, turns, warm start, and the time to full service."""
 
 import json
 import os
@@ -10,8 +9,6 @@
 from hypothesis import strategies as st
 
 from cobaltpond.decisions.records import Chance
-from cobaltpond.recovery import snapshot
-from cobaltpond.recovery.listed import PATIENCE, Doubt
 from cobaltpond.recovery.measure import greatest, time_to_full_service
 from cobaltpond.recovery.pace import Answers, Fresh, Spread, Turns
 from cobaltpond.recovery.phases import (
@@ -277,122 +274,6 @@
     assert sent <= 0.05 * taken + 2 and taken == 200
 
 
-# --- snapshots ----------------------------------------------------------------------------------------------
-
-HEAD = {"number": 3, "settings": 77, "wall": 100 * S, "epoch": "e", "seen": None}
-ROWS = [[f"i{n}", 1, 5, 1.0 + n / 10, n, n / 100, n == 7, 1000] for n in range(60)]
-KEYS = [[n, 2] for n in range(1200)]
-
-
-def file_of(head=HEAD, rows=ROWS, keys=KEYS):
-    return b"".join(snapshot.lines(head, rows, keys))
-
-
-def taken(data, **more):
-    return snapshot.read(data, **{"number": 3, "settings": 77, "wall": 101 * S, "worth": 10 * S, **more})
-
-
-def test_a_snapshot_is_read_as_it_was_written_and_weighed_by_its_age():
-    told = taken(file_of())
-    assert len(told["rows"]) == 60 and told["keys"][-1] == (1199, 2) and told["weight"] == pytest.approx(0.9)
-    snapshot.fits_list(told["head"], "e")
-    listed = {"i7": (1, 5), "i8": (2, 5), "i9": (1, 6), "i50": (1, 5)}
-    about = pytest.approx
-    assert snapshot.believed(told, listed) == [
-        ("i7", about(1.63), about(6.3), about(0.063), True),
-        ("i50", about(5.5), about(45), about(0.45), False),
-    ]
-
-
-@settings(max_examples=EXAMPLES, deadline=None)
-@given(st.integers(0, 1 << 20), st.integers(0, 255))
-def test_a_snapshot_torn_or_flipped_anywhere_is_refused_whole(at, byte):
-    data = file_of(rows=ROWS[:5], keys=KEYS[:5])
-    at %= len(data)
-    for bad in (data[:at], data[:at] + bytes([byte]) + data[at + 1 :]):
-        if bad == data:
-            continue
-        with pytest.raises(snapshot.Unfit, match="torn"):
-            taken(bad)
-
-
-@pytest.mark.parametrize(
-    "data, more, why",
-    [
-        (None, {}, "there is none"),
-        (b"x" * (snapshot.MOST_BYTES + 1), {}, "more than one has"),
-        (file_of(), {"number": 4}, "of gateway 3, not 4"),
-        (file_of(), {"settings": 78}, "other settings"),
-        (file_of(), {"wall": 99 * S}, "1000 ms in the future"),
-        (file_of(), {"wall": 110 * S}, "10000 ms old"),
-        (file_of({**HEAD, "wall": "x"}), {}, "makes no sense"),
-        (file_of(rows=[["i1", 1, 5]]), {}, "makes no sense"),
-        (file_of({**HEAD, "format": 9}), {}, None),
-    ],
-)
-def test_each_reason_to_refuse_a_snapshot_is_named(data, more, why):
-    if why is None:  # the format is the writer's own word, whatever the head says
-        assert taken(data)["head"]["format"] == snapshot.FORMAT
-        data, why = data.replace(b'"format":1', b'"format":2'), "torn"
-    with pytest.raises(snapshot.Unfit, match=why):
-        taken(data, **more)
-
-
-def test_a_later_format_and_another_list_are_refused(monkeypatch):
-    monkeypatch.setattr(snapshot, "FORMAT", 2)
-    data = file_of()
-    monkeypatch.undo()
-    with pytest.raises(snapshot.Unfit, match="of format 2, not 1"):
-        taken(data)
-    with pytest.raises(snapshot.Unfit, match="of list 'e', not 'f'"):
-        snapshot.fits_list(taken(file_of())["head"], "f")
-
-
-# --- lists that begin anew ----------------------------------------------------------------------------------
-
-
-def listed(id, state="up", start=1):
-    return {"id": id, "state": state, "start": start, "build": 1}
-
-
-HELD = {f"i{n}": listed(f"i{n}") for n in range(6)}
-
-
-def test_a_list_that_comes_back_empty_does_not_empty_a_fleet_that_answers():
-    doubt = Doubt(lambda id, now: id != "i5")
-    assert sorted(r["id"] for r in doubt.whole(0, HELD, [])) == ["i0", "i1", "i2", "i3", "i4"]
-    doubt.change([listed("i1", "draining")])
-    assert doubt.due(S) == []
-    doubt.answers = lambda id, now: id not in ("i5", "i2")
-    assert [(r["id"], r["state"]) for r in doubt.due(2 * S)] == [("i2", "gone")]
-    assert [r["id"] for r in doubt.due(PATIENCE)] == ["i0", "i3", "i4"] and doubt.due(2 * PATIENCE) == []
-
-
-def test_a_list_that_lost_a_few_is_obeyed():
-    doubt = Doubt(lambda id, now: True)
-    rows = [listed(f"i{n}") for n in range(4)]
-    assert doubt.whole(0, HELD, rows) == rows and doubt.due(PATIENCE) == []
-
-
-@pytest.mark.parametrize(
-    "before, told, obeyed",
-    [
-        ("draining", "up", "draining"),
-        ("gone", "up", "gone"),
-        ("gone", "draining", "gone"),
-        ("up", "draining", "draining"),
-        ("draining", "gone", "gone"),
-    ],
-)
-def test_an_older_list_brings_no_drained_start_back(before, told, obeyed):
-    doubt = Doubt(lambda id, now: True)
-    doubt.seen([listed("i0", before)])
-    rows = [listed("i0", told), *(listed(f"i{n}") for n in range(1, 6))]
-    assert doubt.whole(0, HELD, rows)[0]["state"] == obeyed
-    another = listed("i0", "up", start=2)
-    assert doubt.whole(0, HELD, [another, *rows[1:]])[0] == another
-
-
 # --- the measure --------------------------------------------------------------------------------------------
 
 
