--- a/bench/comeback.py
+++ b/bench/comeback.py
@@ -16,11 +16,11 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.day.sheettext import call  # noqa: E402
 from cobaltpond.loop import in_workers  # noqa: E402
 from cobaltpond.recovery.measure import SHARE, greatest, in_time_share, time_to_full_service  # noqa: E402
-from cobaltpond.sim.run import Simulated  # noqa: E402
-from cobaltpond.sim.script import read_scenario  # noqa: E402
+from cobaltpond.scenario.settings_text import call  # noqa: E402
+from cobaltpond.sim.runner import Simulated  # noqa: E402
+from cobaltpond.sim.scenarios import read_scenario  # noqa: E402
 
 S = 1_000_000
 FAULT, LENGTH = 9 * S, 24 * S
--- a/bench/judges.py
+++ b/bench/judges.py
@@ -15,8 +15,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.decisions.figures import lot  # noqa: E402
-from cobaltpond.sim.run import run_text  # noqa: E402
+from cobaltpond.decisions.stats import lot  # noqa: E402
+from cobaltpond.sim.runner import run_text  # noqa: E402
 
 GATEWAYS, BUILD, OFFER, LENGTH = 14, 42, 2_000_000, 24_000_000
 DAY = """
--- a/bench/leases_model.py
+++ b/bench/leases_model.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.leases.shares import Holder, Owner, overshoot, owner_of  # noqa: E402
+from cobaltpond.leases.protocol import Holder, Owner, overshoot, owner_of  # noqa: E402
 
 LIFE, POOL, MEMBERS = 3, 6, 3
 UNDER_WAY = 2  # messages at one moment
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -4,7 +4,7 @@
     .venv/bin/python bench/limits.py cost
     .venv/bin/python bench/limits.py shared [--sizes 10,50,200] [--seconds 30]
 
-`shared` steps the leases' own code (`leases/shares.py`, `limits/compiled.py`) over a clock, with messages
+`shared` steps the leases' own code (`leases/protocol.py`, `limits/compiled.py`) over a clock, with messages
 that take 1 to 20 ms and are lost once in a hundred times, beside a fixed share a gateway and one central
 counter that every hit would have to wait for. Wanted is 1.5 times the allowance unless a shape says
 otherwise. "worst" is the most that was let through in any one second, against the allowance. Figures are of
@@ -19,10 +19,10 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.leases.shares import Holder, Owner, owner_of  # noqa: E402
+from cobaltpond.leases.protocol import Holder, Owner, owner_of  # noqa: E402
 from cobaltpond.limits.compiled import Limits  # noqa: E402
 from cobaltpond.limits.rules import Hit, Limit  # noqa: E402
-from cobaltpond.loop.chance import seeded  # noqa: E402
+from cobaltpond.loop.random_source import seeded  # noqa: E402
 from cobaltpond.recovery.measure import greatest  # noqa: E402
 
 S, RATE, LIFE, OWN, STEP = 1_000_000, 1000, 2_000_000, 5, 10_000
--- a/bench/members.py
+++ b/bench/members.py
@@ -20,9 +20,9 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from cobaltpond.decisions.records import Chance  # noqa: E402
-from cobaltpond.loop.chance import seeded  # noqa: E402
+from cobaltpond.loop.random_source import seeded  # noqa: E402
 from cobaltpond.members import wire  # noqa: E402
-from cobaltpond.members.picture import Picture  # noqa: E402
+from cobaltpond.members.reachability import Picture  # noqa: E402
 from cobaltpond.members.states import (  # noqa: E402
     ALIVE,
     CODES,
@@ -35,7 +35,7 @@
     change,
 )
 from cobaltpond.members.view import Settings, View  # noqa: E402
-from cobaltpond.sim.society import SECOND, Society  # noqa: E402
+from cobaltpond.sim.member_cluster import SECOND, Society  # noqa: E402
 
 MISSED = 5  # heartbeats in a row, and a member counts as failed
 
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -37,7 +37,7 @@
     "agent goes on without its journal": ("agent/main.py", "if died is not None:", "if False:"),
     "no evict when handles are used up": [
         ("loop/streams.py", "yield Sleep(0 if evict() else pause)", "yield Sleep(pause)"),
-        ("gateway/instances.py", "if not self.evict():", "if True:"),
+        ("gateway/endpoints.py", "if not self.evict():", "if True:"),
     ],
     "held build asks for its key again": (
         "agent/actions.py",
@@ -77,11 +77,15 @@
     ),
     "double answer: the overdue timer runs on after the answer": [
         (
-            "gateway/host.py",
+            "gateway/decision_host.py",
             '        if not hit.final:\n            self.counts["overdue"]',
             '        if True:\n            self.counts["overdue"]',
         ),
-        ("gateway/door.py", "        if self.overdue is not None:\n            self.overdue.cancel()\n", ""),
+        (
+            "gateway/frontend.py",
+            "        if self.overdue is not None:\n            self.overdue.cancel()\n",
+            "",
+        ),
     ],
     "a forward goes on after its time is up": (
         "gateway/forwards.py",
@@ -99,7 +103,7 @@
         'now - self.sheet["exposure_window"] // 2, group.ledger',
     ),
     "a list change applied over a gap": (
-        "gateway/follow.py",
+        "gateway/instance_list.py",
         "raise Gap(f\"a change to {told['epoch']}/{told['base']}, held is " '{self.epoch}/{self.revision}")',
         "pass",
     ),
@@ -136,12 +140,12 @@
         "run.close(reuse=True)\n            self.seen",
     ),
     "a cancelled forward is not reset": (
-        "gateway/instances.py",
+        "gateway/endpoints.py",
         "connection.abort() if reset else connection.close()",
         "connection.close()",
     ),
     "stop does not wait for hits under way": (
-        "gateway/door.py",
+        "gateway/frontend.py",
         "        while any(v.hit is not None and (not v.hit.final or v.hit.streaming) for v in "
         "self.visits):",
         "        while False:",
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -83,8 +83,8 @@
 
 
 def list_and_desk(list_port, desk_port, ports):
-    from cobaltpond.calls import Stream, service
     from cobaltpond.loop import EpollKernel, Loop, Sleep
+    from cobaltpond.rpc import Stream, service
 
     loop = Loop(EpollKernel())
     rows = [
@@ -256,7 +256,7 @@
         from cobaltpond.cli.main import logger
         from cobaltpond.gateway.main import run_gateway
         from cobaltpond.loop import EpollKernel
-        from cobaltpond.sheet import read_sheet
+        from cobaltpond.settings import read_sheet
 
         sheet = read_sheet(sys.argv[2], open(sys.argv[2]).read())
         return run_gateway(
--- a/bench/town.py
+++ b/bench/town.py
@@ -16,8 +16,8 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 from cobaltpond.loop import Deadline, EpollKernel, Loop, PeerLost, Sleep, TimedOut, dial  # noqa: E402
-from cobaltpond.loop.chance import seeded  # noqa: E402
-from cobaltpond.standins.town import SECOND, Town  # noqa: E402
+from cobaltpond.loop.random_source import seeded  # noqa: E402
+from cobaltpond.standins.host_cluster import SECOND, Town  # noqa: E402
 from cobaltpond.wire import http1  # noqa: E402
 
 FINE = lambda status, answer: status in (202, 409)  # noqa: E731
--- a/cobaltpond/agent/actions.py
+++ b/cobaltpond/agent/actions.py
@@ -2,14 +2,14 @@
 
 import os
 
-from cobaltpond.agent.found import mark_of
-from cobaltpond.agent.listing import CALL_TIME
 from cobaltpond.agent.process import PORTS, Process
+from cobaltpond.agent.process_marks import mark_of
+from cobaltpond.agent.registration import CALL_TIME
 from cobaltpond.builds.fetch import FetchFailed
 from cobaltpond.builds.manifest import MOST_BYTES, Unfit, held_manifest, read_manifest
 from cobaltpond.builds.store import Full, Rotten
-from cobaltpond.calls import FAILED, call
 from cobaltpond.loop import Deadline, Sleep, TimedOut, Unreachable
+from cobaltpond.rpc import FAILED, call
 
 LOOK = 40_000  # how often processes are looked at
 OUTPUT = 1 << 20  # bytes kept of what an instance prints
--- a/cobaltpond/agent/main.py
+++ b/cobaltpond/agent/main.py
@@ -7,18 +7,18 @@
 import msgspec
 
 from cobaltpond.agent.actions import Actions
-from cobaltpond.agent.found import running_here
-from cobaltpond.agent.listing import CALL_TIME, Listing
 from cobaltpond.agent.process import PORTS, Process
+from cobaltpond.agent.process_marks import running_here
+from cobaltpond.agent.registration import CALL_TIME, Listing
 from cobaltpond.agent.states import STARTING, Place, Slot
 from cobaltpond.builds.fetch import Fetcher
 from cobaltpond.builds.manifest import Ring, Unfit, rings_after
 from cobaltpond.builds.store import Store
-from cobaltpond.calls import FAILED, Backoff, call, follow
-from cobaltpond.keep import Broken, Journal
 from cobaltpond.loop import Deadline, Sleep, TimedOut, run_part
-from cobaltpond.loop.chance import seeded
-from cobaltpond.sheet.parts import split_address
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.rpc import FAILED, Backoff, call, follow
+from cobaltpond.settings.sections import split_address
+from cobaltpond.wal import Broken, Journal
 
 REPORT = 300_000
 
--- a/cobaltpond/agent/listing.py
+++ b/cobaltpond/agent/registration.py
@@ -3,9 +3,9 @@
 import json
 
 from cobaltpond.agent.states import DRAINING
-from cobaltpond.calls import FAILED, Backoff, call
 from cobaltpond.loop import Deadline, Sleep, TimedOut
-from cobaltpond.sheet.parts import split_address
+from cobaltpond.rpc import FAILED, Backoff, call
+from cobaltpond.settings.sections import split_address
 
 CALL_TIME = 1_000_000
 
--- a/cobaltpond/audit/check.py
+++ b/cobaltpond/audit/check.py
@@ -17,7 +17,7 @@
 
 def check_all(crowd: list, yard: list, acts: list, sheet: dict, eps: int = EPS) -> Findings:
     """`sheet`: a runsheet map and under "rules" the figures tip_time, overload_factor and answer_slack.
-    `eps`: less where the records' times are exact, see `sim/truth.py`."""
+    `eps`: less where the records' times are exact, see `sim/wire_observer.py`."""
     found, lives, sheet = Findings(), Lives(acts, eps), {**sheet, "eps": eps}
     answers = {(e["op"], e["number"]): e for e in crowd if e["kind"] == "answer"}
     arrivals = [e for e in yard if e["kind"] == "arrive" and e["hit"] and e["hit"] != "probe"]
--- a/cobaltpond/benchlink/__main__.py
+++ b/cobaltpond/benchlink/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from cobaltpond.benchlink.link import WireError, serve
+from cobaltpond.benchlink.adapter import WireError, serve
 
 if __name__ == "__main__":
     try:
--- a/cobaltpond/benchlink/link.py
+++ b/cobaltpond/benchlink/adapter.py
@@ -3,7 +3,7 @@
 import base64
 import json
 
-from cobaltpond.benchlink.runsheet import micros, runsheet
+from cobaltpond.benchlink.policy_settings import micros, runsheet
 from cobaltpond.decisions.rules import Gateway
 
 ENDINGS = {
--- a/cobaltpond/cli/main.py
+++ b/cobaltpond/cli/main.py
@@ -11,8 +11,8 @@
 from cobaltpond.cli.sim import sim
 from cobaltpond.loop import Deadline, EpollKernel, Loop, Sleep, TimedOut, run_part
 from cobaltpond.loop.clock import utc
-from cobaltpond.sheet import BadSheet, read_sheet
-from cobaltpond.sheet.parts import split_address
+from cobaltpond.settings import BadSheet, read_sheet
+from cobaltpond.settings.sections import split_address
 
 
 def logger(part: str):
@@ -109,7 +109,7 @@
 
 def ask(file, method, target, body=None, raw=b""):
     """One call to the desk of a sheet; `body` goes as JSON, `raw` as it is."""
-    from cobaltpond.calls import FAILED, call
+    from cobaltpond.rpc import FAILED, call
 
     sheet, loop = sheet_of(file), Loop(EpollKernel())
 
@@ -263,11 +263,11 @@
 @click.option("--as-json", is_flag=True, help="Figures as JSON in place of the table.")
 def day(script, bench, seed, keep, as_json):
     """Plays a day over real sockets and checks the five rules. Exit code 0 only if all held."""
-    from cobaltpond.day.frombench import BadDay, from_bench
-    from cobaltpond.day.run import DayRun
-    from cobaltpond.day.script import read_day
-    from cobaltpond.day.table import figures, table
-    from cobaltpond.day.timing import DayFailed
+    from cobaltpond.scenario.bench_import import BadDay, from_bench
+    from cobaltpond.scenario.plan import read_day
+    from cobaltpond.scenario.report import figures, table
+    from cobaltpond.scenario.runner import DayRun
+    from cobaltpond.scenario.time_limits import DayFailed
 
     if (script is None) == (bench is None):
         raise click.UsageError("give either a SCRIPT or --from DAY.json")
@@ -328,7 +328,7 @@
 @click.argument("plan", type=click.File())
 @click.argument("records", type=click.Path())
 def yard(plan, records):
-    from cobaltpond.standins.yard import run_yard
+    from cobaltpond.standins.instance_fleet import run_yard
 
     run_yard(EpollKernel(), json.load(plan), records, logger("yard"))
 
@@ -337,7 +337,7 @@
 @click.argument("plan", type=click.File())
 @click.argument("port", type=int)
 def builds(plan, port):
-    from cobaltpond.standins.solo import run_builds
+    from cobaltpond.standins.single_instance import run_builds
 
     run_builds(EpollKernel(), json.load(plan), port, logger("builds"))
 
@@ -349,7 +349,7 @@
 @click.argument("name")
 @click.argument("mark")
 def solo(plan, build, port, name, mark):
-    from cobaltpond.standins.solo import run_solo
+    from cobaltpond.standins.single_instance import run_solo
 
     run_solo(EpollKernel(), json.load(plan), build, port, name, mark, logger(f"solo-{name}"))
 
@@ -358,6 +358,6 @@
 @click.argument("plan", type=click.File())
 @click.argument("records", type=click.Path())
 def crowd(plan, records):
-    from cobaltpond.standins.crowd import run_crowd
+    from cobaltpond.standins.clients import run_crowd
 
     run_crowd(EpollKernel(), json.load(plan), records, logger("crowd"))
--- a/cobaltpond/cli/members.py
+++ b/cobaltpond/cli/members.py
@@ -2,9 +2,9 @@
 
 import json
 
-from cobaltpond.calls import FAILED, call
 from cobaltpond.loop import Deadline, Loop, Sleep, TimedOut
 from cobaltpond.members.compare import compare, lines
+from cobaltpond.rpc import FAILED, call
 from cobaltpond.wire.address import split_address
 
 WAIT = 1_000_000  # for one gateway's answer
--- a/cobaltpond/cli/sim.py
+++ b/cobaltpond/cli/sim.py
@@ -21,7 +21,7 @@
 
 def scenario_of(what: str, size: str) -> str:
     """The text of a written scenario, or of a seed's."""
-    from cobaltpond.sim.script import draw
+    from cobaltpond.sim.scenarios import draw
 
     if what.isdigit():
         return draw(int(what), size)
@@ -42,7 +42,7 @@
 @click.option("--first", is_flag=True, help="Ends at the first seed that finds something.")
 def sim_run(seeds, jobs, size, cover, lean, quiet, first):
     """Draws, plays and checks a scenario for each seed. Exit code 0 only if nothing was found."""
-    from cobaltpond.sim.many import Coverage, run_many
+    from cobaltpond.sim.campaign import Coverage, run_many
 
     kernel, coverage, bad, simulated, hits, checked = EpollKernel(), Coverage(), 0, 0, 0, 0
     weights, wanted, began = (
@@ -86,8 +86,8 @@
 @click.option("--log", is_flag=True, help="All that the processes logged.")
 def replay(scenario, size, log):
     """Plays SCENARIO (a seed, or a file) again, event for event, and says what it finds."""
-    from cobaltpond.day.table import table
-    from cobaltpond.sim.run import run_text
+    from cobaltpond.scenario.report import table
+    from cobaltpond.sim.runner import run_text
 
     text = scenario_of(scenario, size)
     verdict = run_text(text, scenario, keep_lines=log)
@@ -108,8 +108,8 @@
 @SIZE
 def sim_shrink(scenario, size):
     """The smallest scenario that still breaks what SCENARIO (a seed, or a file) breaks, as a ready test."""
-    from cobaltpond.sim.many import as_test, shrink
-    from cobaltpond.sim.run import run_text
+    from cobaltpond.sim.campaign import as_test, shrink
+    from cobaltpond.sim.runner import run_text
 
     text = scenario_of(scenario, size)
     try:
@@ -129,8 +129,8 @@
 @click.option("--instance", default="", help="The id of an instance.")
 def sim_explain(scenario, size, hit, instance):
     """The time line of one hit or one instance of SCENARIO (a seed, or a file)."""
-    from cobaltpond.sim.many import explain
-    from cobaltpond.sim.run import run_text
+    from cobaltpond.sim.campaign import explain
+    from cobaltpond.sim.runner import run_text
 
     if not hit and not instance:
         raise click.UsageError("give --hit or --instance")
--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from statistics import fmean
 
-from cobaltpond.decisions.figures import SECOND, lot
+from cobaltpond.decisions.stats import SECOND, lot
 
 IN_SIGHT = 18  # instances compared for a hit
 # Ratios to figures of the runsheet: to the longest warm-up, to the target latency, to what a rule allows.
--- a/cobaltpond/decisions/judging.py
+++ b/cobaltpond/decisions/judging.py
@@ -9,9 +9,9 @@
 from math import inf
 from statistics import NormalDist, median
 
-from cobaltpond.decisions.figures import SECOND, draw_chance, lot, mean_by, rank_z
 from cobaltpond.decisions.records import Sample
-from cobaltpond.decisions.told import Told
+from cobaltpond.decisions.sample_message import Told
+from cobaltpond.decisions.stats import SECOND, draw_chance, lot, mean_by, rank_z
 
 MARGIN, LEAST = 1.8, 8  # new median over old; outcomes a build and path group before they rank (open)
 ALONE = 2.0, 4 * LEAST  # both, once the earlier build is gone (open)
--- a/cobaltpond/decisions/rules.py
+++ b/cobaltpond/decisions/rules.py
@@ -10,9 +10,9 @@
 from statistics import NormalDist
 
 from cobaltpond.decisions.choosing import USEFUL_SHARE, Choosing
-from cobaltpond.decisions.figures import SECOND, bearable
 from cobaltpond.decisions.judging import LEAST, LEAST_ERRORED, LOOK_EVERY, REFERENCE, Judging
 from cobaltpond.decisions.records import Chance, Fleet, Hit, Instance, Ledgers, PathGroup, State
+from cobaltpond.decisions.stats import SECOND, bearable
 from cobaltpond.decisions.voting import Voting
 
 LEVEL, ALIKE = 0.0001, 1 / 3  # by the number of gateways; votes that may err alike from one cause (open)
--- a/cobaltpond/decisions/voting.py
+++ b/cobaltpond/decisions/voting.py
@@ -3,8 +3,8 @@
 A part of `rules.Gateway`, which has the state.
 """
 
-from cobaltpond.decisions.figures import SECOND
 from cobaltpond.decisions.judging import LEAST, LOOK_EVERY
+from cobaltpond.decisions.stats import SECOND
 
 PATIENCE, HOLD_MOST = 16 * SECOND // 5, 3 * SECOND  # "on" so long after a start; so long a stage is held
 
--- a/cobaltpond/desk/handlers.py
+++ b/cobaltpond/desk/handlers.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from cobaltpond.builds.manifest import Ring, Unfit, rings_after
-from cobaltpond.calls import Refusal, Stream, json_answer
 from cobaltpond.desk.stages import Refused
 from cobaltpond.loop import Sleep
+from cobaltpond.rpc import Refusal, Stream, json_answer
 
 TICK = 20_000
 
--- a/cobaltpond/desk/service.py
+++ b/cobaltpond/desk/service.py
@@ -2,14 +2,14 @@
 
 import json
 
-from cobaltpond.calls import FAILED, call, service
-from cobaltpond.desk.comeback import Comeback
 from cobaltpond.desk.handlers import TICK, Handlers
 from cobaltpond.desk.hosts import Hosts
 from cobaltpond.desk.stages import NOTHING, Stages
-from cobaltpond.keep import Journal
+from cobaltpond.desk.state_recovery import Comeback
 from cobaltpond.loop import Deadline, Sleep, TimedOut, run_part
-from cobaltpond.sheet.parts import split_address
+from cobaltpond.rpc import FAILED, call, service
+from cobaltpond.settings.sections import split_address
+from cobaltpond.wal import Journal
 
 CALL_TIME = 1_000_000
 
--- a/cobaltpond/desk/stages.py
+++ b/cobaltpond/desk/stages.py
@@ -169,8 +169,8 @@
         self.story.append((now, self.build, stage, phase, why))
 
     def resume(self, now: int, plan, why: str) -> None:
-        """Not by the table: what others have seen (`recovery.lost.Plan`) takes the place of an older state.
-        Raises Refused where there would be nothing to return to."""
+        """Not by the table: what others have seen (`recovery.desk_state.Plan`) takes the place of an older
+        state. Raises Refused where there would be nothing to return to."""
         mine = [
             b for b in (plan.stable, self.build, self.stable) if b not in (None, NOTHING) and b < plan.build
         ]
--- a/cobaltpond/desk/comeback.py
+++ b/cobaltpond/desk/state_recovery.py
@@ -1,16 +1,16 @@
 """The running desk's part of coming back: collects what gateways and hosts have seen, then lets the desk go
 on.
 
-What is decided stands in `recovery/lost.py`. While it collects or waits the desk takes no vote and gives no
-order.
+What is decided stands in `recovery/desk_state.py`. While it collects or waits the desk takes no vote and
+gives no order.
 """
 
 import json
 
-from cobaltpond.calls import Refusal
 from cobaltpond.desk.stages import Refused
 from cobaltpond.loop import Sleep
-from cobaltpond.recovery.lost import COLLECTING, RESUMED, WAITING, Returning, word_of
+from cobaltpond.recovery.desk_state import COLLECTING, RESUMED, WAITING, Returning, word_of
+from cobaltpond.rpc import Refusal
 
 BOUND = 1_500_000  # so long gateways are waited for; their first tries come sooner
 LOOK = 20_000
--- a/cobaltpond/edge/config.py
+++ b/cobaltpond/edge/config.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 from math import isfinite
 
-from cobaltpond.benchlink.runsheet import runsheet
+from cobaltpond.benchlink.policy_settings import runsheet
 from cobaltpond.wire.address import split_address
-from cobaltpond.wire.lines import BadLine, one_object
+from cobaltpond.wire.json_lines import BadLine, one_object
 
 MOST = 8 << 20  # bytes of the file
 # Parts of the limit of descriptors. Some are kept for desk, list, peers and the moment in which one replaces
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Instances:
-    """What `gateway.instances.Places` goes by. Times in microseconds."""
+    """What `gateway.endpoints.Places` goes by. Times in microseconds."""
 
     connections: int
     dial_time: int
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -1,11 +1,11 @@
 """The list of instances as the platform's discovery tells it: all of it once, then watches one after
 another."""
 
-from cobaltpond.calls import FAILED, Backoff, call
 from cobaltpond.edge.source_switch import SourceSwitch
 from cobaltpond.loop import Deadline, Queue, Sleep, TimedOut
+from cobaltpond.rpc import FAILED, Backoff, call
 from cobaltpond.wire.address import split_address
-from cobaltpond.wire.lines import BadLine, one_object
+from cobaltpond.wire.json_lines import BadLine, one_object
 
 STATES = {"up": "up", "draining": "draining", "removed": "gone"}
 WATCH = 2_000_000  # how long a watch may wait for something new
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -2,11 +2,11 @@
 `Ending`.
 
 The answer is held back until it is whole, so a forward can always be followed by another. What an ending says
-of "may it have run?" hangs on the last byte of the statement: see `gateway/endings.py`.
+of "may it have run?" hangs on the last byte of the statement: see `gateway/forward_results.py`.
 """
 
-from cobaltpond.gateway.endings import SEEN
-from cobaltpond.gateway.instances import NoConnection, Place
+from cobaltpond.gateway.endpoints import NoConnection, Place
+from cobaltpond.gateway.forward_results import SEEN
 from cobaltpond.loop import Deadline, PeerLost, TimedOut, Writable
 from cobaltpond.wire import pg
 
--- a/cobaltpond/edge/door.py
+++ b/cobaltpond/edge/frontend.py
@@ -5,7 +5,7 @@
 that it does not read by size and time, connections by the configuration's descriptors.
 """
 
-from cobaltpond.gateway.hits import Owed
+from cobaltpond.gateway.pending_hit import Owed
 from cobaltpond.loop import Connection, PeerLost, Sleep, Writable, serve
 from cobaltpond.wire import pg
 from cobaltpond.wire.statement import PLAIN_NAME, NoStatement, Statement
--- a/cobaltpond/edge/main.py
+++ b/cobaltpond/edge/main.py
@@ -2,11 +2,11 @@
 
 from cobaltpond.edge.config import BadConfig, Config, read_config
 from cobaltpond.edge.discovery import Discovery
-from cobaltpond.edge.door import Door
 from cobaltpond.edge.forwards import Forwards, greet
+from cobaltpond.edge.frontend import Door
 from cobaltpond.edge.platform import Platform
-from cobaltpond.gateway.host import Host
-from cobaltpond.gateway.instances import Places
+from cobaltpond.gateway.decision_host import Host
+from cobaltpond.gateway.endpoints import Places
 from cobaltpond.gateway.peers import Peers
 from cobaltpond.loop import Loop, Sleep, run_part
 
--- a/cobaltpond/edge/platform.py
+++ b/cobaltpond/edge/platform.py
@@ -2,11 +2,11 @@
 
 import json
 
-from cobaltpond.calls import FAILED, NOT_SENT, Backoff, call, follow
 from cobaltpond.edge.source_switch import SourceSwitch
-from cobaltpond.gateway.news import ANSWERS
+from cobaltpond.gateway.desk_client import ANSWERS
 from cobaltpond.loop import Deadline, TimedOut
-from cobaltpond.wire.lines import BadLine, one_object
+from cobaltpond.rpc import FAILED, NOT_SENT, Backoff, call, follow
+from cobaltpond.wire.json_lines import BadLine, one_object
 
 PHASES = {"canary": "trial", "reverting": "going back", "stable": "released", "reverted": "withdrawn"}
 DECISIONS = {"none": "abstain", "on": "promote", "hold": "pause", "back": "abort"}
--- a/cobaltpond/gateway/limited.py
+++ b/cobaltpond/gateway/admission_limits.py
@@ -10,7 +10,7 @@
 
 
 class Limited:
-    """`sheet.limits`; `members`: `members.service.Members`, needed for limits of the whole fleet."""
+    """`settings.limits`; `members`: `members.service.Members`, needed for limits of the whole fleet."""
 
     def __init__(self, loop, sheet, number: int, members, log):
         self.loop, self.log, self.sheet, self.noted = loop, log, sheet, {}
--- a/cobaltpond/gateway/host.py
+++ b/cobaltpond/gateway/decision_host.py
@@ -8,7 +8,7 @@
 """
 
 from cobaltpond.decisions.rules import Gateway
-from cobaltpond.gateway.hits import Owed
+from cobaltpond.gateway.pending_hit import Owed
 
 
 class Host:
--- a/cobaltpond/gateway/news.py
+++ b/cobaltpond/gateway/desk_client.py
@@ -3,8 +3,8 @@
 import json
 from urllib.parse import urlencode
 
-from cobaltpond.calls import FAILED, NOT_SENT, Backoff, call, follow
 from cobaltpond.loop import Deadline, TimedOut
+from cobaltpond.rpc import FAILED, NOT_SENT, Backoff, call, follow
 from cobaltpond.wire.address import split_address
 
 PHASES = ("trial", "going back", "released", "withdrawn")
--- a/cobaltpond/gateway/instances.py
+++ b/cobaltpond/gateway/endpoints.py
@@ -28,7 +28,7 @@
         """`limits`: the sheet's `instances`. `greet(connection)`: what a protocol needs before the first hit,
         within the dial's time; raises NoConnection. `most()`: connections to all instances together, now."""
         self.loop, self.limits, self.by_id, self.greet, self.most = loop, limits, {}, greet, most
-        self.open, self.turns = 0, None  # `recovery.pace.Turns`, where new connections are paced
+        self.open, self.turns = 0, None  # `recovery.rate_limiter.Turns`, where new connections are paced
 
     def reaches(self, place: Place) -> bool:
         """Is a kept connection left for one more forward, or a new one allowed now?"""
--- a/cobaltpond/gateway/forwards.py
+++ b/cobaltpond/gateway/forwards.py
@@ -7,9 +7,9 @@
 connection is closed, which a client sees as an answer cut short, never as a whole one).
 """
 
-from cobaltpond.gateway.endings import SEEN, of_answer
-from cobaltpond.gateway.instances import NoConnection, Place, Places
-from cobaltpond.gateway.tape import CutShort, Tape, Torn
+from cobaltpond.gateway.body_buffer import CutShort, Tape, Torn
+from cobaltpond.gateway.endpoints import NoConnection, Place, Places
+from cobaltpond.gateway.forward_results import SEEN, of_answer
 from cobaltpond.loop import Deadline, PeerLost, TimedOut
 from cobaltpond.wire import http1, orca
 
--- a/cobaltpond/gateway/door.py
+++ b/cobaltpond/gateway/frontend.py
@@ -2,11 +2,11 @@
 
 import json
 
-from cobaltpond.gateway import answers
-from cobaltpond.gateway.hits import Owed
+from cobaltpond.gateway import responses
+from cobaltpond.gateway.body_buffer import Tape
+from cobaltpond.gateway.customer_shares import Shares
+from cobaltpond.gateway.pending_hit import Owed
 from cobaltpond.gateway.routes import Routes
-from cobaltpond.gateway.shares import Shares
-from cobaltpond.gateway.tape import Tape
 from cobaltpond.loop import Connection, Deadline, Event, PeerLost, Sleep, TimedOut, serve
 from cobaltpond.wire import http1
 
@@ -128,19 +128,22 @@
     def bounce(self, retry_after: int) -> None:
         keep, over_share = self.keep, self.door.shares.over(self.asked.customer)
         self.end("bounced")
-        self.visit.put(answers.bounced(self.name, retry_after, over_share, keep), not keep)
+        self.visit.put(responses.bounced(self.name, retry_after, over_share, keep), not keep)
 
     def error(self, late: bool) -> None:
         keep = self.keep
         self.end("errored")
-        self.visit.put(answers.errored(self.name, late, keep), not keep)
+        self.visit.put(responses.errored(self.name, late, keep), not keep)
 
 
 class Door:
     def __init__(self, loop, sheet, host, log, status, members=None):
         """`members`: this gateway's `members.service.Members`, where it knows the others."""
         self.loop, self.sheet, self.host, self.log, self.status = loop, sheet, host, log, status
-        self.members, self.limited = members, None  # `gateway.limited.Limited`, where the sheet has limits
+        self.members, self.limited = (
+            members,
+            None,
+        )  # `gateway.admission_limits.Limited`, where the sheet has limits
         self.routes, self.visits, self.parting = Routes(sheet), {}, {}
         self.draining, self.counts = False, {}
         self.shares = Shares({c.name: c.share for c in sheet.customers}, 2 * sheet.release.exposure_window)
@@ -215,7 +218,7 @@
                 self.host.gone(visit.hit)  # its body makes no sense: this is its final answer
             elif visit.hit is not None:
                 yield from self.settle(visit)
-            visit.put(answers.unfit(trouble.status, str(trouble)), True)
+            visit.put(responses.unfit(trouble.status, str(trouble)), True)
             yield from self.linger(visit)
         finally:
             self.visits.pop(visit, None)
@@ -255,14 +258,14 @@
         tape = Tape(self.sheet.door.hold)
         if self.host.full():
             self.count("turned away")
-            visit.put(answers.bounced("none", 0, False, False), True)
+            visit.put(responses.bounced("none", 0, False, False), True)
             return
         if self.limited is not None:
             verdict = self.limited.ask(asked.group, asked.customer, asked.key, asked.again)
             if verdict.by is not None:
                 self.count("limited")
                 visit.hit, keep = None, head.keep_alive and expect is None and not self.draining
-                visit.put(answers.limited(verdict.by, verdict.wait, keep), not keep)
+                visit.put(responses.limited(verdict.by, verdict.wait, keep), not keep)
                 return
         if expect is not None:
             visit.put(b"HTTP/1.1 100 Continue\r\n\r\n", False)
@@ -305,7 +308,7 @@
                     if now - self.parting[visit] > door.head_time:
                         visit.connection.abort()
                 elif waiting and visit.mid_head and since > door.head_time:
-                    visit.put(answers.unfit(408, "the head took too long"), True)
+                    visit.put(responses.unfit(408, "the head took too long"), True)
                 elif waiting and since > door.idle_time:
                     visit.connection.close()
 
--- a/cobaltpond/gateway/follow.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -11,12 +11,12 @@
 import zlib
 from urllib.parse import urlencode
 
-from cobaltpond.calls import FAILED, Backoff, call, follow
-from cobaltpond.decisions.told import Told
+from cobaltpond.decisions.sample_message import Told
 from cobaltpond.loop import Deadline, Sleep, TimedOut
-from cobaltpond.recovery.listed import Doubt
-from cobaltpond.sheet.parts import split_address
-from cobaltpond.wire.lines import BadLine, Lines
+from cobaltpond.recovery.list_reconciliation import Doubt
+from cobaltpond.rpc import FAILED, Backoff, call, follow
+from cobaltpond.settings.sections import split_address
+from cobaltpond.wire.json_lines import BadLine, Lines
 
 STATES = ("up", "draining", "gone")
 ANSWERS_FOR = 30_000_000  # so long ago an answer speaks for an instance
--- a/cobaltpond/gateway/main.py
+++ b/cobaltpond/gateway/main.py
@@ -2,13 +2,13 @@
 order."""
 
 from cobaltpond.decisions.records import Chance
-from cobaltpond.gateway.door import Door
-from cobaltpond.gateway.follow import Follower
+from cobaltpond.gateway.admission_limits import Limited
+from cobaltpond.gateway.decision_host import Host
+from cobaltpond.gateway.desk_client import News
+from cobaltpond.gateway.endpoints import Places
 from cobaltpond.gateway.forwards import Forwards
-from cobaltpond.gateway.host import Host
-from cobaltpond.gateway.instances import Places
-from cobaltpond.gateway.limited import Limited
-from cobaltpond.gateway.news import News
+from cobaltpond.gateway.frontend import Door
+from cobaltpond.gateway.instance_list import Follower
 from cobaltpond.gateway.peers import Peers
 from cobaltpond.loop import Loop, Sleep, run_part
 from cobaltpond.members.service import Members
@@ -17,7 +17,7 @@
 from cobaltpond.members.wire import SETTLED as SETTLED_FLAG
 from cobaltpond.recovery.phases import SETTLED
 from cobaltpond.recovery.service import Recovery
-from cobaltpond.sheet.parts import split_address
+from cobaltpond.settings.sections import split_address
 
 REPLACED = 3  # exit code of one whose name a newer start has taken
 EVIDENCE = 3  # cold times, a little more than the module keeps its own
--- a/cobaltpond/gateway/routes.py
+++ b/cobaltpond/gateway/routes.py
@@ -3,8 +3,8 @@
 import hashlib
 from dataclasses import dataclass
 
-from cobaltpond.sheet.parts import PathGroup
-from cobaltpond.sheet.sheet import Sheet
+from cobaltpond.settings.deployment import Sheet
+from cobaltpond.settings.sections import PathGroup
 from cobaltpond.wire.http1 import BadMessage, Head
 
 MARK_FIELD = b"idempotency-key"
--- a/cobaltpond/leases/shares.py
+++ b/cobaltpond/leases/protocol.py
@@ -21,7 +21,7 @@
 
 from dataclasses import dataclass, field
 
-from cobaltpond.decisions.figures import lot
+from cobaltpond.decisions.stats import lot
 
 KEYS_MOST = 4096  # of which an owner has leases out; who asks for more gets none
 
--- a/cobaltpond/leases/service.py
+++ b/cobaltpond/leases/service.py
@@ -3,7 +3,7 @@
 
 from hashlib import blake2b
 
-from cobaltpond.leases.shares import Holder, Lease, Owner, owner_of
+from cobaltpond.leases.protocol import Holder, Lease, Owner, owner_of
 from cobaltpond.loop import Sleep
 from cobaltpond.members import wire
 
--- a/cobaltpond/limits/compiled.py
+++ b/cobaltpond/limits/compiled.py
@@ -1,7 +1,7 @@
 """The same on the hit path: which limits concern which hits is worked out once, a level is two numbers. Free
 of I/O.
 
-`plain.py` is the definition; `tests/test_limits.py` holds the two against each other on drawn limits and
+`reference.py` is the definition; `tests/test_limits.py` holds the two against each other on drawn limits and
 hits. What is kept is bounded: a limit knows `keys` values at most. Beyond them, values whose level is full
 again are forgotten first, which changes nothing; if none is, those that are not known share one level, which
 is on the strict side.
--- a/cobaltpond/loop/__init__.py
+++ b/cobaltpond/loop/__init__.py
@@ -1,5 +1,6 @@
 """The only room that knows the operating system: clock, epoll, sockets, timers, tasks, processes, files."""
 
+from cobaltpond.loop.errors import HandlesUsedUp, PeerLost, Refused, Unreachable
 from cobaltpond.loop.kernel import EpollKernel, Kernel
 from cobaltpond.loop.ports import free_run
 from cobaltpond.loop.process import in_workers, run_part
@@ -16,7 +17,6 @@
     TimedOut,
     Writable,
 )
-from cobaltpond.loop.trouble import HandlesUsedUp, PeerLost, Refused, Unreachable
 
 __all__ = [
     "Cancelled",
--- a/cobaltpond/loop/kernel.py
+++ b/cobaltpond/loop/kernel.py
@@ -17,8 +17,8 @@
 from typing import Protocol
 
 from cobaltpond.loop.children import MARK, Adopted, Child, carries, marked
+from cobaltpond.loop.errors import Refused, Unreachable, translated
 from cobaltpond.loop.sockets import Datagrams, Handle, Listener, Stream
-from cobaltpond.loop.trouble import Refused, Unreachable, translated
 
 READ, WRITE = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
 BROKEN = select.EPOLLERR | select.EPOLLHUP
--- a/cobaltpond/loop/ports.py
+++ b/cobaltpond/loop/ports.py
@@ -1,6 +1,6 @@
 """Runs of free ports for stand-ins and tests, below those that the system gives out to dials by itself."""
 
-from cobaltpond.loop.trouble import Unreachable
+from cobaltpond.loop.errors import Unreachable
 
 RANGES = (
     (10_000, 26_000, 400),
--- a/cobaltpond/loop/sockets.py
+++ b/cobaltpond/loop/sockets.py
@@ -4,7 +4,7 @@
 import socket
 import struct
 
-from cobaltpond.loop.trouble import PeerLost, Unreachable, translated
+from cobaltpond.loop.errors import PeerLost, Unreachable, translated
 
 
 class Handle:
--- a/cobaltpond/loop/streams.py
+++ b/cobaltpond/loop/streams.py
@@ -1,7 +1,7 @@
 """Bytes over a stream handle: reads, writes with back-pressure, dials with a time-out, a bounded accept."""
 
+from cobaltpond.loop.errors import HandlesUsedUp, PeerLost
 from cobaltpond.loop.tasks import Cancelled, Deadline, Readable, Sleep, Writable
-from cobaltpond.loop.trouble import HandlesUsedUp, PeerLost
 
 CHUNK = 1 << 16
 LAST_TRIES = 50  # to take what waits in a backlog, with no descriptor left
--- a/cobaltpond/members/compare.py
+++ b/cobaltpond/members/compare.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from cobaltpond.members.hearsay import PHASES
+from cobaltpond.members.gossip import PHASES
 
 
 def compare(tables: dict[int, dict | None]) -> dict:
--- a/cobaltpond/members/rounds.py
+++ b/cobaltpond/members/probing.py
@@ -5,7 +5,7 @@
 """
 
 from cobaltpond.members import wire
-from cobaltpond.members.picture import LOST, MUTE
+from cobaltpond.members.reachability import LOST, MUTE
 from cobaltpond.members.states import ALIVE, DOUBTED, FAILED, SUSPECT, UNHEARD, Member
 
 HELPERS = 3  # asked for who does not answer (SWIM's k)
--- a/cobaltpond/members/receiving.py
+++ b/cobaltpond/members/receiving.py
@@ -1,8 +1,8 @@
 """Reads the datagrams that come in to a view, and answers them."""
 
 from cobaltpond.members import wire
-from cobaltpond.members.picture import DIRECT, HELPED
-from cobaltpond.members.rounds import NACK_SHARE
+from cobaltpond.members.probing import NACK_SHARE
+from cobaltpond.members.reachability import DIRECT, HELPED
 from cobaltpond.members.states import CODES, LEFT
 
 RELAYED = 64  # questions for others that are open here
--- a/cobaltpond/members/service.py
+++ b/cobaltpond/members/service.py
@@ -3,9 +3,9 @@
 
 from cobaltpond.loop import Deadline, Event, Sleep, TimedOut
 from cobaltpond.members import wire
-from cobaltpond.members.evidence import Evidence
-from cobaltpond.members.hearsay import Hearsay
+from cobaltpond.members.gossip import Hearsay
 from cobaltpond.members.states import LEFT
+from cobaltpond.members.trial_evidence import Evidence
 from cobaltpond.members.view import Settings, View
 
 VERSION = 2  # of the program, as members tell each other
--- a/cobaltpond/members/states.py
+++ b/cobaltpond/members/states.py
@@ -19,8 +19,8 @@
 
 class Member:
     """One gateway of the sheet as it is seen from here. `start`, `incarnation`: of the life last heard of;
-    `facts`: what it said of itself last, a map; `reached`: how its last probe went (`picture.py`); times in
-    microseconds."""
+    `facts`: what it said of itself last, a map; `reached`: how its last probe went (`reachability.py`); times
+    in microseconds."""
 
     __slots__ = (
         "number",
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -12,9 +12,9 @@
 from math import ceil, log, log10
 
 from cobaltpond.members import wire
-from cobaltpond.members.picture import Picture
+from cobaltpond.members.probing import HELPERS, Rounds
+from cobaltpond.members.reachability import Picture
 from cobaltpond.members.receiving import Receiving
-from cobaltpond.members.rounds import HELPERS, Rounds
 from cobaltpond.members.sending import Sending
 from cobaltpond.members.states import (
     ALIVE,
@@ -70,7 +70,7 @@
             "admitted": 255,
             "flags": 0,
         }
-        self.news, self.drains = None, ()  # to ride along: hearsay.py
+        self.news, self.drains = None, ()  # to ride along: gossip.py
         self.hearsay = None  # called with (member, news or None, drains) of each datagram
         self.trial = None  # called with (kind, sender, sequence, rows): questions on trials
         self.warm = self.leases = None  # the same, on instances and on leases
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -149,7 +149,7 @@
 
 
 def drains_of(fields: dict) -> list[int]:
-    """Tags of instances (`decisions/told.py`). Raises Odd."""
+    """Tags of instances (`decisions/sample_message.py`). Raises Odd."""
     value = fields.get(DRAINS, b"")
     if len(value) % 4 or len(value) > 4 * DRAINS_MOST:
         raise Odd("field")
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -4,7 +4,6 @@
 from cobaltpond.loop import Sleep
 from cobaltpond.members import wire
 from cobaltpond.recovery import snapshot
-from cobaltpond.recovery.pace import Answers, Fresh, Spread, Turns
 from cobaltpond.recovery.phases import (
     ALL_HEARD,
     ANSWER,
@@ -25,7 +24,8 @@
     Life,
     Step,
 )
-from cobaltpond.recovery.warm import SILENT, WarmStart, mark_of, remarkable
+from cobaltpond.recovery.rate_limiter import Answers, Fresh, Spread, Turns
+from cobaltpond.recovery.warm_start import SILENT, WarmStart, mark_of, remarkable
 
 LOOK, SLOW_LOOK = 20_000, 100_000  # between looks; once settled
 COLD_TIMES = 3  # so old a word or a snapshot is worth nothing
--- a/cobaltpond/recovery/snapshot.py
+++ b/cobaltpond/recovery/snapshot.py
@@ -1,12 +1,12 @@
 """What a gateway keeps of what it learned, over its own death: written in pieces, read in bounded time. Free
 of I/O.
 
-Lines as `keep/journal.py` frames them: a head, rows, an end that counts them. A file without its end is torn,
+Lines as `wal/journal.py` frames them: a head, rows, an end that counts them. A file without its end is torn,
 and nothing of it is taken. Each reason for which a snapshot is refused has a text; a gateway that refuses one
 begins blank.
 """
 
-from cobaltpond.keep.journal import framed, unframed
+from cobaltpond.wal.journal import framed, unframed
 
 FORMAT = 1
 MOST_BYTES = 4 << 20
--- a/cobaltpond/calls/client.py
+++ b/cobaltpond/rpc/client.py
@@ -3,7 +3,7 @@
 from cobaltpond.decisions.records import Chance
 from cobaltpond.loop import Deadline, HandlesUsedUp, PeerLost, Refused, Sleep, TimedOut, Unreachable, dial
 from cobaltpond.wire import http1
-from cobaltpond.wire.lines import BadLine, Lines
+from cobaltpond.wire.json_lines import BadLine, Lines
 
 LIMITS = http1.Limits(head=64 << 10, body=1 << 40)  # of a stream, whose lines have a bound of their own
 WHOLE = http1.Limits(head=64 << 10, body=8 << 20)  # of an answer that is kept whole
--- a/cobaltpond/calls/server.py
+++ b/cobaltpond/rpc/server.py
@@ -6,7 +6,7 @@
 
 from cobaltpond.loop import Deadline, Event, PeerLost, Queue, TimedOut, serve
 from cobaltpond.wire import http1
-from cobaltpond.wire.lines import line
+from cobaltpond.wire.json_lines import line
 
 LIMITS = http1.Limits(head=16 << 10, body=1 << 20)
 
--- a/cobaltpond/day/frombench.py
+++ b/cobaltpond/scenario/bench_import.py
@@ -3,7 +3,7 @@
 What one machine cannot hold is scaled down, and every such change is said in the plan's notes.
 """
 
-from cobaltpond.day.declarations import TROUBLES
+from cobaltpond.scenario.declarations import TROUBLES
 
 MOST_GATEWAYS, MOST_PLACES, MOST_RATE, MOST_LENGTH = 6, 24, 160.0, 60_000_000
 EFFECTS = {"safe": "repeatable", "keyed": "tagged", "unsafe": "mutating"}
--- a/cobaltpond/day/declarations.py
+++ b/cobaltpond/scenario/declarations.py
@@ -4,9 +4,9 @@
 
 from msgspec import Meta
 
-from cobaltpond.sheet import parts as p
-from cobaltpond.sheet.limits import Limit
-from cobaltpond.sheet.read import MANY, NEEDED, ONE
+from cobaltpond.settings import sections as p
+from cobaltpond.settings.limits import Limit
+from cobaltpond.settings.reader import MANY, NEEDED, ONE
 
 TROUBLES = (
     "slow",
--- a/cobaltpond/day/script.py
+++ b/cobaltpond/scenario/plan.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from cobaltpond.day.declarations import CALLS
-from cobaltpond.loop.chance import seeded
-from cobaltpond.sheet.limits import WORDS
-from cobaltpond.sheet.read import Reader
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.scenario.declarations import CALLS
+from cobaltpond.settings.limits import WORDS
+from cobaltpond.settings.reader import Reader
 
 
 def read_day(path: str, text: str, seed: int | None = None, more: dict | None = None) -> dict:
--- a/cobaltpond/day/run.py
+++ b/cobaltpond/scenario/runner.py
@@ -6,12 +6,12 @@
 import sys
 
 from cobaltpond.audit.check import check_all
-from cobaltpond.calls import FAILED, call
-from cobaltpond.day.events import Events
-from cobaltpond.day.shutdown import Shutdown
-from cobaltpond.day.startup import Startup
-from cobaltpond.day.timing import CALL_TIME, READY, DayFailed
 from cobaltpond.loop import Deadline, Sleep, TimedOut, Unreachable, free_run
+from cobaltpond.rpc import FAILED, call
+from cobaltpond.scenario.events import Events
+from cobaltpond.scenario.shutdown import Shutdown
+from cobaltpond.scenario.startup import Startup
+from cobaltpond.scenario.time_limits import CALL_TIME, READY, DayFailed
 
 
 class DayRun(Startup, Events, Shutdown):
--- a/cobaltpond/day/sheettext.py
+++ b/cobaltpond/scenario/settings_text.py
@@ -1,6 +1,6 @@
 """Writes the sheets that the desk and the gateways of a day are started with."""
 
-from cobaltpond.sheet import parts as p
+from cobaltpond.settings import sections as p
 
 
 def starlark(value) -> str:
--- a/cobaltpond/day/shutdown.py
+++ b/cobaltpond/scenario/shutdown.py
@@ -1,7 +1,7 @@
 """Inspects the processes at the end of a day and stops them."""
 
-from cobaltpond.day.timing import READY, DayFailed
 from cobaltpond.loop import Sleep
+from cobaltpond.scenario.time_limits import READY, DayFailed
 
 
 class Shutdown:
--- a/cobaltpond/day/startup.py
+++ b/cobaltpond/scenario/startup.py
@@ -1,8 +1,8 @@
 """Starts the processes of a day: stand-ins, desk, agents, gateways and clients."""
 
-from cobaltpond.day.sheettext import sheet_text
 from cobaltpond.loop import Sleep
-from cobaltpond.sheet import read_sheet
+from cobaltpond.scenario.settings_text import sheet_text
+from cobaltpond.settings import read_sheet
 
 
 class Startup:
--- a/cobaltpond/sheet/__init__.py
+++ b/cobaltpond/settings/__init__.py
@@ -1,6 +1,6 @@
 """The settings of a deployment: a Starlark file, read into checked, frozen values."""
 
-from cobaltpond.sheet.read import BadSheet, read_sheet
-from cobaltpond.sheet.sheet import Sheet
+from cobaltpond.settings.deployment import Sheet
+from cobaltpond.settings.reader import BadSheet, read_sheet
 
 __all__ = ["BadSheet", "Sheet", "read_sheet"]
--- a/cobaltpond/sheet/sheet.py
+++ b/cobaltpond/settings/deployment.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Struct
 
-from cobaltpond.sheet.parts import (
+from cobaltpond.settings.sections import (
     Allow,
     Builds,
     Customer,
@@ -46,7 +46,7 @@
     hosts: tuple[Host, ...] = ()
     members: Membership | None = None
     recovery: Recovery | None = None
-    limits: tuple = ()  # of `sheet.limits.Limit`
+    limits: tuple = ()  # of `settings.limits.Limit`
     tick: int = 1000
     over_share_benefit: float = 0.1
 
--- a/cobaltpond/sheet/limits.py
+++ b/cobaltpond/settings/limits.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from cobaltpond.sheet.parts import Name, Part, Share
+from cobaltpond.settings.sections import Name, Part, Share
 
 Milli = Annotated[int, Meta(ge=1, description="a rate: per_second(...) or per_minute(...)")]
 MOST = 200  # limits of a sheet
--- a/cobaltpond/sheet/read.py
+++ b/cobaltpond/settings/reader.py
@@ -86,9 +86,9 @@
 
 def read_sheet(path: str, text: str):
     """A `Sheet` from the text of a file. Raises BadSheet."""
-    from cobaltpond.sheet import parts as p
-    from cobaltpond.sheet.limits import WORDS, Limit
-    from cobaltpond.sheet.sheet import Sheet
+    from cobaltpond.settings import sections as p
+    from cobaltpond.settings.deployment import Sheet
+    from cobaltpond.settings.limits import WORDS, Limit
 
     calls = Reader(
         {
--- a/cobaltpond/sim/many.py
+++ b/cobaltpond/sim/campaign.py
@@ -6,8 +6,8 @@
 
 from cobaltpond.decisions.records import State
 from cobaltpond.loop import in_workers
-from cobaltpond.sim.run import Verdict, run_seed, run_text
-from cobaltpond.sim.script import FAULTS
+from cobaltpond.sim.runner import Verdict, run_seed, run_text
+from cobaltpond.sim.scenarios import FAULTS
 
 STATES = (
     *(f"hit {state}" for state in (State.TAKEN, State.HELD, State.OUT)),
--- a/cobaltpond/sim/datagrams.py
+++ b/cobaltpond/sim/datagrams.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from cobaltpond.sim.net import Handle
+from cobaltpond.sim.network import Handle
 
 DATAGRAMS = 256  # of a socket, unread
 
--- a/cobaltpond/sim/faults.py
+++ b/cobaltpond/sim/faults.py
@@ -1,7 +1,7 @@
 """Carries out the faults of a scenario, at their times or aimed at a moment, on the simulated machine."""
 
 from cobaltpond.sim.links import part_of
-from cobaltpond.sim.net import Stream
+from cobaltpond.sim.network import Stream
 
 LOOK = 250_000  # how often parts that a disk fault has ended are started again
 COPY_EVERY = 200_000  # between copies of what may be put back
--- a/cobaltpond/sim/kernel.py
+++ b/cobaltpond/sim/kernel.py
@@ -5,10 +5,10 @@
 import shlex
 import sys
 
-from cobaltpond.loop.trouble import HandlesUsedUp, Refused, Unreachable
+from cobaltpond.loop.errors import HandlesUsedUp, Refused, Unreachable
 from cobaltpond.sim.datagrams import Datagrams
 from cobaltpond.sim.disk import File, Folder
-from cobaltpond.sim.net import Listener, Stream
+from cobaltpond.sim.network import Listener, Stream
 from cobaltpond.sim.world import Process
 
 WALL = 1_750_000_000_000_000  # what the calendar shows when a world begins, microseconds
--- a/cobaltpond/sim/machine.py
+++ b/cobaltpond/sim/machine.py
@@ -8,14 +8,14 @@
 from cobaltpond.agent.main import run_agent
 from cobaltpond.desk.service import run_desk
 from cobaltpond.gateway.main import run_gateway
-from cobaltpond.sheet import read_sheet
+from cobaltpond.settings import read_sheet
 from cobaltpond.sim.disk import Disk
 from cobaltpond.sim.kernel import VirtualKernel
-from cobaltpond.sim.net import Network
+from cobaltpond.sim.network import Network
 from cobaltpond.sim.world import Process, World
-from cobaltpond.standins.crowd import run_crowd
-from cobaltpond.standins.solo import run_builds, run_solo
-from cobaltpond.standins.yard import run_yard
+from cobaltpond.standins.clients import run_crowd
+from cobaltpond.standins.instance_fleet import run_yard
+from cobaltpond.standins.single_instance import run_builds, run_solo
 
 read_once = lru_cache(maxsize=64)(read_sheet)  # a sheet is frozen: all that read the same text may share it
 
--- a/cobaltpond/sim/net.py
+++ b/cobaltpond/sim/network.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from cobaltpond.loop.trouble import HandlesUsedUp, PeerLost, Refused, Unreachable
+from cobaltpond.loop.errors import HandlesUsedUp, PeerLost, Refused, Unreachable
 from cobaltpond.sim.links import Link, part_of
 
 BUFFER = 128 << 10  # bytes of one flow that may be on their way or unread
--- a/cobaltpond/sim/run.py
+++ b/cobaltpond/sim/runner.py
@@ -3,15 +3,15 @@
 from dataclasses import dataclass, field
 
 from cobaltpond.audit.check import check_all
-from cobaltpond.day.run import DayRun
-from cobaltpond.day.timing import DayFailed
-from cobaltpond.keep import Broken
 from cobaltpond.loop import run_part
+from cobaltpond.scenario.runner import DayRun
+from cobaltpond.scenario.time_limits import DayFailed
 from cobaltpond.sim.faults import Faults
 from cobaltpond.sim.machine import Machine
-from cobaltpond.sim.script import DISK, draw, read_scenario
-from cobaltpond.sim.truth import Truth
+from cobaltpond.sim.scenarios import DISK, draw, read_scenario
+from cobaltpond.sim.wire_observer import Truth
 from cobaltpond.sim.world import Stuck
+from cobaltpond.wal import Broken
 
 FOLDER = "/day"
 OVER = 150_000_000  # beyond its length a day must end within this
--- a/cobaltpond/sim/script.py
+++ b/cobaltpond/sim/scenarios.py
@@ -5,11 +5,11 @@
 
 from msgspec import Meta
 
-from cobaltpond.day.script import read_day
-from cobaltpond.day.sheettext import call
-from cobaltpond.loop.chance import seeded
-from cobaltpond.sheet import parts as p
-from cobaltpond.sheet.read import MANY
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.scenario.plan import read_day
+from cobaltpond.scenario.settings_text import call
+from cobaltpond.settings import sections as p
+from cobaltpond.settings.reader import MANY
 
 NET = ("cut", "reset", "refuse", "silent", "slow", "datagrams")
 PROCESS = ("kill", "restart", "stall", "drift", "handles")
--- a/cobaltpond/sim/truth.py
+++ b/cobaltpond/sim/wire_observer.py
@@ -8,7 +8,7 @@
 import json
 import re
 
-from cobaltpond.sim.net import Stream
+from cobaltpond.sim.network import Stream
 
 FORWARD = re.compile(rb"cobaltpond-hit: ([^\r]+)\r\n")
 NUMBER = re.compile(rb"cobaltpond-forward: (\d+)\r\n")
--- a/cobaltpond/sim/world.py
+++ b/cobaltpond/sim/world.py
@@ -10,7 +10,7 @@
 import heapq
 from itertools import count
 
-from cobaltpond.loop.chance import seeded
+from cobaltpond.loop.random_source import seeded
 
 TURN_LEAST, TURN_MOST = 20, 120  # microseconds of work that a turn of a loop takes
 CLOSING_TURNS = 1000
--- a/cobaltpond/standins/crowd.py
+++ b/cobaltpond/standins/clients.py
@@ -8,7 +8,6 @@
 import math
 from collections import deque
 
-from cobaltpond.calls import FAILED, call
 from cobaltpond.loop import (
     Deadline,
     HandlesUsedUp,
@@ -20,7 +19,8 @@
     dial,
     run_part,
 )
-from cobaltpond.loop.chance import seeded
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.rpc import FAILED, call
 from cobaltpond.standins.record import Record
 from cobaltpond.wire import http1
 
--- a/cobaltpond/standins/town.py
+++ b/cobaltpond/standins/host_cluster.py
@@ -8,11 +8,11 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from cobaltpond.builds.manifest import Key, Ring
-from cobaltpond.calls import FAILED, call, json_answer, service
 from cobaltpond.loop import Deadline, Sleep, TimedOut, free_run
-from cobaltpond.loop.chance import seeded
-from cobaltpond.standins.buildserver import BuildServer, make_build
-from cobaltpond.standins.listing import Listing
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.rpc import FAILED, call, json_answer, service
+from cobaltpond.standins.build_server import BuildServer, make_build
+from cobaltpond.standins.instance_list import Listing
 
 SECOND = 1_000_000
 # an instance that answers its health check; how it misbehaves is a word in a file beside it
--- a/cobaltpond/standins/instance.py
+++ b/cobaltpond/standins/instance.py
@@ -1,7 +1,7 @@
 """A stand-in instance on its socket: HTTP/1.1, load reports, drops of repeats, and ways to misbehave."""
 
 from cobaltpond.loop import Connection, HandlesUsedUp, PeerLost, Readable, Sleep
-from cobaltpond.standins.machine import Job
+from cobaltpond.standins.instance_model import Job
 from cobaltpond.wire import http1, orca
 
 LIMITS = http1.Limits(body=64 << 20)
--- a/cobaltpond/standins/yard.py
+++ b/cobaltpond/standins/instance_fleet.py
@@ -2,12 +2,12 @@
 the relays to the release desk, and the troubles of a day, all in one process and told what to do over
 HTTP."""
 
-from cobaltpond.calls import Refusal, json_answer, service
 from cobaltpond.loop import Sleep, run_part
-from cobaltpond.loop.chance import seeded
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.rpc import Refusal, json_answer, service
 from cobaltpond.standins.instance import Instance, Marks
-from cobaltpond.standins.listing import Listing
-from cobaltpond.standins.machine import Flaw, Kind, Machine
+from cobaltpond.standins.instance_list import Listing
+from cobaltpond.standins.instance_model import Flaw, Kind, Machine
 from cobaltpond.standins.record import Record
 from cobaltpond.standins.relay import Relay
 
--- a/cobaltpond/standins/listing.py
+++ b/cobaltpond/standins/instance_list.py
@@ -4,8 +4,8 @@
 order, and none is left out. `cut(number)` says whether a gateway is out of reach.
 """
 
-from cobaltpond.calls import Refusal, Stream, json_answer
 from cobaltpond.loop import Sleep
+from cobaltpond.rpc import Refusal, Stream, json_answer
 
 HISTORY = 200
 
@@ -88,7 +88,7 @@
             yield Sleep(5_000_000)
             raise Refusal(503, "out of reach")
         if "watch" not in request.query:
-            from cobaltpond.wire.lines import line
+            from cobaltpond.wire.json_lines import line
 
             lines = [line(one) for one in self.since(number, after, self.known(number))]
             return 200, [(b"content-type", b"application/x-ndjson")], b"".join(lines)
--- a/cobaltpond/standins/solo.py
+++ b/cobaltpond/standins/single_instance.py
@@ -9,10 +9,10 @@
 
 from cobaltpond.builds.manifest import Key, Ring
 from cobaltpond.loop import Sleep, run_part
-from cobaltpond.loop.chance import seeded
-from cobaltpond.standins.buildserver import BuildServer, make_build
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.standins.build_server import BuildServer, make_build
 from cobaltpond.standins.instance import Instance, Marks
-from cobaltpond.standins.machine import Flaw, Kind, Machine
+from cobaltpond.standins.instance_model import Flaw, Kind, Machine
 from cobaltpond.standins.record import Record
 
 CRASH_AFTER = 1_500_000  # a build that crashes has served for so long
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -6,7 +6,7 @@
 from hypothesis import settings
 
 from cobaltpond.builds.manifest import Key, Ring
-from cobaltpond.standins.buildserver import make_build
+from cobaltpond.standins.build_server import make_build
 
 KEYS = {
     name: Ed25519PrivateKey.from_private_bytes(bytes([n]) * 32)
--- a/tests/pgworld.py
+++ b/tests/pgworld.py
@@ -6,10 +6,10 @@
 
 from world import SECOND, Around, Log
 
-from cobaltpond.calls import Refusal, Stream, json_answer, service
 from cobaltpond.edge.config import config_of
 from cobaltpond.edge.main import Edge
 from cobaltpond.loop import EpollKernel, Loop, Sleep, dial, free_run, serve
+from cobaltpond.rpc import Refusal, Stream, json_answer, service
 from cobaltpond.sim.machine import Machine
 from cobaltpond.wire import pg
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -12,9 +12,9 @@
 
 from world import requests
 
-from cobaltpond.calls import FAILED, Stream, call, json_answer, service
 from cobaltpond.loop import Deadline, EpollKernel, Loop, Readable, Sleep, TimedOut, free_run, serve
-from cobaltpond.loop.chance import seeded
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.rpc import FAILED, Stream, call, json_answer, service
 from cobaltpond.wire import http1
 
 MS, SECOND = 1000, 1_000_000
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -26,8 +26,8 @@
     write_ring,
 )
 from cobaltpond.builds.store import Full, Rotten, Store, WrongDigest
-from cobaltpond.keep import Broken, Journal
 from cobaltpond.loop import EpollKernel, Refused
+from cobaltpond.wal import Broken, Journal
 
 
 def changed(data, old, new):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -4,12 +4,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cobaltpond.gateway.follow import Gap, Held
+from cobaltpond.gateway.customer_shares import Shares
+from cobaltpond.gateway.instance_list import Gap, Held
 from cobaltpond.gateway.routes import Routes
-from cobaltpond.gateway.shares import Shares
-from cobaltpond.sheet import BadSheet, read_sheet
+from cobaltpond.settings import BadSheet, read_sheet
 from cobaltpond.wire import http1, orca
-from cobaltpond.wire.lines import BadLine, Lines, line
+from cobaltpond.wire.json_lines import BadLine, Lines, line
 
 EXAMPLE = open("examples/resale.star").read()
 fixed = settings(derandomize=True, deadline=None, max_examples=150)
--- a/tests/test_comeback_sim.py
+++ b/tests/test_comeback_sim.py
@@ -3,8 +3,8 @@
 
 from test_transcripts import BASE, KNOWN
 
-from cobaltpond.sim.run import Simulated
-from cobaltpond.sim.script import read_scenario
+from cobaltpond.sim.runner import Simulated
+from cobaltpond.sim.scenarios import read_scenario
 
 
 def played(more, gateways=2, length=14, rate=20.0, before=lambda sim: None):
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -6,9 +6,9 @@
 import pytest
 from pgworld import PgWorld, answering, good, statement
 
-from cobaltpond.calls import json_answer
 from cobaltpond.edge import discovery, platform
 from cobaltpond.loop import Sleep
+from cobaltpond.rpc import json_answer
 from cobaltpond.wire import pg
 
 MS = 1000
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -6,11 +6,11 @@
 
 from cobaltpond.audit.findings import RULES
 from cobaltpond.cli.main import main
-from cobaltpond.day.frombench import BadDay, from_bench
-from cobaltpond.day.run import DayRun
-from cobaltpond.day.script import read_day
-from cobaltpond.day.table import figures, table
 from cobaltpond.loop import EpollKernel, Loop
+from cobaltpond.scenario.bench_import import BadDay, from_bench
+from cobaltpond.scenario.plan import read_day
+from cobaltpond.scenario.report import figures, table
+from cobaltpond.scenario.runner import DayRun
 
 SCRIPT = """
 day(length = s(%(length)d), rate = %(rate)s, seed = 3)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from cobaltpond.desk.stages import GOING_BACK, RELEASED, TRIAL, WITHDRAWN, Refused, Stages
-from cobaltpond.sheet.parts import Release
+from cobaltpond.settings.sections import Release
 
 S = 1_000_000
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -84,7 +84,7 @@
 # what `run` may import beside the standard library's plain parts; whatever forks, starts programs or brings
 # its own threads and sockets is refused on the platform's fleet days, and later subsystems must not creep
 # onto this path
-ROOMS = {"benchlink", "calls", "decisions", "edge", "gateway", "loop", "wire"}
+ROOMS = {"benchlink", "decisions", "edge", "gateway", "loop", "rpc", "wire"}
 REFUSED = {
     "subprocess",
     "_posixsubprocess",
--- a/tests/test_edge_list.py
+++ b/tests/test_edge_list.py
@@ -8,7 +8,7 @@
 
 from cobaltpond.edge.discovery import Listed
 from cobaltpond.wire import pg
-from cobaltpond.wire.lines import BadLine
+from cobaltpond.wire.json_lines import BadLine
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -14,8 +14,8 @@
 from cobaltpond.builds.plan import FetchPlan
 from cobaltpond.builds.store import Full, Store
 from cobaltpond.loop import Deadline, EpollKernel, Loop
-from cobaltpond.loop.chance import seeded
-from cobaltpond.standins.buildserver import BuildServer
+from cobaltpond.loop.random_source import seeded
+from cobaltpond.standins.build_server import BuildServer
 
 # --- fetching -----------------------------------------------------------------------------------------------
 
--- a/tests/test_gateway_links.py
+++ b/tests/test_gateway_links.py
@@ -3,11 +3,11 @@
 import pytest
 from world import SECOND, SHEET, World, good
 
-from cobaltpond.gateway.endings import SEEN
+from cobaltpond.gateway.forward_results import SEEN
 from cobaltpond.gateway.peers import Peers
 from cobaltpond.loop import Deadline, EpollKernel, Loop, Sleep, free_run
-from cobaltpond.sheet import read_sheet
-from cobaltpond.sheet.parts import split_address
+from cobaltpond.settings import read_sheet
+from cobaltpond.settings.sections import split_address
 
 
 def test_a_list_that_breaks_off_is_taken_up_again_whole():
@@ -35,7 +35,7 @@
     [("ok", "ok"), (409, "moot"), (429, "full"), (500, "error"), ("late", "timeout"), ("cut", "timeout")],
 )
 def test_each_answer_to_a_vote(script, answer):
-    from cobaltpond.calls import json_answer
+    from cobaltpond.rpc import json_answer
 
     world, heard = World(good), []
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from cobaltpond.limits.compiled import Limits
-from cobaltpond.limits.plain import Plain
+from cobaltpond.limits.reference import Plain
 from cobaltpond.limits.rules import Hit, Limit
-from cobaltpond.sheet import BadSheet, read_sheet
-from cobaltpond.sheet.limits import canonical
+from cobaltpond.settings import BadSheet, read_sheet
+from cobaltpond.settings.limits import canonical
 
 sys.path.insert(0, os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "bench"))
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "80"))
--- a/tests/test_listed.py
+++ b/tests/test_listed.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cobaltpond.recovery.listed import PATIENCE, Doubt
+from cobaltpond.recovery.list_reconciliation import PATIENCE, Doubt
 
 S = 1_000_000
 
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from cobaltpond.desk.stages import GOING_BACK, RELEASED, TRIAL, WITHDRAWN, Refused, Stages
-from cobaltpond.recovery.lost import (
+from cobaltpond.recovery.desk_state import (
     CARRIED,
     COLLECTING,
     RESUMED,
@@ -18,7 +18,7 @@
     Word,
     word_of,
 )
-from cobaltpond.sheet.parts import Release
+from cobaltpond.settings.sections import Release
 
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "100"))
 S = 1_000_000
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -6,12 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cobaltpond.decisions.figures import lot
 from cobaltpond.decisions.records import Chance
+from cobaltpond.decisions.stats import lot
 from cobaltpond.members import wire
 from cobaltpond.members.compare import compare, lines, some
-from cobaltpond.members.evidence import Evidence
-from cobaltpond.members.hearsay import Hearsay
+from cobaltpond.members.gossip import Hearsay
 from cobaltpond.members.receiving import EACH_PERIOD
 from cobaltpond.members.states import (
     ALIVE,
@@ -26,6 +25,7 @@
     Member,
     change,
 )
+from cobaltpond.members.trial_evidence import Evidence
 from cobaltpond.members.view import Settings, View
 
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "60"))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,7 +10,6 @@
 
 from cobaltpond.decisions.records import Chance
 from cobaltpond.recovery.measure import greatest, time_to_full_service
-from cobaltpond.recovery.pace import Answers, Fresh, Spread, Turns
 from cobaltpond.recovery.phases import (
     ADMIT,
     ALL_HEARD,
@@ -31,7 +30,8 @@
     Life,
     Step,
 )
-from cobaltpond.recovery.warm import ROWS_MOST, SILENT, WarmStart, mark_of, remarkable
+from cobaltpond.recovery.rate_limiter import Answers, Fresh, Spread, Turns
+from cobaltpond.recovery.warm_start import ROWS_MOST, SILENT, WarmStart, mark_of, remarkable
 
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "60"))
 S = 1_000_000
@@ -287,7 +287,7 @@
 
 
 def test_the_sheet_says_what_makes_no_sense():
-    from cobaltpond.sheet import BadSheet, read_sheet
+    from cobaltpond.settings import BadSheet, read_sheet
 
     text = open("examples/resale.star").read()
     assert read_sheet("x", text).recovery is None and not read_sheet("x", text).runsheet(0)["paced"]
@@ -321,7 +321,7 @@
     """Found by reading: its promise stayed, and the instance was reached only by turns from then on."""
     from types import SimpleNamespace
 
-    from cobaltpond.gateway.instances import PROMISED, Place, Places
+    from cobaltpond.gateway.endpoints import PROMISED, Place, Places
 
     loop = SimpleNamespace(clock=S)
     loop.now = lambda: loop.clock
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,9 +6,9 @@
 import pytest
 from helpers import MS, NEW, OLD, THIN, Bench, broken_rules, random_day, row, scoped, sheet, steady, trial
 
-from cobaltpond.benchlink.runsheet import runsheet
-from cobaltpond.decisions.figures import draw_chance, rank_z
+from cobaltpond.benchlink.policy_settings import runsheet
 from cobaltpond.decisions.records import Chance
+from cobaltpond.decisions.stats import draw_chance, rank_z
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -12,7 +12,7 @@
 
 from cobaltpond.edge.config import BadConfig, config_of
 from cobaltpond.edge.main import Edge
-from cobaltpond.gateway.hits import Owed
+from cobaltpond.gateway.pending_hit import Owed
 from cobaltpond.loop import Loop, Sleep
 from cobaltpond.wire import pg
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -20,6 +20,12 @@
     names = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     lines = [line for name in names for line in (ROOT / name).read_text().splitlines() if line.strip()]
     assert max(map(len, lines)) <= POLICY_WIDTH
-    helpers = {"__init__.py", "figures.py", "interface.py", "records.py", "told.py"}  # hold no decision
+    helpers = {
+        "__init__.py",
+        "stats.py",
+        "interface.py",
+        "records.py",
+        "sample_message.py",
+    }  # hold no decision
     there = {path.name for path in (ROOT / "cobaltpond" / "decisions").glob("*.py")}
     assert there - helpers == {name.rpartition("/")[2] for name in names}
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -9,11 +9,11 @@
 import broken
 import pytest
 
+from cobaltpond.sim.campaign import Coverage, as_test, explain, run_many, shrink, sort_of
 from cobaltpond.sim.kernel import VirtualKernel
 from cobaltpond.sim.machine import Machine
-from cobaltpond.sim.many import Coverage, as_test, explain, run_many, shrink, sort_of
-from cobaltpond.sim.run import run_seed, run_text
-from cobaltpond.sim.script import draw, read_scenario
+from cobaltpond.sim.runner import run_seed, run_text
+from cobaltpond.sim.scenarios import draw, read_scenario
 from cobaltpond.sim.world import Process, World
 
 # what a scenario is made of where a test does not care
@@ -46,7 +46,7 @@
 
 def test_the_same_seed_gives_the_same_events_whatever_the_hash_seed():
     """In this process, and in others with other hash seeds, alone and among other seeds."""
-    code = "import sys; from cobaltpond.sim.run import run_seed; print(run_seed(int(sys.argv[1])).digest)"
+    code = "import sys; from cobaltpond.sim.runner import run_seed; print(run_seed(int(sys.argv[1])).digest)"
     for seed in (7, 20):  # without agents, and with
         digests = {run_seed(seed).digest}
         children = [
--- a/tests/test_society.py
+++ b/tests/test_society.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from cobaltpond.decisions.records import Chance
-from cobaltpond.members.picture import ALONE, CUT_OFF, FINE, GONE
+from cobaltpond.members.reachability import ALONE, CUT_OFF, FINE, GONE
 from cobaltpond.members.states import (
     ALIVE,
     FAILED,
@@ -16,7 +16,7 @@
     SUSPECT,
 )
 from cobaltpond.members.view import Settings, View
-from cobaltpond.sim.society import SECOND, Society
+from cobaltpond.sim.member_cluster import SECOND, Society
 
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "60"))
 BRISK = Settings(200_000, 60_000)
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -135,7 +135,7 @@
             }
         ],
     }
-    from cobaltpond.wire.lines import one_object
+    from cobaltpond.wire.json_lines import one_object
 
     whole, rows = listed.apply(0, 0, one_object(json.dumps(told_, indent=4).encode()))
     assert whole and [row_["id"] for row_, _ in rows] == ["a"]
--- a/tests/test_thin.py
+++ b/tests/test_thin.py
@@ -3,9 +3,9 @@
 import pytest
 from helpers import MS, NEW, OLD, Bench, row, steady
 
-from cobaltpond.decisions.figures import bearable, chance_of
 from cobaltpond.decisions.records import Chance, Sample
-from cobaltpond.decisions.told import Told
+from cobaltpond.decisions.sample_message import Told
+from cobaltpond.decisions.stats import bearable, chance_of
 
 
 def test_level_bears_as_many_errors_as_the_votes_make_harmless():
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -12,7 +12,7 @@
 from cobaltpond.agent.states import STARTING, Place, Slot
 from cobaltpond.desk.hosts import Hosts
 from cobaltpond.desk.stages import GOING_BACK, NOTHING, Stages
-from cobaltpond.sheet.parts import Release
+from cobaltpond.settings.sections import Release
 
 MS, S = 1000, 1_000_000
 RELEASE = {
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -7,7 +7,7 @@
 
 from cobaltpond.builds.manifest import Key, Ring, write_ring
 from cobaltpond.loop import EpollKernel, Loop, Sleep
-from cobaltpond.standins.town import Town
+from cobaltpond.standins.host_cluster import Town
 
 
 class Run:
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cobaltpond.sim.run import Simulated
-from cobaltpond.sim.script import read_scenario
+from cobaltpond.sim.runner import Simulated
+from cobaltpond.sim.scenarios import read_scenario
 from cobaltpond.sim.transcript import Transcript
 
 BASE = """
@@ -167,7 +167,7 @@
 
 def test_a_break_that_no_rule_sees_shows_in_a_story(monkeypatch):
     """A gateway that forgets to say what it has seen breaks no rule of a day; its story reads otherwise."""
-    from cobaltpond.gateway.news import News
+    from cobaltpond.gateway.desk_client import News
 
     more, begin, end, rest = STORIES["a desk comes back"]
     whole = story(more, begin, end, **rest)
--- a/tests/world.py
+++ b/tests/world.py
@@ -3,10 +3,10 @@
 
 import json
 
-from cobaltpond.calls import Refusal, Stream, json_answer, service
 from cobaltpond.gateway.main import GatewayProcess
 from cobaltpond.loop import Deadline, EpollKernel, Loop, PeerLost, Sleep, dial, free_run, serve
-from cobaltpond.sheet import read_sheet
+from cobaltpond.rpc import Refusal, Stream, json_answer, service
+from cobaltpond.settings import read_sheet
 from cobaltpond.wire import http1
 
 SECOND = 1_000_000
