--- a/bench/comeback.py
+++ b/bench/comeback.py
@@ -16,11 +16,16 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.loop import in_workers  # noqa: E402
-from cobaltpond.recovery.measure import SHARE, greatest, in_time_share, time_to_full_service  # noqa: E402
-from cobaltpond.scenario.settings_text import call  # noqa: E402
-from cobaltpond.sim.runner import Simulated  # noqa: E402
-from cobaltpond.sim.scenarios import read_scenario  # noqa: E402
+from cobaltpond.loop import map_in_workers  # noqa: E402
+from cobaltpond.recovery.measure import (  # noqa: E402
+    SHARE,
+    in_time_share,
+    max_in_window,
+    time_to_full_service,
+)
+from cobaltpond.scenario.settings_text import starlark_call  # noqa: E402
+from cobaltpond.sim.runner import SimulatedScenario  # noqa: E402
+from cobaltpond.sim.scenarios import read_fault_scenario  # noqa: E402
 
 S = 1_000_000
 FAULT, LENGTH = 9 * S, 24 * S
@@ -33,7 +38,7 @@
     zones = ["north", "south"]
 
     def say(name, /, **fields):
-        lines.append(call(name, fields))
+        lines.append(starlark_call(name, fields))
 
     say("day", length=LENGTH, rate=float(min(600, 12 * instances)), seed=seed)
     say("fleet", instances=instances, zones=zones, cores=2, cold_time=3 * S, cancel="queued", boot=500_000)
@@ -90,7 +95,7 @@
     return "\n".join(lines) + "\n"
 
 
-class Watched(Simulated):
+class Watched(SimulatedScenario):
     """Looks at every gateway ten times a second; counts dials by port."""
 
     def __init__(self, plan):
@@ -109,11 +114,11 @@
                 continue
             mark = process.name, process.start
             if gateway.recovery is not None:
-                if gateway.recovery.life.phase == "settled":
+                if gateway.recovery.phase_machine.phase == "settled":
                     self.phases.setdefault(mark, self.world.time)
                 else:
                     self.phases.pop(mark, None)
-            elif gateway.door.counts.get("delivered"):
+            elif gateway.frontend.counts.get("delivered"):
                 self.phases.setdefault(mark, self.world.time)
         self.world.after(S // 10, self.look)
 
@@ -121,12 +126,12 @@
     def part_of(process):
         frame = process.main.generator.gi_frame if process.main is not None else None
         gateway = frame.f_locals.get("self") if frame is not None else None
-        return gateway if process.name.startswith("gateway-") and hasattr(gateway, "places") else None
+        return gateway if process.name.startswith("gateway-") and hasattr(gateway, "endpoints") else None
 
 
 def play(job) -> dict:
     count, share, way, seed = job
-    sim = Watched(read_scenario(f"{count} {share} {way} {seed}", scenario(*job), seed))
+    sim = Watched(read_fault_scenario(f"{count} {share} {way} {seed}", scenario(*job), seed))
     verdict = sim.run()
     if not verdict.result:
         return {"job": job, "found": verdict.found}
@@ -159,11 +164,12 @@
         "fell": sum(e["kind"] == "fell" for e in yard),
         "harmed": len(bad),
         "dials": max(
-            (greatest([at for at in sim.dials.get(port, ()) if at >= fault]) for port in instances), default=0
+            (max_in_window([at for at in sim.dials.get(port, ()) if at >= fault]) for port in instances),
+            default=0,
         ),
-        "list": greatest([at for at in sim.dials.get(ports["list"], ()) if at >= fault]),
+        "list": max_in_window([at for at in sim.dials.get(ports["list"], ()) if at >= fault]),
         "desk": max(
-            greatest([at for at in sim.dials.get(port, ()) if at >= fault])
+            max_in_window([at for at in sim.dials.get(port, ()) if at >= fault])
             for port in ports["relays"].values()
         ),
     }
@@ -196,7 +202,7 @@
         "| fell | most dials at an instance, list, desk in 1 s | bad build's hits | found |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for row in in_workers(words.jobs, play, jobs, 4):
+    for row in map_in_workers(words.jobs, play, jobs, 4):
         count, share, way, seed = row["job"]
         if "full" not in row:
             print(
--- a/bench/judges.py
+++ b/bench/judges.py
@@ -15,7 +15,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.decisions.stats import lot  # noqa: E402
+from cobaltpond.decisions.stats import rendezvous_weight  # noqa: E402
 from cobaltpond.sim.runner import run_text  # noqa: E402
 
 GATEWAYS, BUILD, OFFER, LENGTH = 14, 42, 2_000_000, 24_000_000
@@ -46,7 +46,7 @@
     judges = [(BUILD + n) % GATEWAYS for n in range(2)]
     if members:
         text += "members(period = ms(300), wait = ms(90))\n"
-        judges = sorted(range(GATEWAYS), key=lambda n: -lot(BUILD, n))[:2]
+        judges = sorted(range(GATEWAYS), key=lambda n: -rendezvous_weight(BUILD, n))[:2]
     if kill:
         text += "".join(
             f"kill(gateway = {n}, at = {OFFER + 1_500_000}, back_after = {LENGTH - 6_000_000 - OFFER})\n"
--- a/bench/leases_model.py
+++ b/bench/leases_model.py
@@ -74,7 +74,7 @@
             if not self.dead[n] and not self.stopped[n]:
                 if n != behind:
                     self.views[n] = self.truth(n)
-                self.owners[n].seen(self.now, self.views[n])
+                self.owners[n].observe_members(self.now, self.views[n])
 
     def key(self):
         """Time only counts relative to now."""
@@ -82,7 +82,7 @@
         owners = tuple(
             (
                 tuple((min(LIFE, now - at), view) for at, view in o.views),
-                min(LIFE, now - o.begun),
+                min(LIFE, now - o.known_since),
                 tuple(
                     (
                         k,
@@ -170,9 +170,9 @@
     def asks(self, n, key, wanted):
         owner = owner_of(key, self.views[n])
         if owner == n:
-            lease = self.owners[n].asked(self.now, key, n, wanted, POOL)
+            lease = self.owners[n].grant_lease(self.now, key, n, wanted, POOL)
             if lease is not None:
-                self.holders[n].take(self.now, lease, self.views[n], self.now)
+                self.holders[n].accept_lease(self.now, lease, self.views[n], self.now)
         else:
             self.mail += (("ask", n, owner, (key, wanted), self.now),)
 
@@ -185,11 +185,11 @@
         if to not in self.truth(sender) or self.dead[to] or self.stopped[to]:
             return
         if what == "ask":
-            lease = self.owners[to].asked(self.now, body[0], sender, body[1], POOL)
+            lease = self.owners[to].grant_lease(self.now, body[0], sender, body[1], POOL)
             if lease is not None:
                 self.mail += (("grant", to, sender, lease, asked_at),)
         else:
-            self.holders[to].take(self.now, body, self.views[to], asked_at)
+            self.holders[to].accept_lease(self.now, body, self.views[to], asked_at)
 
     def loses(self, at):
         self.taken(at)
@@ -229,7 +229,7 @@
             most = POOL
             if self.apart:
                 owners = sum(
-                    o.mine(self.now, key)
+                    o.is_owner(self.now, key)
                     or any(u > self.now for leases in o.out.get(key, {}).values() for _, u in leases)
                     for o in self.owners
                 )
@@ -280,12 +280,12 @@
 def no_standing_still(self, now, living):
     """One that stood still goes on as if it had not."""
     self.looked = now if self.looked is not None else None
-    REAL["seen"](self, now, living)
+    REAL["observe_members"](self, now, living)
 
 
 def whole_pool(self, now, key, holder, wanted, pool):
     """A side of a split mints all of it."""
-    return REAL["asked"](
+    return REAL["grant_lease"](
         self, now, key, holder, wanted, pool * self.declared // max(1, len(self.views[-1][1]))
     )
 
@@ -293,12 +293,12 @@
 def forgets(self, now, key, holder, wanted, pool):
     """What is lent already is not counted."""
     self.out.pop(key, None)
-    return REAL["asked"](self, now, key, holder, wanted, pool)
+    return REAL["grant_lease"](self, now, key, holder, wanted, pool)
 
 
 def forgets_the_older(self, now, key, holder, wanted, pool):
     """A smaller lease counts at once, though its holder may not have heard of it."""
-    lease = REAL["asked"](self, now, key, holder, wanted, pool)
+    lease = REAL["grant_lease"](self, now, key, holder, wanted, pool)
     if lease is not None:
         self.out[key][holder] = self.out[key][holder][-1:]
     return lease
@@ -306,18 +306,23 @@
 
 def late_counts(self, now, lease, living, asked_at):
     """A lease counts from when it comes."""
-    return REAL["take"](self, now, lease, living, now)
+    return REAL["accept_lease"](self, now, lease, living, now)
 
 
-REAL = {"seen": Owner.seen, "asked": Owner.asked, "take": Holder.take, "mine": Owner.mine}
+REAL = {
+    "observe_members": Owner.observe_members,
+    "grant_lease": Owner.grant_lease,
+    "accept_lease": Holder.accept_lease,
+    "is_owner": Owner.is_owner,
+}
 CALM = ("is lost", "dies", "begins", "splits", "asks for 2")
 BREAKS = {  # class, method, the fault; what the search leaves out
-    "no wait": (Owner, "mine", no_wait, ()),
-    "stands still unnoticed": (Owner, "seen", no_standing_still, CALM),
-    "whole pool in a split": (Owner, "asked", whole_pool, ("is lost", "dies", "stopped", "asks for 2")),
-    "forgets what is out": (Owner, "asked", forgets, ()),
-    "forgets an older lease": (Owner, "asked", forgets_the_older, ("dies", "stopped", "splits")),
-    "counts from its coming": (Holder, "take", late_counts, (*CALM, "stopped")),
+    "no wait": (Owner, "is_owner", no_wait, ()),
+    "stands still unnoticed": (Owner, "observe_members", no_standing_still, CALM),
+    "whole pool in a split": (Owner, "grant_lease", whole_pool, ("is lost", "dies", "stopped", "asks for 2")),
+    "forgets what is out": (Owner, "grant_lease", forgets, ()),
+    "forgets an older lease": (Owner, "grant_lease", forgets_the_older, ("dies", "stopped", "splits")),
+    "counts from its coming": (Holder, "accept_lease", late_counts, (*CALM, "stopped")),
 }
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -20,17 +20,17 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from cobaltpond.leases.protocol import Holder, Owner, owner_of  # noqa: E402
-from cobaltpond.limits.compiled import Limits  # noqa: E402
-from cobaltpond.limits.rules import Hit, Limit  # noqa: E402
-from cobaltpond.loop.random_source import seeded  # noqa: E402
-from cobaltpond.recovery.measure import greatest  # noqa: E402
+from cobaltpond.limits.compiled import CompiledLimits  # noqa: E402
+from cobaltpond.limits.rules import HitAttributes, Limit  # noqa: E402
+from cobaltpond.loop.random_source import seeded_random  # noqa: E402
+from cobaltpond.recovery.measure import max_in_window  # noqa: E402
 
 S, RATE, LIFE, OWN, STEP = 1_000_000, 1000, 2_000_000, 5, 10_000
 SHAPES = ("even", "one hot", "a few hot", "moving", "idle then all")
 
 
 def cost() -> None:
-    hit = Hit("buy", "tagged", "ann", 7)
+    hit = HitAttributes("buy", "tagged", "ann", 7)
     print(
         "| limits | concerning the hit | ns a hit, let through | over a limit | allocated blocks kept a hit |"
     )
@@ -47,19 +47,22 @@
             )
             for n in range(count)
         ]
-        free, tight = Limits(limits), Limits([*limits[1:], Limit("t", "hits", "nothing", 1, 1, group="buy")])
+        free, tight = (
+            CompiledLimits(limits),
+            CompiledLimits([*limits[1:], Limit("t", "hits", "nothing", 1, 1, group="buy")]),
+        )
         row = []
         for compiled in (free, tight):
             for n in range(20_000):
-                compiled.ask(n, hit)
+                compiled.check(n, hit)
             began = time.perf_counter_ns()
             for n in range(100_000):
-                compiled.ask(20_000 + n, hit)
+                compiled.check(20_000 + n, hit)
             row.append((time.perf_counter_ns() - began) // 100_000)
         tracemalloc.start()
         before = tracemalloc.take_snapshot()
         for n in range(10_000):
-            free.ask(200_000 + n, hit)
+            free.check(200_000 + n, hit)
         after = sum(
             max(0, one.count_diff) for one in tracemalloc.take_snapshot().compare_to(before, "filename")
         )
@@ -82,48 +85,48 @@
 
 def play(way: str, shape: str, count: int, seconds: int) -> tuple:
     """(let through of what was allowed, worst second of it, messages a gateway and second)."""
-    chance = seeded(f"{way}/{shape}/{count}")
+    chance = seeded_random(f"{way}/{shape}/{count}")
     base = {
         "leases": lambda limit: limit.rate // OWN // count,
         "fixed": lambda limit: limit.rate // count,
         "central": lambda limit: limit.rate,
     }[way]
     limit = Limit("house", "hits", rate=RATE * 1000, burst=RATE // 10, fleet=way != "central")
-    sides = [Limits([limit], base) for _ in range(1 if way == "central" else count)]
+    sides = [CompiledLimits([limit], base) for _ in range(1 if way == "central" else count)]
     owners, holders = (
         [Owner(n, count, LIFE, 0) for n in range(count)],
         [Holder(n, LIFE) for n in range(count)],
     )
     pool, living, key = RATE * 1000 - count * (RATE * 1000 // OWN // count), list(range(count)), "house"
     owner, mail, messages, wanted, through = owner_of(key, living), [], 0, [0.0] * count, []
-    hit = Hit("look", "repeatable")
+    hit = HitAttributes("look", "repeatable")
     for at in range(0, seconds * S, STEP):
         share = weights(shape, count, at / S, chance)
         whole = sum(share)
         load = 1.5 * RATE if shape != "idle then all" else 1.5 * RATE * min(1.0, share[0])
         for n in range(count):
             for _ in range(int(load * share[n] / whole * STEP / S + chance.random())):
-                if sides[0 if way == "central" else n].ask(at, hit).by is None:
+                if sides[0 if way == "central" else n].check(at, hit).by is None:
                     through.append(at)
         if way != "leases":
             continue
-        owners[owner].seen(at, living)
+        owners[owner].observe_members(at, living)
         due = [one for one in mail if one[0] <= at]
         mail = [one for one in mail if one[0] > at]
         for _, what, n, body, asked in due:
             if what == "ask":
-                lease = owners[owner].asked(at, key, n, body, pool)
+                lease = owners[owner].grant_lease(at, key, n, body, pool)
                 if lease is not None and chance.random() >= 0.01:
                     mail.append((at + chance.randrange(1_000, 20_000), "told", n, lease, asked))
                     messages += 1
-            elif holders[n].take(at, body, living, asked):
-                sides[n].lend(at, "house", None, body.amount)
+            elif holders[n].accept_lease(at, body, living, asked):
+                sides[n].set_lent_rate(at, "house", None, body.amount)
         if at % (LIFE // 4) == 0:
             for n in range(count):
-                seen = sides[n].demand().get(("house", None), 0) * 1_000_000_000 // (LIFE // 4)
+                seen = sides[n].take_demand().get(("house", None), 0) * 1_000_000_000 // (LIFE // 4)
                 wanted[n] = wanted[n] * 0.5 + seen * 0.5
                 if holders[n].leases and not holders[n].amount(at, key):
-                    sides[n].lend(at, "house", None, 0)
+                    sides[n].set_lent_rate(at, "house", None, 0)
                     holders[n].forget(at)
                 more = min(int(wanted[n] * 1.25), limit.rate) - base(limit)
                 if more > 0 and chance.random() >= 0.01:
@@ -132,7 +135,7 @@
     begin = 6 * S  # a life until the owner lends, and two for the wishes
     allowed = RATE * (seconds - 6) if shape != "idle then all" else RATE * (seconds - 12)
     counted = [at for at in through if at >= (begin if shape != "idle then all" else 12 * S)]
-    return len(counted) / allowed, greatest(counted) / RATE, messages / count / seconds
+    return len(counted) / allowed, max_in_window(counted) / RATE, messages / count / seconds
 
 
 def shared(sizes: list, seconds: int) -> None:
--- a/bench/members.py
+++ b/bench/members.py
@@ -19,23 +19,23 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.decisions.records import Chance  # noqa: E402
-from cobaltpond.loop.random_source import seeded  # noqa: E402
+from cobaltpond.decisions.records import RandomSource  # noqa: E402
+from cobaltpond.loop.random_source import seeded_random  # noqa: E402
 from cobaltpond.members import wire  # noqa: E402
-from cobaltpond.members.reachability import Picture  # noqa: E402
+from cobaltpond.members.reachability import Reachability  # noqa: E402
 from cobaltpond.members.states import (  # noqa: E402
     ALIVE,
     CODES,
-    DOUBTED,
     FAILED,
     HEARD,
     LEFT,
-    RAN_OUT,
+    SUSPECTED,
+    SUSPICION_EXPIRED,
     Member,
-    change,
+    change_state,
 )
-from cobaltpond.members.view import Settings, View  # noqa: E402
-from cobaltpond.sim.member_cluster import SECOND, Society  # noqa: E402
+from cobaltpond.members.view import ProbeSettings, View  # noqa: E402
+from cobaltpond.sim.member_cluster import SECOND, MemberCluster  # noqa: E402
 
 MISSED = 5  # heartbeats in a row, and a member counts as failed
 
@@ -44,10 +44,10 @@
     """Every member tells every other one that it is there, once a period; nobody tells of anybody else."""
 
     def __init__(self, number, zones, settings, chance, start, now):
-        self.number, self.zones, self.settings = number, zones, settings
+        self.number, self.zones, self.probe_settings = number, zones, settings
         self.members = {n: Member(n, zone, now) for n, zone in zones.items() if n != number}
         self.start, self.incarnation, self.state, self.began, self.health = start, 0, ALIVE, now, 0
-        self.told_of_me = {
+        self.self_description = {
             "zone": 0,
             "version": 0,
             "settings": 0,
@@ -59,20 +59,20 @@
             "admitted": 255,
             "flags": 0,
         }
-        self.news, self.drains, self.hearsay, self.stamp = None, (), None, 0
+        self.news, self.drains, self.on_gossip, self.stamp = None, (), None, 0
         self.out, self.changes, self.replaced, self.counts = [], [], False, {}
-        self.next_beat, self.picture = now + chance.below(settings.period) + 1, Picture(self)
+        self.next_beat, self.reachability = now + chance.randbelow(settings.period) + 1, Reachability(self)
 
     def living(self):
-        return {n: m.start for n, m in self.members.items() if m.there} | {self.number: self.start}
+        return {n: m.start for n, m in self.members.items() if m.is_present} | {self.number: self.start}
 
     def alter(self, member, cause, now, start):
-        before = change(member, cause, now, self.number, start, 0)
+        before = change_state(member, cause, now, self.number, start, 0)
         if member.state != before:
             self.changes.append((member, before))
 
-    def heard(self, now, sender, data):
-        _, _, stamp, fields = wire.opened(sender, self.number, data)
+    def receive_datagram(self, now, sender, data):
+        _, _, stamp, fields = wire.decode_datagram(sender, self.number, data)
         facts, member = wire.facts_of(fields), self.members[sender]
         if facts["start"] >= member.start:
             if member.state != ALIVE or facts["start"] != member.start:
@@ -85,34 +85,39 @@
     def tick(self, now):
         if now < self.next_beat or self.state == LEFT:
             return
-        self.next_beat = now + self.settings.period
+        self.next_beat = now + self.probe_settings.period
         self.stamp += 1
-        facts = {**self.told_of_me, "start": self.start, "incarnation": 0, "state": CODES[ALIVE]}
+        facts = {**self.self_description, "start": self.start, "incarnation": 0, "state": CODES[ALIVE]}
         for number, member in self.members.items():
             self.out.append(
-                (number, wire.sealed(wire.PING, self.number, number, 0, self.stamp, wire.self_field(facts)))
+                (
+                    number,
+                    wire.encode_datagram(
+                        wire.PING, self.number, number, 0, self.stamp, wire.self_field(facts)
+                    ),
+                )
             )
-            if member.state == ALIVE and now - member.heard_at > MISSED * self.settings.period:
-                self.alter(member, DOUBTED, now, member.start)
-                self.alter(member, RAN_OUT, now, member.start)
+            if member.state == ALIVE and now - member.heard_at > MISSED * self.probe_settings.period:
+                self.alter(member, SUSPECTED, now, member.start)
+                self.alter(member, SUSPICION_EXPIRED, now, member.start)
 
     def leave(self):
         self.state = LEFT
 
 
 KINDS = {
-    "ours": (View, Settings()),
-    "plain SWIM": (View, Settings(plain=True)),
-    "all to all": (Heartbeats, Settings()),
+    "ours": (View, ProbeSettings()),
+    "plain SWIM": (View, ProbeSettings(plain=True)),
+    "all to all": (Heartbeats, ProbeSettings()),
 }
 
 
 def gathered(kind, count, seed, zones=3):
     view, settings = KINDS[kind]
-    one = Society(count, seed, zones, settings, view)
+    one = MemberCluster(count, seed, zones, settings, view)
     one.start_all()
     one.run(1_100_000)
-    one.until(one.agree, 120 * SECOND)
+    one.run_until(one.all_agree, 120 * SECOND)
     one.run(2 * SECOND)
     return one
 
@@ -125,9 +130,9 @@
     one.run(one.world.chance("moment").randrange(SECOND))
     one.signal("KILL", victim)
     at = one.world.time
-    everybody = one.until(lambda: one.agree(FAILED, [victim]), 300 * SECOND)
-    first = min(t for t, _, number in one.declared(at) if number == victim) - at
-    return first, everybody, sum(number != victim for _, _, number in one.declared(at))
+    everybody = one.run_until(lambda: one.all_agree(FAILED, [victim]), 300 * SECOND)
+    first = min(t for t, _, number in one.failure_reports(at) if number == victim) - at
+    return first, everybody, sum(number != victim for _, _, number in one.failure_reports(at))
 
 
 def false_ones(job):
@@ -136,14 +141,14 @@
     kind, count, seed, lose, slow, length = job
     one = gathered(kind, count, seed)
     at = one.world.time
-    one.lossy(lose)
+    one.set_loss(lose)
     numbers = one.world.chance("slow ones").sample(range(count), round(slow * count))
-    one.slow(numbers, at + length * SECOND)
+    one.slow_down(numbers, at + length * SECOND)
     one.run(length * SECOND)
     # a slow one that is called failed may be so rightly as the eye sees it: counted apart
-    fine = [d for d in one.declared(at) if d[2] not in numbers and d[1] not in numbers]
-    on_slow = [d for d in one.declared(at) if d[2] in numbers]
-    by_slow = [d for d in one.declared(at) if d[1] in numbers and d[2] not in numbers]
+    fine = [d for d in one.failure_reports(at) if d[2] not in numbers and d[1] not in numbers]
+    on_slow = [d for d in one.failure_reports(at) if d[2] in numbers]
+    by_slow = [d for d in one.failure_reports(at) if d[1] in numbers and d[2] not in numbers]
     return (
         len({(n, t // (10 * SECOND)) for t, _, n in fine}),
         len(fine),
@@ -157,7 +162,9 @@
     kind, count, seed = job
     one = gathered(kind, count, seed)
     if kind != "all to all":  # what the joining had to tell has been told
-        one.until(lambda: not any(part.members.view.telling for part in one.parts.values()), 900 * SECOND)
+        one.run_until(
+            lambda: not any(part.members.view.pending_updates for part in one.parts.values()), 900 * SECOND
+        )
     one.sent = one.bytes = 0
     began, length = time.process_time(), 20
     one.run(length * SECOND)
@@ -173,32 +180,33 @@
     one = gathered(kind, count, seed, zones=2)
     sides = [[n for n in range(count) if n % 2 == side] for side in range(2)]
     one.cut(*sides, True)
-    one.until(
-        lambda: one.agree(FAILED, sides[0], sides[1]) and one.agree(FAILED, sides[1], sides[0]), 600 * SECOND
+    one.run_until(
+        lambda: one.all_agree(FAILED, sides[0], sides[1]) and one.all_agree(FAILED, sides[1], sides[0]),
+        600 * SECOND,
     )
     one.cut(*sides, False)
-    return one.until(one.agree, 600 * SECOND)
+    return one.run_until(one.all_agree, 600 * SECOND)
 
 
 def many(job):
     plain, seed = job
-    one = Society(30, seed, 3, Settings(200_000, 60_000, plain))
+    one = MemberCluster(30, seed, 3, ProbeSettings(200_000, 60_000, plain))
     one.start_all()
     one.run(1_100_000)
-    one.until(one.agree, 20 * SECOND)
+    one.run_until(one.all_agree, 20 * SECOND)
     one.signal("KILL", *range(21))
-    return one.until(lambda: one.agree(FAILED, range(21)), 200 * SECOND)
+    return one.run_until(lambda: one.all_agree(FAILED, range(21)), 200 * SECOND)
 
 
 def fuzz(seed):
     """How many of a million spoilt or random datagrams were read, and how many said why not."""
-    chance, zones = seeded(seed), {n: "ab"[n % 2] for n in range(9)}
-    one, two = (View(n, zones, Settings(), Chance(n + 1), 1000 + n, 0) for n in range(2))
+    chance, zones = seeded_random(seed), {n: "ab"[n % 2] for n in range(9)}
+    one, two = (View(n, zones, ProbeSettings(), RandomSource(n + 1), 1000 + n, 0) for n in range(2))
     read = odd = 0
     for n in range(1_000_000):
         if n % 50 == 0:
             one.send(
-                chance.choice((wire.PING, wire.ASK, wire.TRIAL_TOLD)),
+                chance.choice((wire.PING, wire.INDIRECT_PING, wire.TRIAL_REPLY)),
                 1,
                 n,
                 about=3,
@@ -216,9 +224,9 @@
                 + data[6:]
             )
         try:
-            two.heard(n * 100_000, 0, data)
+            two.receive_datagram(n * 100_000, 0, data)
             read += 1
-        except wire.Odd:
+        except wire.DatagramError:
             odd += 1
         two.out.clear()
         two.changes.clear()
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -31,8 +31,8 @@
     ),
     "door listens before it takes hits": (
         "gateway/main.py",
-        "        self.follower.recall()\n",
-        "        self.follower.recall()\n        early = loop.kernel.listen(split_address(self.place.door), 512)\n",
+        "        self.list_follower.restore_kept_list()\n",
+        "        self.list_follower.restore_kept_list()\n        early = loop.kernel.listen(split_address(self.gateway_settings.door), 512)\n",
     ),
     "agent goes on without its journal": ("agent/main.py", "if died is not None:", "if False:"),
     "no evict when handles are used up": [
@@ -41,13 +41,13 @@
     ],
     "held build asks for its key again": (
         "agent/actions.py",
-        "        self.manifests[build] = held_manifest(signed), signed\n",
-        "        self.manifests[build] = read_manifest(signed, Ring(9, []), 1, ordered=build), signed\n",
+        "        self.manifests[build] = read_stored_manifest(signed), signed\n",
+        "        self.manifests[build] = read_manifest(signed, KeyRing(9, []), 1, ordered=build), signed\n",
     ),
     "a lowered cap binds four graces late": (
         "decisions/voting.py",
-        'now + self.sheet.get("drain_grace", 0)',
-        'now + 4 * self.sheet.get("drain_grace", 0)',
+        'now + self.settings.get("drain_grace", 0)',
+        'now + 4 * self.settings.get("drain_grace", 0)',
     ),
     "drained instances stay in the list of those that are up": (
         "decisions/records.py",
@@ -66,8 +66,8 @@
     ),
     "lost wake-up: an interrupted task is not made ready": (
         "loop/tasks.py",
-        "            self.wake()\n            self.plain = False",
-        "            self.plain = False",
+        "            self.wake()\n            self.woken_normally = False",
+        "            self.woken_normally = False",
     ),
     "an edge that comes while its reader is busy is lost": (
         "loop/streams.py",
@@ -99,12 +99,15 @@
     ),
     "exposure counted over half the window": (
         "decisions/choosing.py",
-        'now - self.sheet["exposure_window"], group.ledger',
-        'now - self.sheet["exposure_window"] // 2, group.ledger',
+        'now - self.settings["exposure_window"], group.ledger',
+        'now - self.settings["exposure_window"] // 2, group.ledger',
     ),
     "a list change applied over a gap": (
         "gateway/instance_list.py",
-        "raise Gap(f\"a change to {told['epoch']}/{told['base']}, held is " '{self.epoch}/{self.revision}")',
+        "raise ListGapError(\n"
+        "                    f\"a change to {told['epoch']}/{told['base']}, held is "
+        '{self.epoch}/{self.revision}"\n'
+        "                )",
         "pass",
     ),
     "mutating hits sent again": (
@@ -131,13 +134,13 @@
     ),
     "agent starts a second process after a restart": (
         "agent/main.py",
-        '            child = self.loop.kernel.adopt(row["mark"])\n',
+        '            child = self.loop.kernel.adopt_process(row["mark"])\n',
         "            child = None\n",
     ),
     "connection given back with an answer on its way": (
         "gateway/forwards.py",
-        'run.close(reuse=seen in ("answer", "refusal", "server error"))\n            self.seen',
-        "run.close(reuse=True)\n            self.seen",
+        'run.close(reuse=seen in ("answer", "refusal", "server error"))\n            self.observations',
+        "run.close(reuse=True)\n            self.observations",
     ),
     "a cancelled forward is not reset": (
         "gateway/endpoints.py",
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -36,19 +36,19 @@
     """Decisions that cost next to nothing: any instance that is up."""
 
     def __init__(self, host, now, seed, sheet):
-        from cobaltpond.decisions.records import Chance
+        from cobaltpond.decisions.records import RandomSource
 
-        self.host, self.chance, self.up = host, Chance(seed), []
+        self.host, self.chance, self.up = host, RandomSource(seed), []
 
     def on_list(self, now, whole, rows):
         self.up = [row["id"] for row in rows if row["state"] == "up"] if whole else self.up
 
     def on_hit(self, now, hit, group, customer, key, left, cost, again):
-        self.host.forward(hit, self.up[self.chance.below(len(self.up))], left, None)
+        self.host.send_forward(hit, self.up[self.chance.randbelow(len(self.up))], left, None)
 
     def on_outcome(self, now, hit, forward, ending, took, closed, report):
         if not closed:
-            self.host.error(hit)
+            self.host.fail_hit(hit)
 
     def __getattr__(self, name):
         return lambda *arguments: None
@@ -84,7 +84,7 @@
 
 def list_and_desk(list_port, desk_port, ports):
     from cobaltpond.loop import EpollKernel, Loop, Sleep
-    from cobaltpond.rpc import Stream, service
+    from cobaltpond.rpc import ResponseStream, serve_rpc
 
     loop = Loop(EpollKernel())
     rows = [
@@ -103,8 +103,8 @@
 
     def answer(one):
         def handle(request):
-            stream = Stream()
-            stream.put(one)
+            stream = ResponseStream()
+            stream.send_object(one)
             return stream
 
         return handle
@@ -112,7 +112,7 @@
     told = {"epoch": "e", "revision": 1, "base": None, "rows": rows}
     news = {"news": {"build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age_us": 0}}
     for port, one in ((list_port, told), (desk_port, news)):
-        loop.spawn(service(loop, loop.kernel.listen(("127.0.0.1", port)), answer(one), "x"), "x")
+        loop.spawn(serve_rpc(loop, loop.kernel.listen(("127.0.0.1", port)), answer(one), "x"), "x")
 
     def forever():
         while True:
@@ -256,9 +256,9 @@
         from cobaltpond.cli.main import logger
         from cobaltpond.gateway.main import run_gateway
         from cobaltpond.loop import EpollKernel
-        from cobaltpond.settings import read_sheet
+        from cobaltpond.settings import read_settings
 
-        sheet = read_sheet(sys.argv[2], open(sys.argv[2]).read())
+        sheet = read_settings(sys.argv[2], open(sys.argv[2]).read())
         return run_gateway(
             EpollKernel(), sheet, 0, logger("bench"), RandomChoice if sys.argv[3] == "random" else None
         )
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -17,10 +17,17 @@
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 from relay import INSTANCES, SHEET, cpu, free, start, wait_for  # noqa: E402
 
-from cobaltpond.loop import Connection, EpollKernel, Loop, PeerLost, Sleep, dial  # noqa: E402, F401
+from cobaltpond.loop import (  # noqa: E402, F401
+    Connection,
+    ConnectionLostError,
+    EpollKernel,
+    Loop,
+    Sleep,
+    dial,
+)
 from cobaltpond.wire import http1  # noqa: E402
 
-LIMITS = http1.Limits()
+LIMITS = http1.MessageLimits()
 
 
 class Soak:
@@ -44,7 +51,7 @@
                     if kind == "end":
                         self.took.append(self.loop.kernel.now() - began)
                         return
-        except (PeerLost, http1.BadMessage):
+        except (ConnectionLostError, http1.HttpMessageError):
             self.lost += 1
 
     def run(self):
--- a/bench/town.py
+++ b/bench/town.py
@@ -15,24 +15,35 @@
 import tempfile
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-from cobaltpond.loop import Deadline, EpollKernel, Loop, PeerLost, Sleep, TimedOut, dial  # noqa: E402
-from cobaltpond.loop.random_source import seeded  # noqa: E402
-from cobaltpond.standins.host_cluster import SECOND, Town  # noqa: E402
+from cobaltpond.loop import (  # noqa: E402
+    ConnectionLostError,
+    Deadline,
+    DeadlineExceededError,
+    EpollKernel,
+    Loop,
+    Sleep,
+    dial,
+)
+from cobaltpond.loop.random_source import seeded_random  # noqa: E402
+from cobaltpond.standins.host_cluster import SECOND, HostCluster  # noqa: E402
 from cobaltpond.wire import http1  # noqa: E402
 
 FINE = lambda status, answer: status in (202, 409)  # noqa: E731
 
 
 def kills(loop, words):
-    chance, done = seeded(words.seed), {"kills": 0, "releases": 0, "back": 0, "repeats": 0, "orphans": 0}
-    town = Town(loop, tempfile.mkdtemp(prefix="cobaltpond-town-"), words.hosts, words.layout)
+    chance, done = (
+        seeded_random(words.seed),
+        {"kills": 0, "releases": 0, "back": 0, "repeats": 0, "orphans": 0},
+    )
+    town = HostCluster(loop, tempfile.mkdtemp(prefix="cobaltpond-town-"), words.hosts, words.layout)
     going = [True]
 
     def killer():
         while going[0]:
             yield Sleep(chance.randrange(20_000, 500_000))
             name = "desk" if chance.random() < 0.35 else chance.choice(town.places)
-            town.kill(name)
+            town.kill_process(name)
             done["kills"] += 1
             yield Sleep(chance.randrange(0, 150_000))
             town.start(name)
@@ -40,46 +51,46 @@
     def watch():
         """No build twice in one place, whatever happens."""
         while True:
-            running = town.running()
+            running = town.running_builds()
             done["repeats"] += len(running) - len(set(running))
             yield Sleep(100_000)
 
     try:
-        town.add_build(1)
+        town.publish_build(1)
         town.start_all()
-        yield from town.insist("POST", "/v1/builds", {"build": 1}, good=FINE)
-        yield from town.until(lambda: town.exactly(1))
+        yield from town.call_until_answered("POST", "/v1/builds", {"build": 1}, good=FINE)
+        yield from town.wait_until(lambda: town.runs_only(1))
         loop.spawn(watch(), "watch")
         earlier, build = 1, 1
         while done["kills"] < words.kills:
             build += 1
             flaw = chance.choice(["good", "good", "crash", "stubborn", "exit"])
-            town.add_build(build, flaw, size=100_000)
+            town.publish_build(build, flaw, size=100_000)
             going[0] = True
             loop.spawn(killer(), "killer")
-            yield from town.insist("POST", "/v1/builds", {"build": build}, good=FINE)
+            yield from town.call_until_answered("POST", "/v1/builds", {"build": build}, good=FINE)
             yield Sleep(chance.randrange(0, 2_500_000))
             back = flaw in ("crash", "exit") or chance.random() < 0.4
             if not back:
                 try:
-                    yield from town.push(build, 12 * SECOND)
+                    yield from town.promote(build, 12 * SECOND)
                 except TimeoutError:
                     back = True
             if back:
-                yield from town.vote(build, 0, "back")
+                yield from town.cast_vote(build, 0, "back")
             going[0] = False
             yield Sleep(900_000)  # the last one killed is up again
-            status = yield from town.insist("GET", "/v1/status")
+            status = yield from town.call_until_answered("GET", "/v1/status")
             news = status["news"]
             if news["phase"] == "trial" or back and news["phase"] == "released":
-                yield from town.vote(build, news["stage"], "back")
-                status = yield from town.insist("GET", "/v1/status")
+                yield from town.cast_vote(build, news["stage"], "back")
+                status = yield from town.call_until_answered("GET", "/v1/status")
                 news = status["news"]
             end = earlier if news["phase"] in ("going back", "withdrawn") else build
-            yield from town.until(lambda end=end: town.exactly(end), 40 * SECOND)
+            yield from town.wait_until(lambda end=end: town.runs_only(end), 40 * SECOND)
             done["releases" if end == build else "back"] += 1
             earlier = end
-        done["orphans"] = len(town.running()) - len(town.places)
+        done["orphans"] = len(town.running_builds()) - len(town.places)
         print(f"{words.hosts} hosts, {words.layout}: {done}", flush=True)
     finally:
         town.close()
@@ -94,7 +105,7 @@
                 if connection is None:
                     connection = yield from dial(loop, door, SECOND)
                 yield from connection.write(b"GET /x HTTP/1.1\r\nhost: t\r\n\r\n")
-                parser, head = http1.ResponseParser(http1.Limits()), None
+                parser, head = http1.ResponseParser(http1.MessageLimits()), None
                 while head is None:
                     data = yield from connection.read()
                     for kind, value in parser.feed(data) if data else parser.closed():
@@ -105,7 +116,7 @@
                 if not head.keep_alive:
                     connection.close()
                     connection = None
-        except (PeerLost, TimedOut, http1.BadMessage, Exception):
+        except (ConnectionLostError, DeadlineExceededError, http1.HttpMessageError, Exception):
             if connection is not None:
                 connection.close()
             connection = None
@@ -113,37 +124,41 @@
 
 
 def back(loop, hosts, layout):
-    town = Town(loop, tempfile.mkdtemp(prefix="cobaltpond-town-"), hosts, layout, gateways=2)
+    town = HostCluster(loop, tempfile.mkdtemp(prefix="cobaltpond-town-"), hosts, layout, gateways=2)
     answers, going = [], [True]
     try:
-        town.add_build(1)
+        town.publish_build(1)
         town.start_all()
-        yield from town.insist("POST", "/v1/builds", {"build": 1}, good=FINE)
+        yield from town.call_until_answered("POST", "/v1/builds", {"build": 1}, good=FINE)
         first = loop.now()
-        whole = yield from town.until(lambda: town.exactly(1), 90 * SECOND)
+        whole = yield from town.wait_until(lambda: town.runs_only(1), 90 * SECOND)
         start = whole - first
         for n in range(2):
             town.start(f"gateway-{n}")
         yield Sleep(2 * SECOND)
         for n in range(12):
             loop.spawn(client(loop, town.doors[n % 2], answers, going), "client")
-        town.add_build(2)
-        yield from town.insist("POST", "/v1/builds", {"build": 2}, good=FINE)
+        town.publish_build(2)
+        yield from town.call_until_answered("POST", "/v1/builds", {"build": 2}, good=FINE)
         offered = loop.now()
         while True:
-            status = yield from town.insist("GET", "/v1/status")
+            status = yield from town.call_until_answered("GET", "/v1/status")
             if (status["news"]["stage"], status["news"]["phase"]) == (1, "trial"):
                 break
-            yield from town.vote(2, status["news"]["stage"], "on")
+            yield from town.cast_vote(2, status["news"]["stage"], "on")
             yield Sleep(30_000)
-        yield from town.until(lambda: len([b for _, b in town.up() if b == 2]) == hosts, 60 * SECOND)
+        yield from town.wait_until(
+            lambda: len([b for _, b in town.listed_up() if b == 2]) == hosts, 60 * SECOND
+        )
         out = loop.now() - offered
         yield Sleep(SECOND)
         bad = {row["id"] for row in town.listed.values() if row["build"] == 2}
-        yield from town.vote(2, 1, "back")
+        yield from town.cast_vote(2, 1, "back")
         voted = loop.now()
-        gone = yield from town.until(lambda: not any(b == 2 for _, b in town.running()), 60 * SECOND)
-        full = yield from town.until(lambda: town.exactly(1), 60 * SECOND)
+        gone = yield from town.wait_until(
+            lambda: not any(b == 2 for _, b in town.running_builds()), 60 * SECOND
+        )
+        full = yield from town.wait_until(lambda: town.runs_only(1), 60 * SECOND)
         yield Sleep(SECOND)
         going[0] = False
         last = max([at for at, _, via in answers if via in bad and at >= voted], default=voted)
--- a/cobaltpond/agent/actions.py
+++ b/cobaltpond/agent/actions.py
@@ -2,14 +2,15 @@
 
 import os
 
-from cobaltpond.agent.process import PORTS, Process
-from cobaltpond.agent.process_marks import mark_of
+from cobaltpond.agent.process import PORTS_PER_HOST, Process
+from cobaltpond.agent.process_marks import process_mark
 from cobaltpond.agent.registration import CALL_TIME
-from cobaltpond.builds.fetch import FetchFailed
-from cobaltpond.builds.manifest import MOST_BYTES, Unfit, held_manifest, read_manifest
-from cobaltpond.builds.store import Full, Rotten
-from cobaltpond.loop import Deadline, Sleep, TimedOut, Unreachable
-from cobaltpond.rpc import FAILED, call
+from cobaltpond.builds.fetch import FetchError
+from cobaltpond.builds.manifest import MAX_MANIFEST_BYTES, ManifestError, read_manifest, read_stored_manifest
+from cobaltpond.builds.store import CorruptChunkError, StoreFullError
+from cobaltpond.loop import Deadline, DeadlineExceededError, Sleep, UnreachableError
+from cobaltpond.loop.errors import error_name
+from cobaltpond.rpc import CALL_ERRORS, call
 
 LOOK = 40_000  # how often processes are looked at
 OUTPUT = 1 << 20  # bytes kept of what an instance prints
@@ -23,7 +24,7 @@
     def event(self, build, event, why=""):
         slot = self.place.slots.get(build)
         before = slot.state if slot else "none"
-        actions = self.place.event(build, event, why)
+        actions = self.place.handle_event(build, event, why)
         after = self.place.slots[build].state if build in self.place.slots else "absent"
         if after != before:
             self.log.info("build", build=build, after=event, state=after, why=why)
@@ -62,17 +63,17 @@
             if build in self.store.builds():
                 self.remember(build)
             else:
-                signed = yield from self.fetcher.manifest(build, MOST_BYTES)
-                now = self.loop.kernel.wall() // 1_000_000
+                signed = yield from self.fetcher.fetch_manifest(build, MAX_MANIFEST_BYTES)
+                now = self.loop.kernel.wall_clock() // 1_000_000
                 manifest = read_manifest(
-                    signed, self.ring, now, ordered=build, most_size=self.sheet.builds.most
+                    signed, self.ring, now, ordered=build, most_size=self.settings.builds.most
                 )
                 self.manifests[build] = manifest, signed
-                yield from self.fetcher.fetch(manifest)
+                yield from self.fetcher.fetch_chunks(manifest)
         except Exception as trouble:  # whatever it is, the build is not here, and that must show
-            if not isinstance(trouble, FetchFailed | Unfit | Full):
+            if not isinstance(trouble, FetchError | ManifestError | StoreFullError):
                 self.log.error("fetch failed", build=build, exc_info=True)
-            self.event(build, "unfetched", f"{type(trouble).__name__}: {trouble}")
+            self.event(build, "unfetched", f"{error_name(trouble)}: {trouble}")
             return
         self.event(build, "fetched")
 
@@ -83,11 +84,11 @@
             manifest, signed = self.manifests[build]
             try:
                 self.store.assemble(manifest, signed)
-                if not self.store.sound(manifest):
+                if not self.store.is_intact(manifest):
                     self.store.discard(build)
-                    raise Rotten("its tree does not hold what the manifest says")
-            except (Rotten, Full) as trouble:
-                self.event(build, "unsound", f"{type(trouble).__name__}: {trouble}")
+                    raise CorruptChunkError("its tree does not hold what the manifest says")
+            except (CorruptChunkError, StoreFullError) as trouble:
+                self.event(build, "unsound", f"{error_name(trouble)}: {trouble}")
                 return
             self.event(build, "checked")
             yield from ()
@@ -99,19 +100,21 @@
         carries."""
         manifest, _ = self.manifests.get(build) or self.remember(build)
         taken = {p.port for p in self.processes.values()}
-        for _ in range(PORTS):
-            self.port = (self.port + 1) % PORTS
+        for _ in range(PORTS_PER_HOST):
+            self.port = (self.port + 1) % PORTS_PER_HOST
             if self.host.ports + self.port not in taken:
                 break
         port = self.host.ports + self.port
-        process = Process(build, mark_of(self.loop.kernel.seed(), self.host.folder, build, port), port)
+        process = Process(
+            build, process_mark(self.loop.kernel.random_seed(), self.host.folder, build, port), port
+        )
         self.note({"begun": {"build": build, "mark": process.mark, "port": process.port}})
         told = {"{port}": str(process.port), "{id}": self.name_of(process), "{mark}": process.mark}
         words = [told.get(word, word) for word in manifest.entry]
         argv = [os.path.join(self.store.tree(build), words[0]), *words[1:]]
         try:
             process.child = self.loop.kernel.spawn(argv, self.path(f"output-{build}"), process.mark)
-        except Unreachable as trouble:
+        except UnreachableError as trouble:
             self.after(build, 0, "exited")
             self.log.warning("not started", build=build, why=str(trouble))
             return
@@ -121,7 +124,7 @@
 
     def remember(self, build):
         signed = self.store.manifest(build)
-        self.manifests[build] = held_manifest(signed), signed
+        self.manifests[build] = read_stored_manifest(signed), signed
         return self.manifests[build]
 
     def do_probe(self, build):
@@ -129,7 +132,7 @@
         manifest, _ = self.manifests.get(build) or self.remember(build)
 
         def probe():
-            end = self.loop.now() + self.sheet.builds.ready_time
+            end = self.loop.now() + self.settings.builds.ready_time
             while self.loop.now() < end:
                 try:
                     with Deadline(self.loop, CALL_TIME):
@@ -143,7 +146,7 @@
                         )
                     if status == 200:
                         return self.event(build, "ready")
-                except (*FAILED, TimedOut):
+                except (*CALL_ERRORS, DeadlineExceededError):
                     pass
                 yield Sleep(LOOK)
             self.event(build, "late", "not ready in time")
@@ -163,7 +166,7 @@
                     self.tell_list(build, process, "gone")
                     self.event(build, "exited", f"ended with {code}")
                 path = self.path(f"output-{build}")
-                if (self.loop.kernel.size(path) or 0) > OUTPUT:
+                if (self.loop.kernel.file_size(path) or 0) > OUTPUT:
                     self.loop.kernel.truncate(path, 0)
 
     def signal(self, build, name):
@@ -184,13 +187,13 @@
         """The drain begins when the list has heard of it, see `tell_list`: guards against an instance that is
         ended before any gateway can know. A list that stays out of reach does not hold a take-back for
         ever."""
-        self.after(build, self.sheet.release.drain_time + LIST_PATIENCE, "drained")
+        self.after(build, self.settings.release.drain_time + LIST_PATIENCE, "drained")
 
     def do_wait_overdue(self, build):
-        self.after(build, self.sheet.builds.stop_time, "overdue")
+        self.after(build, self.settings.builds.stop_time, "overdue")
 
     def do_wait_steady(self, build):
         self.after(build, STEADY, "steady")
 
     def do_wait_rested(self, build):
-        self.after(build, self.place.slots[build].rest(), "rested")
+        self.after(build, self.place.slots[build].restart_delay(), "rested")
--- a/cobaltpond/agent/process.py
+++ b/cobaltpond/agent/process.py
@@ -1,6 +1,6 @@
 """One instance process of a host, as the agent knows it."""
 
-PORTS = 8
+PORTS_PER_HOST = 8
 
 
 class Process:
--- a/cobaltpond/agent/registration.py
+++ b/cobaltpond/agent/registration.py
@@ -3,14 +3,14 @@
 import json
 
 from cobaltpond.agent.states import DRAINING
-from cobaltpond.loop import Deadline, Sleep, TimedOut
-from cobaltpond.rpc import FAILED, Backoff, call
+from cobaltpond.loop import Deadline, DeadlineExceededError, Sleep
+from cobaltpond.rpc import CALL_ERRORS, Backoff, call
 from cobaltpond.settings.sections import split_address
 
 CALL_TIME = 1_000_000
 
 
-class Listing:
+class InstanceRegistration:
     def name_of(self, process):
         """The id under which the list shows it."""
         return f"{self.host.place}.{process.port - self.host.ports}"
@@ -49,13 +49,13 @@
 
         def tell():
             """Until it is heard: what the list says must come true."""
-            waits = Backoff(50_000, 1_000_000, self.loop.kernel.seed())
+            waits = Backoff(50_000, 1_000_000, self.loop.kernel.random_seed())
             while True:
                 try:
                     with Deadline(self.loop, CALL_TIME):
                         status, _ = yield from call(
                             self.loop,
-                            split_address(self.sheet.listing.address),
+                            split_address(self.settings.listing.address),
                             "POST",
                             "/v1/instances",
                             json.dumps(row).encode(),
@@ -64,10 +64,10 @@
                     if status == 200:
                         slot = self.place.slots.get(build)
                         if state == "draining" and slot is not None and slot.state == DRAINING:
-                            self.after(build, self.sheet.release.drain_time, "drained")
+                            self.after(build, self.settings.release.drain_time, "drained")
                         return
-                except (*FAILED, TimedOut):
+                except (*CALL_ERRORS, DeadlineExceededError):
                     pass
-                yield Sleep(waits.next())
+                yield Sleep(waits.next_delay())
 
         self.task(process.mark, "list", tell())
--- a/cobaltpond/agent/states.py
+++ b/cobaltpond/agent/states.py
@@ -18,9 +18,9 @@
     "failed",
 )
 STATES = (ABSENT, FETCHING, CHECKING, HELD, STARTING, UP, DRAINING, STOPPING, RESTING, FAILED)
-WISHES = ("run", "keep", "gone")
+DESIRED_STATES = ("run", "keep", "gone")
 EVENTS = (
-    *WISHES,
+    *DESIRED_STATES,
     "fetched",
     "unfetched",
     "checked",
@@ -33,7 +33,7 @@
     "rested",
     "steady",
 )
-MOST_CRASHES = 4  # in a row, before it counts as failed
+MAX_CRASHES = 4  # in a row, before it counts as failed
 FIRST_REST, MOST_REST = 250_000, 4_000_000  # microseconds; doubles
 
 # state: event -> (next state, actions). "?" is where the wish leads: see `aim`. What is not named is ignored.
@@ -67,24 +67,24 @@
 }
 
 
-def aim(wish: str) -> tuple:
+def next_from_idle(wish: str) -> tuple:
     """From a state in which the build is whole and no process runs."""
     return {"run": (STARTING, "start"), "keep": (HELD,), "gone": (ABSENT,)}[wish]
 
 
-class Slot:
+class BuildSlot:
     """One build in one place. `on` gives the actions of an event."""
 
     def __init__(self, build: int):
-        self.build, self.state, self.wish, self.crashes, self.why = build, ABSENT, "gone", 0, ""
+        self.build, self.state, self.desired, self.crashes, self.why = build, ABSENT, "gone", 0, ""
 
-    def on(self, event: str, why: str = "") -> list[str]:
+    def handle_event(self, event: str, why: str = "") -> list[str]:
         if event not in EVENTS:
             raise ValueError(f"no event {event!r}")
-        if event in WISHES:
-            if event == "run" and self.wish != "run" or self.state == FAILED:
+        if event in DESIRED_STATES:
+            if event == "run" and self.desired != "run" or self.state == FAILED:
                 self.crashes = 0  # a new order is a new beginning
-            self.wish = event
+            self.desired = event
         row = TABLE[self.state].get(event)
         if row is None:
             return []
@@ -99,61 +99,63 @@
             self.crashes += 1
         if to == "crash":
             self.crashes += 1
-            to = FAILED if self.crashes >= MOST_CRASHES else RESTING
+            to = FAILED if self.crashes >= MAX_CRASHES else RESTING
             actions += ["wait rested"] if to == RESTING else []
         elif to == "?":
-            if self.wish == "run" and self.crashes >= MOST_CRASHES:
+            if self.desired == "run" and self.crashes >= MAX_CRASHES:
                 to = FAILED
-            elif self.wish == "run" and self.state == STOPPING and self.crashes:
+            elif self.desired == "run" and self.state == STOPPING and self.crashes:
                 to, actions = RESTING, [*actions, "wait rested"]
             else:
-                to, *more = aim(self.wish)
+                to, *more = next_from_idle(self.desired)
                 actions = [*actions, *more]
         elif to == UP:
             self.why = ""
         self.state = to
         return actions
 
-    def rest(self) -> int:
+    def restart_delay(self) -> int:
         return min(MOST_REST, FIRST_REST << max(0, self.crashes - 1))
 
-    def adopted(self, listed: bool) -> list[str]:
+    def adopt(self, listed: bool) -> list[str]:
         """After a restart of the agent: its process is found alive. One that has been listed is up, and a
         drain is owed to it: taken for one that starts, it was killed without one, before its successor was
         there (found by `tests/test_together.py`). What is wished now decides, through the ordinary events."""
         self.state = UP if listed else STARTING
-        return (["list up", "wait steady"] if listed and self.wish == "run" else []) + self.on(self.wish)
+        return (["list up", "wait steady"] if listed and self.desired == "run" else []) + self.handle_event(
+            self.desired
+        )
 
 
-class Place:
+class BuildSlots:
     """All builds of one place, and the generation of the order that is followed."""
 
     def __init__(self):
         self.generation, self.slots = -1, {}
 
-    def order(self, generation: int, wishes: dict[int, str]) -> list[tuple[int, str]]:
+    def apply_order(self, generation: int, wishes: dict[int, str]) -> list[tuple[int, str]]:
         """(build, action) pairs; none for an order that is old or has been heard."""
         if generation <= self.generation:
             return []
         self.generation = generation
         actions = []
         for build in sorted({*self.slots, *wishes}):
-            slot = self.slots.setdefault(build, Slot(build))
-            actions += [(build, action) for action in slot.on(wishes.get(build, "gone"))]
-        self.forget()
+            slot = self.slots.setdefault(build, BuildSlot(build))
+            actions += [(build, action) for action in slot.handle_event(wishes.get(build, "gone"))]
+        self.drop_absent()
         return actions
 
-    def event(self, build: int, event: str, why: str = "") -> list[tuple[int, str]]:
+    def handle_event(self, build: int, event: str, why: str = "") -> list[tuple[int, str]]:
         slot = self.slots.get(build)
-        actions = [(build, action) for action in slot.on(event, why)] if slot else []
-        self.forget()
+        actions = [(build, action) for action in slot.handle_event(event, why)] if slot else []
+        self.drop_absent()
         return actions
 
-    def forget(self) -> None:
-        for build in [b for b, s in self.slots.items() if s.state == ABSENT and s.wish == "gone"]:
+    def drop_absent(self) -> None:
+        for build in [b for b, s in self.slots.items() if s.state == ABSENT and s.desired == "gone"]:
             del self.slots[build]
 
-    def carried_out(self) -> bool:
+    def is_order_complete(self) -> bool:
         """Is all as the last order says?"""
         done = {"run": UP, "keep": HELD, "gone": ABSENT}
-        return all(slot.state == done[slot.wish] for slot in self.slots.values())
+        return all(slot.state == done[slot.desired] for slot in self.slots.values())
--- a/cobaltpond/audit/check.py
+++ b/cobaltpond/audit/check.py
@@ -10,15 +10,15 @@
 
 from cobaltpond.audit.exposure import exposure_kept
 from cobaltpond.audit.findings import RULES, Findings
-from cobaltpond.audit.lives import Lives
+from cobaltpond.audit.lives import ProcessLifetimes
 
 EPS = 50_000  # microseconds; see docs/audit.md
 
 
-def check_all(crowd: list, yard: list, acts: list, sheet: dict, eps: int = EPS) -> Findings:
+def check_rules(crowd: list, yard: list, acts: list, sheet: dict, eps: int = EPS) -> Findings:
     """`sheet`: a runsheet map and under "rules" the figures tip_time, overload_factor and answer_slack.
     `eps`: less where the records' times are exact, see `sim/wire_observer.py`."""
-    found, lives, sheet = Findings(), Lives(acts, eps), {**sheet, "eps": eps}
+    found, lives, sheet = Findings(), ProcessLifetimes(acts, eps), {**sheet, "eps": eps}
     answers = {(e["op"], e["number"]): e for e in crowd if e["kind"] == "answer"}
     arrivals = [e for e in yard if e["kind"] == "arrive" and e["hit"] and e["hit"] != "probe"]
     no_hit_lost(found, lives, crowd, answers, arrivals, sheet)
@@ -37,7 +37,7 @@
         by_hit[e["hit"]].append(e)
     for t in crowd:
         if t["kind"] == "stray":
-            found.check(rule, False, f"a second answer of {t['bytes']} bytes from gateway {t['gateway']}")
+            found.record(rule, False, f"a second answer of {t['bytes']} bytes from gateway {t['gateway']}")
         if t["kind"] != "try":
             continue
         answer, name = (
@@ -46,7 +46,7 @@
         )
         due = t["sent"] + t["left"] + slack
         if answer is None:
-            found.check(
+            found.record(
                 rule, lives.ended_in(t["gateway"], t["sent"], 1 << 62), f"{name}: the record ends without it"
             )
         elif answer["seen"] in ("lost", "late"):
@@ -56,12 +56,12 @@
                 and not any(a["op"] == t["op"] for a in arrivals)
             )
             stalled = answer["seen"] == "late" and lives.stalled_in(t["gateway"], t["sent"], due)
-            found.check(rule, excused or stalled, f"{name}: {answer['seen']}, no answer")
+            found.record(rule, excused or stalled, f"{name}: {answer['seen']}, no answer")
         elif answer["seen"] != "gave up":
             late = answer["from"] > due and not lives.stalled_in(t["gateway"], t["sent"], answer["at"])
-            found.check(rule, not late, f"{name}: {answer['seen']} {answer['from'] - due} us after its time")
+            found.record(rule, not late, f"{name}: {answer['seen']} {answer['from'] - due} us after its time")
             after = [a for a in by_hit.get(answer.get("hit"), ()) if a["since"] > answer["at"] + eps]
-            found.check(rule, not after, f"{name}: forwarded after its answer ({answer['seen']})")
+            found.record(rule, not after, f"{name}: forwarded after its answer ({answer['seen']})")
 
 
 def no_effect_twice(found, lives, crowd, yard, answers, arrivals, sheet):
@@ -72,7 +72,7 @@
         if e["kind"] == "effect":
             effects[e["op"]].append(e)
     for op, rows in effects.items():
-        found.check(
+        found.record(
             rule,
             len(rows) == 1,
             f"hit {op} ({rows[0]['group']}): {len(rows)} effects at "
@@ -92,31 +92,31 @@
         rows.sort(key=lambda e: e["forward"])
         group = groups[rows[0]["group"]]
         risky = [e for e in rows if (hit, e["forward"]) not in refused]
-        found.check(rule, len(rows) <= sheet["most_forwards"], f"hit {hit}: {len(rows)} forwards")
+        found.record(rule, len(rows) <= sheet["most_forwards"], f"hit {hit}: {len(rows)} forwards")
         for before, after in zip(rows, rows[1:], strict=False):
             end = ended.get((hit, before["forward"]))
             both = end is not None and end["from"] > after["at"] + eps and before["since"] and after["since"]
             both = both and not lives.frozen_in(before["instance"], before["at"], end["from"])
-            found.check(rule, not both, f"hit {hit}: two forwards at once")
+            found.record(rule, not both, f"hit {hit}: two forwards at once")
         if group["kind"] != "repeatable" and risky:
             first, later = risky[0], [e for e in rows if e["forward"] > risky[0]["forward"]]
             for e in later:
                 if group["kind"] == "mutating":
-                    found.check(rule, False, f"mutating hit {hit}: sent again after it may have run")
+                    found.record(rule, False, f"mutating hit {hit}: sent again after it may have run")
                 else:
-                    found.check(
+                    found.record(
                         rule,
                         e["since"] <= first["at"] + group["repeat_window"] + eps,
                         f"tagged hit {hit}: sent again after its window",
                     )
                     one, other = (where[x["instance"], x["start"]] for x in (first, e))
                     same = {"all": True, "zone": one[0] == other[0], "cell": one == other}[group["scope"]]
-                    found.check(rule, same, f"tagged hit {hit}: sent again outside its {group['scope']}")
+                    found.record(rule, same, f"tagged hit {hit}: sent again outside its {group['scope']}")
         harmless = group["kind"] == "repeatable" or group["kind"] == "tagged" and group["scope"] == "all"
         answer = answered.get(hit)
         if answer is not None and not harmless:
             before = [e for e in risky if e["at"] <= answer["at"]]
-            found.check(
+            found.record(
                 rule, not (answer.get("promise") and before), f"hit {hit}: bounced after it may have run"
             )
 
@@ -135,7 +135,7 @@
         if e["kind"] != "list":
             continue
         number = int(e["gateway"])
-        at = e["at"] if e.get("exact") else lives.heard(number, e["at"])
+        at = e["at"] if e.get("exact") else lives.read_time(number, e["at"])
         life = lives.life(number, e["at"])
         listed = known[number, life]
         rows = {row["id"]: row for row in e["rows"]}
@@ -163,7 +163,7 @@
             for at, up in spans
             if e["since"] > at + grace + eps and (up is None or e["at"] < up - eps)
         ]
-        found.check(
+        found.record(
             rule,
             not late,
             f"hit {e['hit']}: sent to {e['instance']} {max(late, default=0)} us after "
@@ -179,7 +179,7 @@
         if e["kind"] == "arrive":
             work[e["instance"], e["start"]].append(e)
         if e["kind"] == "fell":
-            found.check(rule, False, f"{e['instance']} fell over at {e['at']}")
+            found.record(rule, False, f"{e['instance']} fell over at {e['at']}")
     for name, up in ups.items():
         began = up.get("began", up["start"])
         rows = [e for e in work[name] if e["at"] - began < up["cold_time"]]
@@ -190,4 +190,4 @@
             warmth = up["cold_share"] + (1 - up["cold_share"]) * min(1.0, age / up["cold_time"])
             bearable = factor * up["cores"] * up["speed"] * warmth * min(tip, max(1, age))
             worst = max(worst, (sum(window) - 2 * max(window)) / bearable)
-        found.check(rule, worst <= 1.1, f"{name[0]}: sent {worst:.2f} times what a cold instance bears")
+        found.record(rule, worst <= 1.1, f"{name[0]}: sent {worst:.2f} times what a cold instance bears")
--- a/cobaltpond/audit/exposure.py
+++ b/cobaltpond/audit/exposure.py
@@ -15,21 +15,21 @@
     return rows
 
 
-class Caps:
+class CapHistory:
     """What one start of a gateway was told: news by time."""
 
     def __init__(self, rows, sheet):
-        self.rows, self.sheet, self.eps = sorted(rows, key=lambda r: r[0]), sheet, sheet["eps"]
+        self.rows, self.settings, self.eps = sorted(rows, key=lambda r: r[0]), sheet, sheet["eps"]
         self.times = [r[0] for r in self.rows]
         self.grace = sheet["drain_grace"]
 
-    def told(self, at):
+    def state_at(self, at):
         n = bisect_right(self.times, at)
         return self.rows[n - 1] if n else None
 
     def cap(self, build, news):
         """None where the build is not on trial for who was told this."""
-        first = (self.sheet.get("stage_caps") or [0.0])[0]
+        first = (self.settings.get("stage_caps") or [0.0])[0]
         if news is None or build > news[1]:
             return first
         return news[4] if build == news[1] and news[3] != "released" else None
@@ -37,13 +37,13 @@
     def allowed(self, build, since, at):
         """The highest cap that can have held between the two times, and from when forwards count; None: no
         cap."""
-        caps = [self.cap(build, self.told(since - self.eps))]
+        caps = [self.cap(build, self.state_at(since - self.eps))]
         caps += [
             self.cap(build, row)
             for row in self.rows
             if since - self.eps - self.grace - self.eps <= row[0] <= at
         ]
-        caps.append(self.cap(build, self.told(since - self.eps - self.grace - self.eps)))
+        caps.append(self.cap(build, self.state_at(since - self.eps - self.grace - self.eps)))
         if None in caps:
             return None, 0
         lowered = 0
@@ -64,7 +64,7 @@
     news, tries, sent, kept = defaultdict(list), defaultdict(list), defaultdict(list), {}
     for number, rows in by_gateway(yard, "news").items():
         for e in rows:
-            at = e["at"] if e.get("exact") else lives.heard(number, e["at"])
+            at = e["at"] if e.get("exact") else lives.read_time(number, e["at"])
             news[number, lives.life(number, e["at"])].append(
                 (at, e["build"], e["stage"], e["phase"], e["cap"])
             )
@@ -78,7 +78,7 @@
         life = lives.life(int(e["gateway"]), e["at"])
         sent[int(e["gateway"]), life, e["build"], e["group"] if by_group else "all"].append(e)
     for (number, life, build, ledger), rows in sent.items():
-        caps, (shortest, longest) = Caps(news[number, life], sheet), lives.window(number, window)
+        caps, (shortest, longest) = CapHistory(news[number, life], sheet), lives.window(number, window)
         rows.sort(key=lambda e: e["at"])
         order, taken = sorted(rows, key=lambda e: e["since"]), tries[number, life, ledger]
         sinces, latest = [e["since"] for e in order], list(accumulate((e["at"] for e in order), max))
@@ -99,17 +99,17 @@
                 )
                 if count <= free + cap * room + 1e-9:
                     break
-            found.check(
+            found.record(
                 rule,
                 count <= free + cap * room + 1e-9,
                 f"gateway {number}: {count} forwards to build {build} on trial, "
                 f"{free:g} + {cap:.2f} x {room} allowed at {e['at']}",
             )
-            told = caps.told(e["at"])
+            told = caps.state_at(e["at"])
             stage = told[2] if told and told[1] == build else 0
             shielded = stage < sheet.get("shielded_stages", 0) and kinds[e["group"]] != "repeatable"
-            surely = shielded and caps.told(e["since"] - eps) == told
-            found.check(
+            surely = shielded and caps.state_at(e["since"] - eps) == told
+            found.record(
                 rule, not surely, f"hit {e['hit']}: {kinds[e['group']]}, to build {build} in stage {stage}"
             )
     if sheet.get("keys_stay"):
@@ -132,8 +132,8 @@
     for e in arrivals:
         number = int(e["gateway"])
         life = lives.life(number, e["at"])
-        caps = Caps(news[number, life], sheet)
-        told = {caps.told(e["since"] - eps), caps.told(e["at"])}
+        caps = CapHistory(news[number, life], sheet)
+        told = {caps.state_at(e["since"] - eps), caps.state_at(e["at"])}
         if e.get("key") is None or not e["since"] or len(told) != 1 or None in told:
             continue
         ((_, build, _, phase, _),) = told
@@ -141,6 +141,6 @@
             b for at, b in kept.get((number, life, e["key"]), []) if at + eps < e["since"] and b == build
         ]
         wrong = answered and phase in ("trial", "released") and e["build"] < build
-        found.check(
+        found.record(
             rule, not wrong, f"hit {e['hit']}: its key was answered by build {build}, sent to {e['build']}"
         )
--- a/cobaltpond/audit/findings.py
+++ b/cobaltpond/audit/findings.py
@@ -8,11 +8,11 @@
         self.checked = dict.fromkeys(RULES, 0)
         self.broken = {rule: [] for rule in RULES}
 
-    def check(self, rule: str, fine: bool, text: str) -> None:
+    def record(self, rule: str, fine: bool, text: str) -> None:
         self.checked[rule] += 1
         if not fine:
             self.broken[rule].append(text)
 
     @property
-    def kept(self) -> bool:
+    def all_kept(self) -> bool:
         return not any(self.broken.values())
--- a/cobaltpond/audit/lives.py
+++ b/cobaltpond/audit/lives.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 
 
-class Lives:
+class ProcessLifetimes:
     """When each gateway ran: `acts` of the day: started, killed, told to stop, stood still, went on; and how
     fast its clock did."""
 
@@ -47,7 +47,7 @@
         place = instance.partition(".")[0]
         return any(part == place and a <= until and since <= b for part, a, b in self.frozen)
 
-    def heard(self, number, at) -> int:
+    def read_time(self, number, at) -> int:
         """When what came at `at` was read: after a stand-still."""
         return max([at, *(b for a, b in self.stalls[number] if a <= at <= b)])
 
--- a/cobaltpond/benchlink/adapter.py
+++ b/cobaltpond/benchlink/adapter.py
@@ -3,7 +3,7 @@
 import base64
 import json
 
-from cobaltpond.benchlink.policy_settings import micros, runsheet
+from cobaltpond.benchlink.policy_settings import micros, policy_settings
 from cobaltpond.decisions.rules import Gateway
 
 ENDINGS = {
@@ -32,49 +32,49 @@
         raise WireError(f"field {name!r} is missing in {dict(self)!r:.120}")
 
 
-class Link:
+class HostAdapter:
     """The host of one gateway: turns its calls into action lines."""
 
     def __init__(self, who: str, out: list):
         self.who, self.out = who, out
         self.gateway: Gateway | None = None
 
-    def put(self, name: str, **fields) -> None:
+    def emit(self, name: str, **fields) -> None:
         self.out.append(json.dumps({name: {"who": self.who, **fields}}, separators=(",", ":")))
 
-    def forward(self, hit, instance, time_out, send_within):
+    def send_forward(self, hit, instance, time_out, send_within):
         """The wire has no word for `send_within`: what is sent again there is sent as it is decided."""
-        self.put("RELAY", txn=hit, instance=instance, patience=time_out / 1000)
+        self.emit("RELAY", txn=hit, instance=instance, patience=time_out / 1000)
 
-    def cancel(self, hit, forward):
-        self.put("DROP_ATTEMPT", txn=hit, hop=forward)
+    def cancel_forward(self, hit, forward):
+        self.emit("DROP_ATTEMPT", txn=hit, hop=forward)
 
-    def bounce(self, hit, retry_after):
-        self.put("BOUNCE", txn=hit, retryAfter=retry_after / 1000)
+    def reject_hit(self, hit, retry_after):
+        self.emit("BOUNCE", txn=hit, retryAfter=retry_after / 1000)
 
-    def error(self, hit):
-        self.put("GIVE_UP", txn=hit)
+    def fail_hit(self, hit):
+        self.emit("GIVE_UP", txn=hit)
 
-    def wake(self, token, delay):
-        self.put("AFTER", keyBack=token, wait=delay / 1000)
+    def schedule_wakeup(self, token, delay):
+        self.emit("AFTER", keyBack=token, wait=delay / 1000)
 
-    def probe(self, instance):
-        self.put("TEST", instance=instance)
+    def probe_instance(self, instance):
+        self.emit("TEST", instance=instance)
 
-    def vote(self, build, stage, verdict):
-        self.put("SAY_SO", edition=build, tranche=stage, code=VERDICTS[verdict])
+    def cast_vote(self, build, stage, verdict):
+        self.emit("SAY_SO", edition=build, tranche=stage, code=VERDICTS[verdict])
 
     def fetch_list(self):
-        self.put("LIST_ALL")
+        self.emit("LIST_ALL")
 
     def watch_list(self):
-        self.put("TAIL", enable=True)
+        self.emit("TAIL", enable=True)
 
-    def tell(self, peer, data):
-        self.put("ANNOUNCE", addressee=peer, data=base64.b64encode(data).decode())
+    def send_to_peer(self, peer, data):
+        self.emit("ANNOUNCE", addressee=peer, data=base64.b64encode(data).decode())
 
-    def note(self, text):
-        self.put("REMARK", msg=text)
+    def log_note(self, text):
+        self.emit("REMARK", msg=text)
 
 
 def row(entry: dict) -> dict:
@@ -90,7 +90,7 @@
     }
 
 
-def deliver(link: Link, lists: dict, now: int, name: str, e: dict) -> None:
+def deliver(link: HostAdapter, lists: dict, now: int, name: str, e: dict) -> None:
     """One event, field by field, into one call."""
     gateway = link.gateway
     ending = ENDINGS.get(e.get("stateCode"), "error")
@@ -156,7 +156,7 @@
 
 def serve(source, sink) -> None:
     """Batches until the input ends."""
-    links: dict[str, Link] = {}
+    links: dict[str, HostAdapter] = {}
     lists: dict[int, list] = {}
     out: list[str] = []
     now = 0
@@ -175,8 +175,8 @@
         elif name == "LEDGER":
             lists[e["rosterId"]] = [row(entry) for entry in e["rows"]]
         elif name == "ATTACH":
-            link = links[e["who"]] = Link(e["who"], out)
-            link.gateway = Gateway(link, now, e["initSeed"], runsheet(e["setup"]))
+            link = links[e["who"]] = HostAdapter(e["who"], out)
+            link.gateway = Gateway(link, now, e["initSeed"], policy_settings(e["setup"]))
         elif name == "TEARDOWN":
             links.pop(e["who"], None)
         elif e["who"] in links:
--- a/cobaltpond/benchlink/policy_settings.py
+++ b/cobaltpond/benchlink/policy_settings.py
@@ -99,7 +99,7 @@
     return found
 
 
-def runsheet(setup: dict) -> dict:
+def policy_settings(setup: dict) -> dict:
     sheet = pick(setup, PLAIN)
     sheet["path_groups"] = [pick(group, GROUP) for group in setup.get("categories") or []]
     sheet["list_by"] = "asking" if setup.get("discovery") == "subscribe" else "push"
--- a/cobaltpond/builds/plan.py
+++ b/cobaltpond/builds/plan.py
@@ -51,7 +51,7 @@
     def done(self) -> bool:
         return not self.todo and not self.out
 
-    def next(self, now: int):
+    def next_step(self, now: int):
         """("get", chunk, source), ("wait", until), ("done",) or ("failed", why). None: wait for what is
         out."""
         if self.failed:
@@ -65,7 +65,7 @@
             able = [s for s in self.sources if s.trusted and s.name not in chunk.denied]
             if not able:
                 self.failed = f"no source left for chunk {chunk.name[:12]}"
-                return self.next(now)
+                return self.next_step(now)
             ready = [s for s in able if s.wait_until <= now]
             if ready:
                 source = min(ready, key=lambda s: (s.wait, s.busy, self.sources.index(s)))
@@ -77,12 +77,12 @@
             soonest = first if soonest is None else min(soonest, first)
         return ("wait", soonest) if not self.out else None
 
-    def got(self, name: str) -> None:
+    def chunk_received(self, name: str) -> None:
         chunk = self.out.pop(name)
         chunk.asked_of.wait = 0
         chunk.asked_of.busy -= 1
 
-    def lost(self, now: int, name: str, how: str, have: int = 0) -> None:
+    def chunk_failed(self, now: int, name: str, how: str, have: int = 0) -> None:
         """`how`: one of FAILED or LIED; `have`: bytes of the chunk that are here and can be gone on from."""
         chunk = self.out.pop(name)
         source = chunk.asked_of
--- a/cobaltpond/builds/store.py
+++ b/cobaltpond/builds/store.py
@@ -10,20 +10,26 @@
 
 import os
 
-from cobaltpond.builds.manifest import Manifest, digest
+from cobaltpond.builds.manifest import Manifest, content_digest
 
 
-class WrongDigest(Exception):
+class DigestMismatchError(Exception):
     """Bytes that are not what their name says."""
 
+    outer_name = "WrongDigest"
 
-class Full(Exception):
+
+class StoreFullError(Exception):
     """No room: the store's own bound, or the disk."""
 
+    outer_name = "Full"
+
 
-class Rotten(Exception):
+class CorruptChunkError(Exception):
     """A chunk that was sound when it came and is no more; it has been removed, to be fetched anew."""
 
+    outer_name = "Rotten"
+
 
 class Store:
     """`most`: bytes that chunks and builds may take together; `spare`: bytes of the disk that are left
@@ -33,7 +39,7 @@
         self.kernel, self.folder, self.most, self.spare = kernel, folder, most, spare
         for name in ("chunks", "builds"):
             kernel.make_folder(self.path(name))
-        self.held = kernel.lock(self.path("lock"))
+        self.lock = kernel.lock_file(self.path("lock"))
         self.chunks, self.used, self.swept = {}, 0, 0
         for short in kernel.list_folder(self.path("chunks")):
             for name in kernel.list_folder(self.path("chunks", short)):
@@ -42,7 +48,7 @@
                     kernel.remove(path)
                     self.swept += 1
                 else:
-                    self.chunks[name] = kernel.size(path)
+                    self.chunks[name] = kernel.file_size(path)
         for name in kernel.list_folder(self.path("builds")):
             if not name.isdigit():
                 kernel.remove(self.path("builds", name))
@@ -64,26 +70,26 @@
     def manifest(self, build: int) -> bytes | None:
         return self.kernel.read_file(self.path("builds", str(build), "manifest"))
 
-    def missing(self, manifest: Manifest) -> dict[str, int]:
+    def missing_chunks(self, manifest: Manifest) -> dict[str, int]:
         """Digest to size of what is still to be fetched; what another build has brought is not fetched
         again."""
         return {name: size for name, size in manifest.chunks().items() if self.chunks.get(name) != size}
 
-    def room_for(self, size: int) -> None:
+    def check_room(self, size: int) -> None:
         """Raises Full."""
         if self.used + size > self.most:
-            raise Full(f"{self.used} of {self.most} bytes are used, {size} more are needed")
+            raise StoreFullError(f"{self.used} of {self.most} bytes are used, {size} more are needed")
         free = self.kernel.free_space(self.folder)
         if free < size + self.spare:
-            raise Full(f"{free} bytes are free on the disk, {size} more are needed")
+            raise StoreFullError(f"{free} bytes are free on the disk, {size} more are needed")
 
-    def put(self, name: str, data: bytes) -> None:
+    def put_chunk(self, name: str, data: bytes) -> None:
         """Raises WrongDigest or Full; then nothing of it is there."""
-        if digest(data) != name:
-            raise WrongDigest(f"{len(data)} bytes are not {name[:12]}")
+        if content_digest(data) != name:
+            raise DigestMismatchError(f"{len(data)} bytes are not {name[:12]}")
         if name in self.chunks:
             return
-        self.room_for(len(data))
+        self.check_room(len(data))
         path, folder = self.chunk_path(name), self.path("chunks", name[:2])
         try:
             if not self.kernel.list_folder(folder):
@@ -94,17 +100,17 @@
             self.kernel.sync_folder(folder)
         except OSError as trouble:  # a disk that fills up between the look and the write
             self.kernel.remove(path + ".new")
-            raise Full(str(trouble)) from trouble
+            raise StoreFullError(str(trouble)) from trouble
         self.chunks[name] = len(data)
         self.used += len(data)
 
-    def read(self, name: str) -> bytes:
+    def read_chunk(self, name: str) -> bytes:
         """A chunk, checked. Raises Rotten."""
         data = self.kernel.read_file(self.chunk_path(name))
-        if data is None or digest(data) != name:
+        if data is None or content_digest(data) != name:
             self.kernel.remove(self.chunk_path(name))
             self.used -= self.chunks.pop(name, 0)
-            raise Rotten(f"chunk {name[:12]}")
+            raise CorruptChunkError(f"chunk {name[:12]}")
         return data
 
     def assemble(self, manifest: Manifest, signed: bytes) -> str:
@@ -112,7 +118,7 @@
         place = self.path("builds", str(manifest.build))
         if manifest.build in self.builds():
             return self.tree(manifest.build)
-        self.room_for(manifest.size)
+        self.check_room(manifest.size)
         new, kernel = place + ".new", self.kernel
         kernel.remove(new)
         try:
@@ -125,7 +131,7 @@
             for folder in sorted(folders):
                 kernel.make_folder(folder)
             for file in manifest.files:
-                data = b"".join(self.read(name) for name in file.chunks)
+                data = b"".join(self.read_chunk(name) for name in file.chunks)
                 kernel.write_file(os.path.join(new, "tree", file.path), data, file.mode)
             kernel.write_file(os.path.join(new, "manifest"), signed)
             for folder in sorted(folders, reverse=True):
@@ -135,17 +141,17 @@
             kernel.sync_folder(self.path("builds"))
         except OSError as trouble:
             kernel.remove(new)
-            raise Full(str(trouble)) from trouble
+            raise StoreFullError(str(trouble)) from trouble
         return self.tree(manifest.build)
 
-    def sound(self, manifest: Manifest) -> bool:
+    def is_intact(self, manifest: Manifest) -> bool:
         """Does the tree on disk still hold what the manifest says?"""
         for file in manifest.files:
             data = self.kernel.read_file(os.path.join(self.tree(manifest.build), file.path))
             if data is None or len(data) != file.size:
                 return False
             pieces = [data[n : n + manifest.chunk] for n in range(0, len(data), manifest.chunk)]
-            if [digest(piece) for piece in pieces] != file.chunks:
+            if [content_digest(piece) for piece in pieces] != file.chunks:
                 return False
         return True
 
@@ -163,7 +169,7 @@
         gone = [
             build
             for build in self.builds()
-            if build not in keep and self.kernel.age(self.path("builds", str(build), "manifest")) >= age
+            if build not in keep and self.kernel.file_age(self.path("builds", str(build), "manifest")) >= age
         ]
         for build in gone:
             self.discard(build)
@@ -176,7 +182,7 @@
         return gone
 
     def close(self) -> None:
-        self.held.close()
+        self.lock.close()
 
 
 def chunk_names(signed: bytes) -> set[str]:
--- a/cobaltpond/cli/main.py
+++ b/cobaltpond/cli/main.py
@@ -9,9 +9,9 @@
 import structlog
 
 from cobaltpond.cli.sim import sim
-from cobaltpond.loop import Deadline, EpollKernel, Loop, Sleep, TimedOut, run_part
-from cobaltpond.loop.clock import utc
-from cobaltpond.settings import BadSheet, read_sheet
+from cobaltpond.loop import Deadline, DeadlineExceededError, EpollKernel, Loop, Sleep, run_component
+from cobaltpond.loop.clock import format_utc
+from cobaltpond.settings import SettingsError, read_settings
 from cobaltpond.settings.sections import split_address
 
 
@@ -33,8 +33,8 @@
 def sheet_of(path: str):
     try:
         with open(path, encoding="utf-8") as file:
-            return read_sheet(path, file.read())
-    except BadSheet as trouble:
+            return read_settings(path, file.read())
+    except SettingsError as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(2)
 
@@ -109,7 +109,7 @@
 
 def ask(file, method, target, body=None, raw=b""):
     """One call to the desk of a sheet; `body` goes as JSON, `raw` as it is."""
-    from cobaltpond.rpc import FAILED, call
+    from cobaltpond.rpc import CALL_ERRORS, call
 
     sheet, loop = sheet_of(file), Loop(EpollKernel())
 
@@ -128,7 +128,7 @@
 
     try:
         status, text = loop.run(loop.spawn(go(), "ask"))
-    except (*FAILED, TimedOut) as trouble:
+    except (*CALL_ERRORS, DeadlineExceededError) as trouble:
         click.echo(f"no answer from the desk at {sheet.desk.address}: {trouble}", err=True)
         sys.exit(1)
     answer = json.loads(text)
@@ -203,7 +203,8 @@
         click.echo(
             json.dumps(row)
             if as_json
-            else f"{utc(row['at'])}  build {row['build']} stage {row['stage']}: {row['phase']} ({row['why']})"
+            else f"{format_utc(row['at'])}  build {row['build']} stage {row['stage']}: "
+            f"{row['phase']} ({row['why']})"
         )
 
 
@@ -263,29 +264,31 @@
 @click.option("--as-json", is_flag=True, help="Figures as JSON in place of the table.")
 def day(script, bench, seed, keep, as_json):
     """Plays a day over real sockets and checks the five rules. Exit code 0 only if all held."""
-    from cobaltpond.scenario.bench_import import BadDay, from_bench
-    from cobaltpond.scenario.plan import read_day
-    from cobaltpond.scenario.report import figures, table
-    from cobaltpond.scenario.runner import DayRun
-    from cobaltpond.scenario.time_limits import DayFailed
+    from cobaltpond.scenario.bench_import import BenchFileError, import_bench_file
+    from cobaltpond.scenario.plan import read_plan
+    from cobaltpond.scenario.report import compute_figures, format_report
+    from cobaltpond.scenario.runner import ScenarioRun
+    from cobaltpond.scenario.time_limits import ScenarioError
 
     if (script is None) == (bench is None):
         raise click.UsageError("give either a SCRIPT or --from DAY.json")
     try:
         with open(script or bench, encoding="utf-8") as file:
-            plan = read_day(script, file.read(), seed) if script else from_bench(json.load(file), bench)
-    except (BadSheet, BadDay, ValueError) as trouble:
+            plan = (
+                read_plan(script, file.read(), seed) if script else import_bench_file(json.load(file), bench)
+            )
+    except (SettingsError, BenchFileError, ValueError) as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(2)
     folder = keep or tempfile.mkdtemp(prefix="cobaltpond-day-")
     try:
-        result = run_part(
+        result = run_component(
             EpollKernel(),
-            lambda loop: DayRun(loop, plan, folder, lambda text: click.echo(text, err=True)),
+            lambda loop: ScenarioRun(loop, plan, folder, lambda text: click.echo(text, err=True)),
             logger("day"),
             "day",
         )
-    except (DayFailed, BadSheet) as trouble:
+    except (ScenarioError, SettingsError) as trouble:
         click.echo(f"the day failed: {trouble}", err=True)
         sys.exit(1)
     if result is None:
@@ -296,7 +299,7 @@
         click.echo(
             json.dumps(
                 {
-                    **figures(result),
+                    **compute_figures(result),
                     "rules": {
                         rule: {"checked": found.checked[rule], "broken": len(found.broken[rule])}
                         for rule in found.checked
@@ -305,7 +308,7 @@
             )
         )
     else:
-        click.echo(table(result))
+        click.echo(format_report(result))
         click.echo(f"records and logs: {folder}", err=True)
     if result["final"] is not None and not result["final"]["exact"]:
         click.echo(
@@ -313,7 +316,7 @@
             err=True,
         )
         sys.exit(1)
-    sys.exit(0 if result["found"].kept else 1)
+    sys.exit(0 if result["found"].all_kept else 1)
 
 
 main.add_command(sim)
@@ -328,18 +331,18 @@
 @click.argument("plan", type=click.File())
 @click.argument("records", type=click.Path())
 def yard(plan, records):
-    from cobaltpond.standins.instance_fleet import run_yard
+    from cobaltpond.standins.instance_fleet import run_instance_fleet
 
-    run_yard(EpollKernel(), json.load(plan), records, logger("yard"))
+    run_instance_fleet(EpollKernel(), json.load(plan), records, logger("yard"))
 
 
 @standin.command()
 @click.argument("plan", type=click.File())
 @click.argument("port", type=int)
 def builds(plan, port):
-    from cobaltpond.standins.single_instance import run_builds
+    from cobaltpond.standins.single_instance import run_build_server
 
-    run_builds(EpollKernel(), json.load(plan), port, logger("builds"))
+    run_build_server(EpollKernel(), json.load(plan), port, logger("builds"))
 
 
 @standin.command()
@@ -349,15 +352,15 @@
 @click.argument("name")
 @click.argument("mark")
 def solo(plan, build, port, name, mark):
-    from cobaltpond.standins.single_instance import run_solo
+    from cobaltpond.standins.single_instance import run_single_instance
 
-    run_solo(EpollKernel(), json.load(plan), build, port, name, mark, logger(f"solo-{name}"))
+    run_single_instance(EpollKernel(), json.load(plan), build, port, name, mark, logger(f"solo-{name}"))
 
 
 @standin.command()
 @click.argument("plan", type=click.File())
 @click.argument("records", type=click.Path())
 def crowd(plan, records):
-    from cobaltpond.standins.clients import run_crowd
+    from cobaltpond.standins.clients import run_clients
 
-    run_crowd(EpollKernel(), json.load(plan), records, logger("crowd"))
+    run_clients(EpollKernel(), json.load(plan), records, logger("crowd"))
--- a/cobaltpond/cli/members.py
+++ b/cobaltpond/cli/members.py
@@ -2,9 +2,9 @@
 
 import json
 
-from cobaltpond.loop import Deadline, Loop, Sleep, TimedOut
-from cobaltpond.members.compare import compare, lines
-from cobaltpond.rpc import FAILED, call
+from cobaltpond.loop import Deadline, DeadlineExceededError, Loop, Sleep
+from cobaltpond.members.compare import compare_tables, format_comparison
+from cobaltpond.rpc import CALL_ERRORS, call
 from cobaltpond.wire.address import split_address
 
 WAIT = 1_000_000  # for one gateway's answer
@@ -22,7 +22,7 @@
                     loop, split_address(sheet.gateways[number].door), "GET", "/-/members", b"", WAIT
                 )
             tables[number] = json.loads(body) if status == 200 else None
-        except (*FAILED, TimedOut, ValueError):
+        except (*CALL_ERRORS, DeadlineExceededError, ValueError):
             tables[number] = None
 
     def worker():
@@ -41,8 +41,8 @@
     """Exit code: 0 where all that were asked answered and agree, else 1."""
     numbers, last = [at] if at is not None else list(range(len(sheet.gateways))), None
     while True:
-        told = compare(asked(kernel, sheet, numbers))
-        text = json.dumps(told) if as_json else "\n".join(lines(told))
+        told = compare_tables(asked(kernel, sheet, numbers))
+        text = json.dumps(told) if as_json else "\n".join(format_comparison(told))
         marks = (
             [(row["number"], row["state"], sorted(row["otherwise"])) for row in told["members"]],
             told["silent"],
--- a/cobaltpond/cli/sim.py
+++ b/cobaltpond/cli/sim.py
@@ -21,10 +21,10 @@
 
 def scenario_of(what: str, size: str) -> str:
     """The text of a written scenario, or of a seed's."""
-    from cobaltpond.sim.scenarios import draw
+    from cobaltpond.sim.scenarios import draw_scenario
 
     if what.isdigit():
-        return draw(int(what), size)
+        return draw_scenario(int(what), size)
     with open(what, encoding="utf-8") as file:
         return file.read()
 
@@ -42,15 +42,15 @@
 @click.option("--first", is_flag=True, help="Ends at the first seed that finds something.")
 def sim_run(seeds, jobs, size, cover, lean, quiet, first):
     """Draws, plays and checks a scenario for each seed. Exit code 0 only if nothing was found."""
-    from cobaltpond.sim.campaign import Coverage, run_many
+    from cobaltpond.sim.campaign import Coverage, run_seeds
 
     kernel, coverage, bad, simulated, hits, checked = EpollKernel(), Coverage(), 0, 0, 0, 0
     weights, wanted, began = (
-        Coverage.load(lean.read()).lean() if lean else None,
+        Coverage.load(lean.read()).fault_weights() if lean else None,
         seeds_of(seeds),
         kernel.now(),
     )
-    for n, verdict in enumerate(run_many(wanted, size, jobs, weights), 1):
+    for n, verdict in enumerate(run_seeds(wanted, size, jobs, weights), 1):
         coverage.add(verdict)
         simulated, hits, checked = (
             simulated + verdict.simulated,
@@ -69,7 +69,7 @@
         f"{len(wanted)} seeds of size {size}: {bad} with findings; {hits} hits, {checked} checks; "
         f"{simulated / 1e6:.0f} s simulated in {took:.1f} s ({simulated / 1e6 / took:.0f} a second)"
     )
-    never = coverage.never()
+    never = coverage.never_met()
     click.echo(
         f"{len(coverage.met)} pairs of fault and state met, {len(never)} never: "
         + ", ".join(f"{kind}/{state}" for kind, state in never[:12])
@@ -86,7 +86,7 @@
 @click.option("--log", is_flag=True, help="All that the processes logged.")
 def replay(scenario, size, log):
     """Plays SCENARIO (a seed, or a file) again, event for event, and says what it finds."""
-    from cobaltpond.scenario.report import table
+    from cobaltpond.scenario.report import format_report
     from cobaltpond.sim.runner import run_text
 
     text = scenario_of(scenario, size)
@@ -96,7 +96,7 @@
     for at, process, level, event, fields in verdict.lines or []:
         click.echo(f"{(at - begin) / 1e6:10.6f}  {process:<18} {level:<8} {event} {fields}")
     if verdict.result:
-        click.echo(table(verdict.result))
+        click.echo(format_report(verdict.result))
     for text in verdict.found:
         click.echo(f"found: {text}")
     click.echo(f"digest {verdict.digest}, {verdict.events} events, {verdict.simulated / 1e6:.1f} s simulated")
@@ -108,7 +108,7 @@
 @SIZE
 def sim_shrink(scenario, size):
     """The smallest scenario that still breaks what SCENARIO (a seed, or a file) breaks, as a ready test."""
-    from cobaltpond.sim.campaign import as_test, shrink
+    from cobaltpond.sim.campaign import regression_test, shrink
     from cobaltpond.sim.runner import run_text
 
     text = scenario_of(scenario, size)
@@ -118,7 +118,9 @@
         click.echo(str(trouble), err=True)
         sys.exit(2)
     click.echo(
-        as_test(f"scenario_{scenario}" if scenario.isdigit() else "scenario", run_text(least).found, least)
+        regression_test(
+            f"scenario_{scenario}" if scenario.isdigit() else "scenario", run_text(least).found, least
+        )
     )
 
 
--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from statistics import fmean
 
-from cobaltpond.decisions.stats import SECOND, lot
+from cobaltpond.decisions.stats import SECOND, rendezvous_weight
 
 IN_SIGHT = 18  # instances compared for a hit
 # Ratios to figures of the runsheet: to the longest warm-up, to the target latency, to what a rule allows.
@@ -23,15 +23,15 @@
     def fill_cold_budget(self, now):
         """Each hit delivered allows a cold instance a part of one; all parts sum to what it can bear. What is
         not used at once is lost: guards against hundreds of gateways that spend theirs together."""
-        part = self.sheet.get("overload_factor", 1) * COLD_CAUTION / max(1, len(self.fleet.up))
+        part = self.settings.get("overload_factor", 1) * COLD_CAUTION / max(1, len(self.fleet.up))
         for instance in self.fleet.still_cold(now):
             saved = instance.tokens % 1 if self.thin else min(1.0, instance.tokens)
             instance.tokens = saved + part * instance.warmth(now)
 
     def reported(self, instance, inflight):
-        instance.others = max(0.0, inflight - instance.out)  # of other gateways; its mean by zone
-        mean = self.load.get(instance.zone, instance.others)
-        self.load[instance.zone] = mean + (instance.others - mean) * 0.1
+        instance.other_inflight = max(0.0, inflight - instance.out)  # of other gateways; its mean by zone
+        mean = self.load.get(instance.zone, instance.other_inflight)
+        self.load[instance.zone] = mean + (instance.other_inflight - mean) * 0.1
 
     def learn(self, instance, group, ending, took, report, now):
         if ending in ("ok", "error", "full"):
@@ -41,7 +41,7 @@
         if ending == "ok":
             self.fill_cold_budget(now)
             group.usual += (took - group.usual) * (0.05 if group.usual else 1)
-            instance.pace += (took / max(1, group.usual) - instance.pace) * 0.2
+            instance.latency_ratio += (took / max(1, group.usual) - instance.latency_ratio) * 0.2
         if ending in ("cancelled", "moot"):
             return
         lag = took / group.target if ending == "ok" else max(1.0, took / group.target)
@@ -57,10 +57,10 @@
             self.jammed(now - took, now)
         instance.faults += ((ending not in ("ok", "timeout")) - instance.faults) * 0.3  # full: it may drain
         if ending == "ok" and instance.faults < 0.3:
-            instance.bench_time = 0
+            instance.ejection_time = 0
         self.shy += ((ending == "unreachable") - self.shy) * 0.1
         if ending == "unreachable" or instance.faults > 0.5:
-            self.bench(instance, now)
+            self.eject(instance, now)
 
     def jammed(self, sent, now):
         """Something is late. What went out before the last cut says nothing of that cut."""
@@ -74,37 +74,41 @@
         others = [x for name, x in self.blame.items() if name != customer]
         return ending == "error" and bool(others) and share > max(BLAMED, 2 * fmean(others))
 
-    def bench(self, instance, now):
+    def eject(self, instance, now):
         """Out for a while, then one hit at a time: against silent, cut-off and quickly failing instances."""
-        if now >= instance.benched_until:
+        if now >= instance.ejected_until:
             first = int(BENCH_COLD_TIMES * self.cold_time) or SECOND
-            instance.bench_time = min(8 * first, instance.bench_time * 2 or first)
-            instance.benched_until, instance.limit, instance.faults = now + instance.bench_time, 1, 0.4
+            instance.ejection_time = min(8 * first, instance.ejection_time * 2 or first)
+            instance.ejected_until, instance.limit, instance.faults = now + instance.ejection_time, 1, 0.4
 
     def cap_of(self, build):
         """The cap that binds this build now; None where it is not on trial."""
         if build is self.shut:
             return 0.0
         if self.newest is None or build.number > self.newest.number:
-            return (self.sheet.get("stage_caps") or [0.0])[0]
+            return (self.settings.get("stage_caps") or [0.0])[0]
         return self.cap if build is self.newest and self.phase != "released" else None
 
     def exposure_allows(self, build, group, now):
         cap = self.cap_of(build)
         if cap is None:
             return True
-        shielded = (self.stage if build is self.newest else 0) < self.sheet.get("shielded_stages", 0)
+        shielded = (self.stage if build is self.newest else 0) < self.settings.get("shielded_stages", 0)
         if cap <= 0 or shielded and group.kind != "repeatable":
             return False
-        since, name = now - self.sheet["exposure_window"], group.ledger
+        since, name = now - self.settings["exposure_window"], group.ledger
         since = max(since, build.counted_from) if now >= build.counted_from else since
-        sent, taken = build.sent.since(name, since), self.taken.since(name, since + 1)
+        sent, taken = build.sent.count_since(name, since), self.taken.count_since(name, since + 1)
         # nothing is free at first: against hundreds that begin anew, or one that does so every second
-        free = self.sheet.get("exposure_free", 0) if now - self.began >= self.sheet["exposure_window"] else 0
+        free = (
+            self.settings.get("exposure_free", 0)
+            if now - self.began >= self.settings["exposure_window"]
+            else 0
+        )
         return sent + 1 <= free + cap * taken
 
     def fits(self, hit, instance, now):
-        shut = now < instance.benched_until or instance.out >= instance.limit
+        shut = now < instance.ejected_until or instance.out >= instance.limit
         if shut or instance.tokens < 1 and instance.warmth(now) < 1:
             return False
         group, first = hit.group, hit.risky and hit.risky.instance
@@ -117,21 +121,21 @@
             return False
         if barred or not self.exposure_allows(instance.build, group, now):
             return False
-        return not self.sheet.get("paced") or self.host.reaches(instance.id)
+        return not self.settings.get("paced") or self.host.is_reachable(instance.id)
 
     def spares(self, key, build):
         """Where keys stay: may this key be bound to a build on trial? As large a part of them as its cap is,
         the same at all gateways: guards against keys all bound, one by one, to what may serve but a part."""
-        cap = self.cap_of(build) if self.sheet.get("keys_stay") and key is not None else None
-        return cap is None or lot(build.number, key) < cap * 2**48
+        cap = self.cap_of(build) if self.settings.get("keys_stay") and key is not None else None
+        return cap is None or rendezvous_weight(build.number, key) < cap * 2**48
 
     def crowding(self, instance, now):
         """How long a hit would wait there, in hits; another zone counts as fuller by what crossing costs.
         What a report older than the shortest target tells of has ended: the zone's mean stands for it."""
-        lean = self.sheet.get("crossing_price", 0) * 25 * (instance.zone != self.sheet.get("zone"))
+        lean = self.settings.get("crossing_price", 0) * 25 * (instance.zone != self.settings.get("zone"))
         old = now - instance.heard_at > self.shortest
-        load = self.load.get(instance.zone, 0) if old else instance.others
-        pace = min(10.0, instance.pace) if instance.pace > 1.5 else 1.0
+        load = self.load.get(instance.zone, 0) if old else instance.other_inflight
+        pace = min(10.0, instance.latency_ratio) if instance.latency_ratio > 1.5 else 1.0
         if instance.build.condemned:
             lean += CONDEMNED_LEAN
         elif self.cap_of(instance.build) is not None:
@@ -147,10 +151,13 @@
         for id, pace, load, faults, silent in rows:
             instance = self.fleet.by_id.get(id)
             if instance and not instance.heard_at:
-                instance.pace, instance.others = max(instance.pace, pace), max(instance.others, load)
+                instance.latency_ratio, instance.other_inflight = (
+                    max(instance.latency_ratio, pace),
+                    max(instance.other_inflight, load),
+                )
                 instance.faults = max(instance.faults, faults)
                 if silent:
-                    self.bench(instance, now)
+                    self.eject(instance, now)
         newest = self.newest and self.newest.number
         self.kept_keys.update({key: self.newest for key, build in keys if build == newest})
 
--- a/cobaltpond/decisions/judging.py
+++ b/cobaltpond/decisions/judging.py
@@ -10,8 +10,8 @@
 from statistics import NormalDist, median
 
 from cobaltpond.decisions.records import Sample
-from cobaltpond.decisions.sample_message import Told
-from cobaltpond.decisions.stats import SECOND, draw_chance, lot, mean_by, rank_z
+from cobaltpond.decisions.sample_message import SampleMessage
+from cobaltpond.decisions.stats import SECOND, hypergeometric_tail, mean_by, rank_test_z, rendezvous_weight
 
 MARGIN, LEAST = 1.8, 8  # new median over old; outcomes a build and path group before they rank (open)
 ALONE = 2.0, 4 * LEAST  # both, once the earlier build is gone (open)
@@ -48,7 +48,7 @@
         have seen: guards against evidence too thin at any one. A lost message is but a lost sample. It goes
         on after the release: against a build that fails under a load that it had not met on trial."""
         build, of = self.newest, sample.instance.build
-        told = self.sheet.get("may_tell") and self.phase in ("trial", "released")
+        told = self.settings.get("may_tell") and self.phase in ("trial", "released")
         if not told or not build or not build.earlier or of not in (build, build.earlier):
             return
         owed, group.owed = group.owed, 1 if of is build else 0
@@ -64,14 +64,18 @@
         judge gives place to one, and views that differ little choose nearly the same."""
         if self.living is None:
             return [(build.number + n) % self.gateways for n in range(min(JUDGES, self.gateways))]
-        return nlargest(JUDGES, sorted(self.living), key=lambda number: lot(build.number, number))
+        return nlargest(
+            JUDGES, sorted(self.living), key=lambda number: rendezvous_weight(build.number, number)
+        )
 
     def tell(self, judge, group, sample, heard, now):
         """Once to each start of a judge: what is told twice would count twice."""
         mark = judge, (self.living or {}).get(judge)
-        if judge != self.sheet.get("number") and mark not in heard:
+        if judge != self.settings.get("number") and mark not in heard:
             heard[mark] = True
-            self.host.tell(judge, Told.pack(sample, list(self.groups).index(group.name), now - sample.at))
+            self.host.send_to_peer(
+                judge, SampleMessage.pack(sample, list(self.groups).index(group.name), now - sample.at)
+            )
 
     def on_members(self, now, living):
         """Who is there, and since which start. A new judge is told what we have seen of the trial lately,
@@ -84,11 +88,11 @@
                     self.tell(judge, group, sample, heard, now)
 
     def tagged(self):
-        self.fleet.tags = self.fleet.tags or {Told.tag(i): i for i in self.fleet.up}
+        self.fleet.tags = self.fleet.tags or {SampleMessage.tag_of(i): i for i in self.fleet.up}
         return self.fleet.tags
 
     def on_peer(self, now, peer, data):
-        mark, index, errored, latency, crowd, age = Told.unpack(data)
+        mark, index, errored, latency, crowd, age = SampleMessage.unpack(data)
         instance, at = self.tagged().get(mark), now - age
         sent = at if errored else at - latency  # an error counts as a time-out and came much sooner
         # the tag is the same over a restart: what tells of its former life is no evidence of this one
@@ -102,11 +106,11 @@
     def enter_sample(self, group, sample, now):
         """Keeps it; one on trial, against the newest build or while that is suspect calls for a look."""
         build = sample.instance.build
-        build.enter(group.name, sample)
+        build.add_sample(group.name, sample)
         self.window(build, group, now)  # trimmed unjudged too: against weeks without a release
         against = (
             sample.errored
-            or self.said != "fine"
+            or self.verdict != "fine"
             or self.phase == "trial"
             or (sample.latency > MARGIN * group.usual)
         )
@@ -128,7 +132,7 @@
         worst = sorted(means, key=lambda instance: -means[instance])[:left_out]
         return [s for s in samples if s.instance not in worst]
 
-    def look(self, build, now):
+    def assess(self, build, now):
         """Fail, suspect or fine; a fail in any path group, or in all together, as one may be too thin."""
         self.settled = self.phase == "released" and (
             now - self.stage_began >= EVIDENCE_COLD_TIMES * self.cold_time
@@ -160,7 +164,7 @@
         if min(len(times), sum(len(ref) for _, ref in strata)) < least or median(times) <= margin:
             return "fine"
         return self.weigh(
-            rank_z(strata),
+            rank_test_z(strata),
             level,
             f"build {build.number} {name}: {median(times):.2f} times "
             f"the earlier median, {len(times)} hits in {len(strata)} strata",
@@ -168,7 +172,7 @@
 
     def weigh(self, z, level, words):
         if z > level:
-            self.host.note(f"{words}, z {z:.2f}")
+            self.host.log_note(f"{words}, z {z:.2f}")
         return "fail" if z > level else "suspect" if z > HOLD_Z else "fine"
 
     def errors_say(self, build, name, counts, level, new=(), old=()):
@@ -180,10 +184,10 @@
             return "fine"
         shares = [mean_by(samples, "instance", "errored").values() for samples in (new, old)]
         bad, old_bad = ((sum(x >= errored / hits / 2 for x in row), len(row)) for row in shares)
-        alike = old_bad[0] and draw_chance(*bad, *old_bad) > 1 - NormalDist().cdf(HOLD_Z)
+        alike = old_bad[0] and hypergeometric_tail(*bad, *old_bad) > 1 - NormalDist().cdf(HOLD_Z)
         if alike or self.settled and new and 2 * bad[0] <= bad[1]:
             return "fine"  # long after a release some instances are not the build
-        z = NormalDist().inv_cdf(1 - max(1e-12, draw_chance(errored, hits, old_errored, old_hits)))
+        z = NormalDist().inv_cdf(1 - max(1e-12, hypergeometric_tail(errored, hits, old_errored, old_hits)))
         return self.weigh(
             z,
             level,
@@ -205,7 +209,7 @@
         kept = [s for s in old if s.at >= since], [s for s in new if s.at >= since]
         old, new = kept if min(map(len, kept)) >= LEAST else (old, new)
         usual = median(s.crowd for s in old) + 1
-        moved = self.phase == "released" and self.sheet.get("layout") == "beside"
+        moved = self.phase == "released" and self.settings.get("layout") == "beside"
         strata, orphans, last = {}, [], max(s.at - s.latency for s in old)
         last = min(last, self.stage_began) if moved else last
         for s in old:
--- a/cobaltpond/decisions/records.py
+++ b/cobaltpond/decisions/records.py
@@ -9,35 +9,35 @@
 Sample = namedtuple("Sample", "at latency errored instance stretch warmth crowd")
 
 
-class Chance:
+class RandomSource:
     """A linear congruential generator; only its high bits are used."""
 
     def __init__(self, seed):
         self.state = seed
 
-    def below(self, most):
+    def randbelow(self, most):
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % 2**64
         return (self.state >> 33) * most >> 31
 
 
-class Ledgers:
+class SlidingCounts:
     """Sliding counts by name: when something happened, for two windows back."""
 
     def __init__(self, window):
         self.window, self.times = window, {}
 
-    def enter(self, name, now):
+    def add(self, name, now):
         times = self.times.setdefault(name, [])
         times.append(now)
         if times[0] < now - 4 * self.window:  # now and then, by half: an entry costs no copy
             del times[: bisect_left(times, now - 2 * self.window)]
 
-    def since(self, name, at):
+    def count_since(self, name, at):
         times = self.times.get(name, ())
         return len(times) - bisect_left(times, at)
 
 
-class State:
+class HitState:
     TAKEN, HELD, OUT = "taken", "held", "out"
     DELIVERED, BOUNCED, ERRORED, GONE = "delivered", "bounced", "errored", "gone"
     NEXT = {
@@ -72,7 +72,7 @@
 
     def __init__(self, number, earlier, window):
         self.number, self.earlier = number, earlier
-        self.sent = Ledgers(window)  # forwards to it
+        self.sent = SlidingCounts(window)  # forwards to it
         self.counted_from = -FOREVER  # when the exposure count last started anew
         self.samples = {}  # path group name -> recent samples
         self.errored = {}  # path group name -> [errored, hits] so far
@@ -80,7 +80,7 @@
         self.condemned = False
         self.places = 0  # instances listed when the build was first seen
 
-    def enter(self, group, sample):
+    def add_sample(self, group, sample):
         self.samples.setdefault(group, deque()).append(sample)
         errored, hits = self.errored.get(group, (0, 0))
         self.errored[group] = errored + sample.errored, hits + 1
@@ -94,10 +94,10 @@
         self.fleet, self.build = fleet, fleet.build(row["build"])
         self.started, self.state = row["started"], row["state"]
         self.out, self.limit, self.cut_at = 0, limit, 0
-        self.others = 0.0  # hits of other gateways that it last reported
-        self.pace, self.lag = 1.0, 0.0  # latency against the usual, and against the target
+        self.other_inflight = 0.0  # hits of other gateways that it last reported
+        self.latency_ratio, self.lag = 1.0, 0.0  # latency against the usual, and against the target
         self.faults = 0.0  # share of its late outcomes that failed
-        self.heard_at, self.benched_until, self.bench_time = 0, 0, 0
+        self.heard_at, self.ejected_until, self.ejection_time = 0, 0, 0
         self.tokens = tokens  # what may be sent to it while it is cold
 
     def drops_with(self, other, scope):
@@ -149,15 +149,15 @@
                 self.by_id[row["id"]] = made(row)
             else:
                 known.state = row["state"]
-        self.order()
+        self.rebuild_index()
 
     def drain(self, instances):
         """Not by the list: the next row of the list puts it right."""
         for instance in instances:
             instance.state = "draining"
-        self.order()
+        self.rebuild_index()
 
-    def order(self):
+    def rebuild_index(self):
         self.up = sorted((i for i in self.by_id.values() if i.state == "up"), key=lambda i: i.id)
         self.ids, self.tags, self.cold = [i.id for i in self.up], {}, self.up
 
@@ -179,12 +179,12 @@
         self.asked, self.free = [], []  # instances probed for it, and those that answered
         self.risky = None  # the first forward that may have run
 
-    def send(self, instance, now):
+    def add_forward(self, instance, now):
         self.forwards.append(Forward(instance, now))
         self.open += 1
         instance.out += 1
 
-    def settle(self, number):
+    def settle_forward(self, number):
         forward = self.forwards[number]
         forward.settled = True
         self.open -= 1
@@ -192,17 +192,17 @@
         return forward
 
     def next_state(self, state):
-        if state not in State.NEXT[self.state]:
+        if state not in HitState.NEXT[self.state]:
             raise RuntimeError(f"a hit cannot go from {self.state} to {state}")
         return state
 
     @property
     def ended(self):
-        return State.NEXT[self.state] == {self.state}
+        return HitState.NEXT[self.state] == {self.state}
 
 
 class Forward:
     def __init__(self, instance, now):
         self.instance, self.sent, self.settled, self.dropped = instance, now, False, False
         self.asked = None  # when the instance was asked whether it is there
-        self.crowd = instance.out + instance.others  # hits it found there, as far as we know
+        self.crowd = instance.out + instance.other_inflight  # hits it found there, as far as we know
--- a/cobaltpond/decisions/sample_message.py
+++ b/cobaltpond/decisions/sample_message.py
@@ -4,24 +4,24 @@
 from zlib import crc32
 
 
-class Told:
+class SampleMessage:
     """Tag of instance and build, path group and errored, milliseconds, crowd; of an older one how old, in 10
     ms."""
 
     FORM, OLDER = ">IBHB", ">IBHBH"
 
     @staticmethod
-    def tag(instance):
-        return Told.mark(instance.id, instance.build.number)
+    def tag_of(instance):
+        return SampleMessage.instance_tag(instance.id, instance.build.number)
 
     @staticmethod
-    def mark(id, build):
+    def instance_tag(id, build):
         return crc32(f"{id} {build}".encode())
 
     @classmethod
     def pack(cls, sample, group, age=0):
         fields = (
-            cls.tag(sample.instance),
+            cls.tag_of(sample.instance),
             group << 1 | sample.errored,
             min(65535, sample.latency // 1000),
             min(255, int(sample.crowd)),
--- a/cobaltpond/decisions/voting.py
+++ b/cobaltpond/decisions/voting.py
@@ -21,8 +21,8 @@
             self.kept_keys = {key: b for key, b in self.kept_keys.items() if b in (told, self.newest)}
         self.newest, self.stage, self.phase, self.cap, self.stage_began = told, stage, phase, cap, now - age
         if phase != "released" and (before is None or cap < before):
-            told.counted_from = now + self.sheet.get("drain_grace", 0)
-        self.wake_by(now + self.chance.below(LOOK_EVERY), now)
+            told.counted_from = now + self.settings.get("drain_grace", 0)
+        self.wake_by(now + self.chance.randbelow(LOOK_EVERY), now)
         self.place_held(now)
 
     def on_shut(self, now, build):
@@ -34,7 +34,7 @@
     def ready(self, now):
         """The design's patience after the stage's last listed start, or the latest it can have been."""
         starts = [i.started or 0 for i in self.fleet.up if i.build is self.newest]
-        due = int(self.newest.places * (self.sheet.get("stage_shares") or [1.0])[self.stage] + 0.5)
+        due = int(self.newest.places * (self.settings.get("stage_shares") or [1.0])[self.stage] + 0.5)
         since = max(starts, default=0) if len(starts) >= max(1, due) else self.stage_began + 8 * SECOND
         return now - max(since, self.stage_began) >= PATIENCE
 
@@ -44,28 +44,31 @@
         self.fresh = False
         if build is None or self.phase not in ("trial", "released") or build.earlier is None:
             return
-        self.said = self.look(build, now) if fresh else self.said
-        build.condemned = build.condemned or self.said == "fail"
-        seen, beside = sum(map(len, build.samples.values())), self.sheet.get("layout") == "beside"
-        self.trusted = beside and self.said == "fine" and seen >= 5 * LEAST  # in place, no room to gain
-        clock, want = self.sheet.get("gate") == "clock", "none"
+        self.verdict = self.assess(build, now) if fresh else self.verdict
+        build.condemned = build.condemned or self.verdict == "fail"
+        seen, beside = sum(map(len, build.samples.values())), self.settings.get("layout") == "beside"
+        self.trusted = beside and self.verdict == "fine" and seen >= 5 * LEAST  # in place, no room to gain
+        clock, want = self.settings.get("gate") == "clock", "none"
         if build.condemned:
             want = "back"
         elif self.phase == "trial" and (clock or self.ready(now)):
-            if self.said == "suspect" and self.held_time < HOLD_MOST:
+            if self.verdict == "suspect" and self.held_time < HOLD_MOST:
                 self.held_time += passed
                 want = "hold" if clock else "none"
             elif not clock:
                 want = "on"
-        self.say(build, want, now)
+        self.cast_ballot(build, want, now)
 
-    def say(self, build, want, now):
+    def cast_ballot(self, build, want, now):
         """Cast once; again well before it runs out, or when a lost answer cannot come any more."""
         ballot = (build, self.stage if want in ("on", "hold") else 0, want)
         if want == "none" and (not self.cast or self.cast[0] is not build or self.cast[2] != "hold"):
             return
-        waits = {"ok": self.sheet.get("vote_life", SECOND) // 2, None: self.sheet.get("vote_wait", SECOND)}
+        waits = {
+            "ok": self.settings.get("vote_life", SECOND) // 2,
+            None: self.settings.get("vote_wait", SECOND),
+        }
         late = now - self.cast_at >= waits.get(self.cast_answer, SECOND // 2)
         if late or ballot != self.cast and self.cast_answer is not None:
             self.cast, self.cast_at, self.cast_answer = ballot, now, None
-            self.host.vote(build.number, self.stage, want)
+            self.host.cast_vote(build.number, self.stage, want)
--- a/cobaltpond/desk/hosts.py
+++ b/cobaltpond/desk/hosts.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Host:
+class HostState:
     place: str
     generation: int = 0
     wishes: dict = field(default_factory=dict)  # build -> run or gone
@@ -24,17 +24,17 @@
     slots: dict = field(default_factory=dict)  # build -> (state, id, why)
 
 
-class Hosts:
+class HostOrders:
     """`most`: places that may be under change at one time."""
 
     def __init__(self, places: list, most: int = 1 << 30, epoch: int = 0):
         """`epoch` grows with each start of the desk, and generations with it: guards against a desk that has
         forgotten which numbers it gave out, and gives one of them to another order."""
         first = epoch << 20
-        self.hosts = {place: Host(place, first, done=first) for place in places}
+        self.hosts = {place: HostState(place, first, done=first) for place in places}
         self.most = most
 
-    def begin(self, epoch: int) -> None:
+    def start_epoch(self, epoch: int) -> None:
         """The epoch is settled: no generation that anybody may have seen is given out again."""
         for host in self.hosts.values():
             host.generation = host.done = max(host.generation, epoch << 20)
@@ -47,7 +47,7 @@
             or h.done < h.generation
         ]
 
-    def take_orders(self, now: int, orders: list) -> list:
+    def apply_orders(self, now: int, orders: list) -> list:
         """Orders of the stages -> the places whose wishes have changed. Starts beyond `most` wait; what is to
         go never waits."""
         changed = []
@@ -68,7 +68,7 @@
                 changed.append(host.place)
         return changed
 
-    def order(self, place: str, keep: set) -> dict:
+    def order_for(self, place: str, keep: set) -> dict:
         """The wire form of what a host is to do; builds in `keep` stay fetched where they do not run."""
         host = self.hosts[place]
         wishes = {b: "keep" if w == "gone" and b in keep else w for b, w in host.wishes.items()}
@@ -80,7 +80,7 @@
             "wishes": {str(b): w for b, w in sorted(wishes.items())},
         }
 
-    def report(self, now: int, told: dict, collecting: bool = False) -> list:
+    def apply_report(self, now: int, told: dict, collecting: bool = False) -> list:
         """What a host says: {place, generation, slots: [{build, state, id, why}]}. Gives (id, place, build,
         state) rows for the stages, one for each of its instances. A place that runs a build that nobody
         ordered is told to have it gone."""
@@ -99,7 +99,7 @@
                 rows.append((f"{host.place}/{build}", host.place, build, shown))
         return rows
 
-    def adopt(self, place: str) -> bool:
+    def adopt_running(self, place: str) -> bool:
         """After the desk's own restart: what runs at a host is what it was told to run. True where that is
         new."""
         host = self.hosts[place]
@@ -107,7 +107,7 @@
         host.wishes.update(new)
         return bool(new)
 
-    def missing(self, now: int) -> list:
+    def missing_places(self, now: int) -> list:
         """(place, why) of each host that keeps a stage from being filled."""
         rows = []
         for host in self.hosts.values():
--- a/cobaltpond/desk/stages.py
+++ b/cobaltpond/desk/stages.py
@@ -14,16 +14,16 @@
     RELEASED: {RELEASED, TRIAL, GOING_BACK},
     WITHDRAWN: {TRIAL},
 }
-NOTHING = 0  # the build of an empty fleet
+NO_BUILD = 0  # the build of an empty fleet
 ORDER_AGAIN = 2_000_000  # an order not seen carried out is given again
 
 
-class Refused(Exception):
+class ReleaseRefusedError(Exception):
     """An offer that cannot be taken; the text says why."""
 
 
 @dataclass
-class Machine:
+class PlatformInstance:
     """One instance as the platform tells of it."""
 
     id: str
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Stages:
+class ReleaseStages:
     """`release`: the sheet's call of that name; `places`: names of the fleet's places in the order in which
     they get a new build; `build`: what runs at the start."""
 
@@ -55,7 +55,7 @@
     since: int = 0
     stable: int | None = None  # the build to return to
     offered: list = field(default_factory=list)
-    machines: dict = field(default_factory=dict)
+    instances: dict = field(default_factory=dict)
     votes: dict = field(default_factory=dict)
     ordered: dict = field(default_factory=dict)  # what was ordered -> when
     launched: int = 0
@@ -63,7 +63,7 @@
     held: int = 0
     tokens: float | None = None
     tokens_at: int = 0
-    story: list = field(default_factory=list)
+    transitions: list = field(default_factory=list)
     turns: int = 0  # grows with each change that others may act by
     condemned: list = field(default_factory=list)  # builds that went back: none of them goes out again
 
@@ -113,7 +113,7 @@
     def wanted(self) -> dict:
         """place -> the builds that should run there."""
         if self.phase == RELEASED:
-            return {place: {self.build} - {NOTHING} for place in self.places}
+            return {place: {self.build} - {NO_BUILD} for place in self.places}
         if self.phase in (GOING_BACK, WITHDRAWN):
             return {place: {self.stable} for place in self.places}
         trial = set(self.trial_places())
@@ -126,13 +126,13 @@
         }
 
     def running(self, place, build) -> bool:
-        return any(m.place == place and m.build == build and m.state == "up" for m in self.machines.values())
+        return any(m.place == place and m.build == build and m.state == "up" for m in self.instances.values())
 
     def orders(self, now: int) -> list:
         """("start", place, build), ("drain", id), ("stop", id): the difference between wanted and running."""
         due, wanted = [], self.wanted()
         for place in self.places:
-            here = [m for m in self.machines.values() if m.place == place]
+            here = [m for m in self.instances.values() if m.place == place]
             for build in sorted(wanted[place]):
                 if not any(m.build == build and m.state != "draining" for m in here):
                     due.append(("start", place, build))
@@ -153,70 +153,74 @@
 
     # --- what happens ---------------------------------------------------------------------------------------
 
-    def move(self, now: int, phase: str, stage: int, why: str, room: bool = False) -> None:
+    def change_phase(self, now: int, phase: str, stage: int, why: str, room: bool = False) -> None:
         """The one place where phase and stage change. `room`: it goes back for a later one, not for what it
         did."""
         if phase not in NEXT[self.phase]:
             raise RuntimeError(f"a release cannot go from {self.phase} to {phase}")
         if phase == GOING_BACK and not room and self.build not in self.condemned:
             self.condemned = [*self.condemned[-15:], self.build]
-        self.set(now, phase, stage, why)
+        self.set_phase(now, phase, stage, why)
 
-    def set(self, now: int, phase: str, stage: int, why: str) -> None:
+    def set_phase(self, now: int, phase: str, stage: int, why: str) -> None:
         self.phase, self.stage, self.since = phase, stage, now
         self.launched, self.clock, self.held = now, None, 0
         self.turns += 1
-        self.story.append((now, self.build, stage, phase, why))
+        self.transitions.append((now, self.build, stage, phase, why))
 
     def resume(self, now: int, plan, why: str) -> None:
         """Not by the table: what others have seen (`recovery.desk_state.Plan`) takes the place of an older
         state. Raises Refused where there would be nothing to return to."""
         mine = [
-            b for b in (plan.stable, self.build, self.stable) if b not in (None, NOTHING) and b < plan.build
+            b for b in (plan.stable, self.build, self.stable) if b not in (None, NO_BUILD) and b < plan.build
         ]
         stable = next((b for b in mine if b not in plan.condemned), None)
         if stable is None and plan.phase in (TRIAL, GOING_BACK, WITHDRAWN):
-            raise Refused(f"of build {plan.build}, {plan.phase}, nobody knows which one to return to")
+            raise ReleaseRefusedError(
+                f"of build {plan.build}, {plan.phase}, nobody knows which one to return to"
+            )
         self.build, self.stable, self.votes, self.ordered = plan.build, stable, {}, {}
         self.condemned = sorted({*self.condemned, *plan.condemned})[-16:]
         self.offered = [b for b in self.offered if b > plan.build and b not in self.condemned]
-        self.set(now, plan.phase, min(plan.stage, len(self.release.caps) - 1), why)
+        self.set_phase(now, plan.phase, min(plan.stage, len(self.release.caps) - 1), why)
 
-    def offer(self, now: int, build: int) -> None:
+    def offer_build(self, now: int, build: int) -> None:
         """Raises Refused. One on trial is taken off first; the new one then follows by itself."""
         newest = max([self.build, *self.offered])
         if build <= newest:
-            raise Refused(f"build {build} is not later than {newest}")
-        if self.build == NOTHING:  # an empty fleet: there is no earlier build to compare with
+            raise ReleaseRefusedError(f"build {build} is not later than {newest}")
+        if self.build == NO_BUILD:  # an empty fleet: there is no earlier build to compare with
             self.build = build
-            return self.move(now, RELEASED, 0, "the first build")
+            return self.change_phase(now, RELEASED, 0, "the first build")
         self.offered.append(build)
         if self.phase == TRIAL:
-            self.move(now, GOING_BACK, self.stage, f"build {build} is due", room=True)
+            self.change_phase(now, GOING_BACK, self.stage, f"build {build} is due", room=True)
         self.tick(now)
 
     def send_back(self, now: int, why: str) -> None:
         """An operator's word: as good as all votes there are. Raises Refused."""
         if self.phase not in (TRIAL, RELEASED):
-            raise Refused(f"build {self.build} is {self.phase}")
+            raise ReleaseRefusedError(f"build {self.build} is {self.phase}")
         if self.stable is None:
-            raise Refused(f"there is no build before {self.build} to go back to")
-        self.move(now, GOING_BACK, self.stage, why)
+            raise ReleaseRefusedError(f"there is no build before {self.build} to go back to")
+        self.change_phase(now, GOING_BACK, self.stage, why)
         self.tick(now)
 
-    def machine(self, now: int, id: str, place: str, build: int, state: str) -> None:
+    def update_instance(self, now: int, id: str, place: str, build: int, state: str) -> None:
         """What the platform says of an instance; state gone takes it out."""
         if state == "gone":
-            self.machines.pop(id, None)
-        elif id in self.machines and self.machines[id].build == build:
-            known = self.machines[id]
+            self.instances.pop(id, None)
+        elif id in self.instances and self.instances[id].build == build:
+            known = self.instances[id]
             if state == "draining" and known.state != "draining":
                 known.drained_at = now
             known.state = state
         else:
-            self.machines[id] = Machine(id, place, build, state, now if state == "draining" else None)
+            self.instances[id] = PlatformInstance(
+                id, place, build, state, now if state == "draining" else None
+            )
 
-    def vote(self, now: int, gateway: int, build: int, stage: int, verdict: str) -> str:
+    def record_vote(self, now: int, gateway: int, build: int, stage: int, verdict: str) -> str:
         """ok, moot or full. A vote that is ok replaces the gateway's earlier one."""
         rate = self.release.vote_rate
         self.tokens = min(2 * rate, self.tokens + rate * (now - self.tokens_at) / 1e6)
@@ -237,7 +241,7 @@
         self.tick(now)
         return "ok"
 
-    def standing(self, now: int, verdict: str) -> int:
+    def count_votes(self, now: int, verdict: str) -> int:
         """How many votes stand for this verdict on the newest build, and for on and hold on its stage."""
         return sum(
             v.verdict == verdict
@@ -251,15 +255,21 @@
         passed, self.now = now - self.now, now
         release = self.release
         back = 1 if release.gate == "any" else release.back_votes
-        if self.phase in (TRIAL, RELEASED) and self.stable is not None and self.standing(now, "back") >= back:
-            self.move(now, GOING_BACK, self.stage, f"{self.standing(now, 'back')} votes to send it back")
+        if (
+            self.phase in (TRIAL, RELEASED)
+            and self.stable is not None
+            and self.count_votes(now, "back") >= back
+        ):
+            self.change_phase(
+                now, GOING_BACK, self.stage, f"{self.count_votes(now, 'back')} votes to send it back"
+            )
         if self.phase == GOING_BACK and self.settled_back():
-            self.move(now, WITHDRAWN, self.stage, "the last instance is gone")
+            self.change_phase(now, WITHDRAWN, self.stage, "the last instance is gone")
         if self.phase in (RELEASED, WITHDRAWN) and self.offered:
             if self.phase == RELEASED:
                 self.stable = self.build
             self.build, self.votes = self.offered.pop(0), {}
-            self.move(now, TRIAL, 0, "offered")
+            self.change_phase(now, TRIAL, 0, "offered")
         if self.phase != TRIAL:
             return
         if self.clock is None:
@@ -269,15 +279,15 @@
         if self.clock is None or now < self.clock:
             return
         if release.gate == "clock":
-            if release.hold_votes and self.standing(now, "hold") >= release.hold_votes:
+            if release.hold_votes and self.count_votes(now, "hold") >= release.hold_votes:
                 self.held += passed
             ready = now - self.clock - self.held >= release.step
         else:
             need = 1 if release.gate == "any" else max(1, release.on_votes)
-            ready = now - self.clock >= release.dwell and self.standing(now, "on") >= need
+            ready = now - self.clock >= release.dwell and self.count_votes(now, "on") >= need
         if ready:
             last = self.stage == len(release.shares) - 1
-            self.move(
+            self.change_phase(
                 now,
                 RELEASED if last else TRIAL,
                 self.stage + (not last),
@@ -286,7 +296,7 @@
 
     def settled_back(self) -> bool:
         covered = all(self.running(place, self.stable) for place in self.places)
-        return covered and not any(m.build == self.build and m.state == "up" for m in self.machines.values())
+        return covered and not any(m.build == self.build and m.state == "up" for m in self.instances.values())
 
     def cap(self) -> float:
         """What gateways may send to the newest build. On the way back it falls with the places that have
--- a/cobaltpond/edge/__main__.py
+++ b/cobaltpond/edge/__main__.py
@@ -2,26 +2,26 @@
 
 import sys
 
-from cobaltpond.edge.config import BadConfig, read_config
+from cobaltpond.edge.config import ConfigError, read_config
 from cobaltpond.edge.log import Log
 from cobaltpond.edge.main import run_edge
-from cobaltpond.loop import EpollKernel, Unreachable
+from cobaltpond.loop import EpollKernel, UnreachableError
 
 
 def main() -> int:
     kernel = EpollKernel()
-    path = kernel.variable("EDGE_CONFIG")
+    path = kernel.environment_variable("EDGE_CONFIG")
     if not path:
         print("cobaltpond: EDGE_CONFIG names no file", file=sys.stderr)
         return 2
     try:
         config = read_config(kernel, path)
-    except BadConfig as trouble:
+    except ConfigError as trouble:
         print(f"cobaltpond: {trouble}", file=sys.stderr)
         return 2
     try:
-        run_edge(kernel, path, config, Log(sys.stderr, config.name, kernel.wall))
-    except Unreachable as trouble:
+        run_edge(kernel, path, config, Log(sys.stderr, config.name, kernel.wall_clock))
+    except UnreachableError as trouble:
         print(f"cobaltpond: {trouble}", file=sys.stderr)
         return 2
     return 0
--- a/cobaltpond/edge/config.py
+++ b/cobaltpond/edge/config.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 from math import isfinite
 
-from cobaltpond.benchlink.policy_settings import runsheet
+from cobaltpond.benchlink.policy_settings import policy_settings
 from cobaltpond.wire.address import split_address
-from cobaltpond.wire.json_lines import BadLine, one_object
+from cobaltpond.wire.json_lines import JsonLineError, parse_object
 
 MOST = 8 << 20  # bytes of the file
 # Parts of the limit of descriptors. Some are kept for desk, list, peers and the moment in which one replaces
@@ -44,12 +44,12 @@
 }
 
 
-class BadConfig(Exception):
+class ConfigError(Exception):
     """What is wrong with the configuration, in one line."""
 
 
 @dataclass(frozen=True)
-class Instances:
+class InstanceLimits:
     """What `gateway.endpoints.Places` goes by. Times in microseconds."""
 
     connections: int
@@ -75,30 +75,30 @@
     peers_all: tuple | None
     known: dict | None
     news: dict | None
-    runsheet: dict
+    policy_settings: dict
 
     @property
-    def room(self) -> int:
+    def connection_limit(self) -> int:
         """Connections of clients and to instances, together."""
         return max(16, self.sockets - max(KEPT_LEAST, int(self.sockets * KEPT)))
 
     @property
-    def client_room(self) -> int:
-        return int(self.room * CLIENTS)
+    def client_connection_limit(self) -> int:
+        return int(self.connection_limit * CLIENTS)
 
     @property
-    def instance_room(self) -> int:
-        return int(self.room * INSTANCES)
+    def instance_connection_limit(self) -> int:
+        return int(self.connection_limit * INSTANCES)
 
     @property
-    def instances(self) -> Instances:
+    def instances(self) -> InstanceLimits:
         # what has idled nine tenths of its time is closed here, before the machine does it with a hit on its
         # way
-        return Instances(
-            self.instance_room,
-            self.runsheet["dial_time_out"],
-            self.runsheet["idle_time"] * 9 // 10,
-            min(REST, self.runsheet["idle_time"] // 2),
+        return InstanceLimits(
+            self.instance_connection_limit,
+            self.policy_settings["dial_time_out"],
+            self.policy_settings["idle_time"] * 9 // 10,
+            min(REST, self.policy_settings["idle_time"] // 2),
         )
 
 
@@ -109,27 +109,27 @@
         if not isinstance(figures, list) or not all(
             isinstance(one, (int, float)) and isfinite(one) and one >= 0 for one in figures
         ):
-            raise BadConfig(f"{whose}: {name} makes no sense as {str(value)[:60]!r}")
+            raise ConfigError(f"{whose}: {name} makes no sense as {str(value)[:60]!r}")
 
 
-def config_of(told: dict) -> Config:
+def parse_config(told: dict) -> Config:
     """Raises BadConfig."""
     try:
-        sheet = runsheet(told["settings"])
+        sheet = policy_settings(told["settings"])
         for name in ("gateways", "number", "path_groups", "dial_time_out", "idle_time", "exposure_window"):
             if not sheet.get(name) and sheet.get(name) != 0:
-                raise BadConfig(f"the settings lack {name}")
+                raise ConfigError(f"the settings lack {name}")
         check_figures("the settings", sheet)
         for group in sheet["path_groups"]:
             if not isinstance(group.get("name"), str) or group.setdefault("kind", "mutating") not in KINDS:
-                raise BadConfig(f"a class without a name, or of a kind that is not known: {group}"[:200])
+                raise ConfigError(f"a class without a name, or of a kind that is not known: {group}"[:200])
             check_figures(f"class {group['name']}", group)
             if not (group.get("target_latency") and group.get("client_timeout")):
-                raise BadConfig(f"class {group['name']} lacks an aim or a deadline")
+                raise ConfigError(f"class {group['name']} lacks an aim or a deadline")
         names = [group["name"] for group in sheet["path_groups"]]
         tenants = [customer["name"] for customer in sheet["customers"]]
         if len(set(names)) < len(names) or not all(isinstance(name, str) for name in tenants):
-            raise BadConfig("two classes of one name, or a tenant without one")
+            raise ConfigError("two classes of one name, or a tenant without one")
         sheet.setdefault("answer_slack", 0)
         rollouts, seed, limits = told["rollouts"], told.get("seed"), told.get("limits") or {}
         return Config(
@@ -146,14 +146,14 @@
             peers_all=split_address(told["peers_all"]) if told.get("peers_all") else None,
             known=told.get("known"),
             news=rollouts.get("news"),
-            runsheet=sheet,
+            policy_settings=sheet,
         )
-    except BadConfig:
+    except ConfigError:
         raise
     except KeyError as trouble:
-        raise BadConfig(f"the configuration lacks {trouble}") from None
+        raise ConfigError(f"the configuration lacks {trouble}") from None
     except (TypeError, ValueError, AttributeError, OverflowError) as trouble:
-        raise BadConfig(f"the configuration makes no sense: {trouble!r}") from None
+        raise ConfigError(f"the configuration makes no sense: {trouble!r}") from None
 
 
 def read_config(kernel, path: str) -> Config:
@@ -161,12 +161,12 @@
     try:
         data = kernel.read_file(path)
     except OSError as trouble:
-        raise BadConfig(f"{path}: {trouble.strerror}") from None
+        raise ConfigError(f"{path}: {trouble.strerror}") from None
     if data is None:
-        raise BadConfig(f"{path}: no such file")
+        raise ConfigError(f"{path}: no such file")
     if len(data) > MOST:
-        raise BadConfig(f"{path}: more than {MOST} bytes")
+        raise ConfigError(f"{path}: more than {MOST} bytes")
     try:
-        return config_of(one_object(data))
-    except BadLine as trouble:
-        raise BadConfig(f"{path}: {trouble}") from None
+        return parse_config(parse_object(data))
+    except JsonLineError as trouble:
+        raise ConfigError(f"{path}: {trouble}") from None
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -2,10 +2,10 @@
 another."""
 
 from cobaltpond.edge.source_switch import SourceSwitch
-from cobaltpond.loop import Deadline, Queue, Sleep, TimedOut
-from cobaltpond.rpc import FAILED, Backoff, call
+from cobaltpond.loop import Deadline, DeadlineExceededError, Queue, Sleep
+from cobaltpond.rpc import CALL_ERRORS, Backoff, call
 from cobaltpond.wire.address import split_address
-from cobaltpond.wire.json_lines import BadLine, one_object
+from cobaltpond.wire.json_lines import JsonLineError, parse_object
 
 STATES = {"up": "up", "draining": "draining", "removed": "gone"}
 WATCH = 2_000_000  # how long a watch may wait for something new
@@ -17,7 +17,7 @@
 # them: whatever it was late with counts as told by then
 
 
-class Listed:
+class DiscoveredInstances:
     """What discovery said, as rows for the decisions. Free of I/O."""
 
     def __init__(self):
@@ -50,7 +50,7 @@
                     )
                 )
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as trouble:
-            raise BadLine(f"no list: {trouble!r}") from trouble
+            raise JsonLineError(f"no list: {trouble!r}") from trouble
         if seq < self.seq:
             return False, []  # another source has told more: nothing goes back to before that
         self.seq = seq
@@ -66,33 +66,37 @@
     def __init__(self, loop, host, address, log, asking: bool):
         """`asking`: the decisions wait for answers, and so hear of those that bring nothing new."""
         self.loop, self.host, self.address, self.log, self.asking = loop, host, address, log, asking
-        self.listed, self.heard, self.following = Listed(), False, SourceSwitch(loop, "discovery")
+        self.instances, self.has_heard, self.following = (
+            DiscoveredInstances(),
+            False,
+            SourceSwitch(loop, "discovery"),
+        )
         self.counts = {"applied": 0, "errors": 0}
 
-    def take(self, told) -> int:
+    def apply_answer(self, told) -> int:
         """The version that was told. Raises BadLine."""
-        whole, rows = self.listed.apply(self.loop.now(), self.loop.kernel.wall(), told)
+        whole, rows = self.instances.apply(self.loop.now(), self.loop.kernel.wall_clock(), told)
         if rows or whole:
             self.counts["applied"] += 1
-            self.host.places.update(whole, rows)
+            self.host.endpoints.update(whole, rows)
             self.log.info(
                 "list",
-                seq=self.listed.seq,
+                seq=self.instances.seq,
                 whole=whole,
                 rows=[f"{r['id']} {r['state']} build {r['build']}" for r, _ in rows][:20],
             )
         if rows or whole or self.asking:
-            self.host.post_first("on_list", whole, [row for row, _ in rows])
+            self.host.post_event_first("on_list", whole, [row for row, _ in rows])
         return int(told["seq"])
 
-    def recall(self, known: dict | None) -> None:
+    def restore(self, known: dict | None) -> None:
         """The list as this gateway last held it; it may be old, and nothing is built upon its version."""
         if known:
             try:
-                self.take({**known, "whole": True})
-            except BadLine as trouble:
+                self.apply_answer({**known, "whole": True})
+            except JsonLineError as trouble:
                 self.log.warning("known list unreadable", why=str(trouble))
-            self.listed.seq = 0
+            self.instances.seq = 0
 
     def start(self, address) -> None:
         """Follows at this address from now on; the task that followed before ends once this one has heard."""
@@ -103,7 +107,7 @@
         """For ever. An agent that says nothing, nonsense or only what is old is asked for the whole list
         again. Each source is asked by the version that it told itself (None: for the whole list): what it
         tells then fits on all that is newer than that, whoever told it."""
-        backoff, version, doubted = Backoff(20_000, LONGEST_PAUSE, self.loop.kernel.seed()), None, None
+        backoff, version, doubted = Backoff(20_000, LONGEST_PAUSE, self.loop.kernel.random_seed()), None, None
         while True:
             asked, target = self.loop.now(), f"{HOSTS}?after={version}&wait_ms={WATCH // 1000}"
             try:
@@ -113,16 +117,18 @@
                     with Deadline(self.loop, WATCH + ANSWER):
                         status, body = yield from call(self.loop, address, "GET", target, b"", ANSWER)
                 if status != 200:
-                    raise BadLine(f"status {status}")
-                before, version = version, self.take(one_object(body))
-                self.heard = True
-                self.following.heard()
+                    raise JsonLineError(f"status {status}")
+                before, version = version, self.apply_answer(parse_object(body))
+                self.has_heard = True
+                self.following.source_answered()
                 doubted = (
-                    (self.loop.now() if doubted is None else doubted) if version < self.listed.seq else None
+                    (self.loop.now() if doubted is None else doubted)
+                    if version < self.instances.seq
+                    else None
                 )
                 if doubted is not None and self.loop.now() - doubted > OLDER:
                     # guards against a discovery that has lost its versions: what it says is all there is now
-                    self.listed.seq, doubted, version = 0, None, None
+                    self.instances.seq, doubted, version = 0, None, None
                 elif before is not None and version <= before and self.loop.now() - asked < WATCH // 2:
                     # nothing new, though it need not have answered yet: the whole list, after a pause shorter
                     # than what may lie between two calls. Guards against old versions for ever, and a loop
@@ -131,13 +137,13 @@
                     yield Sleep(PAUSE)
                 if before is not None:  # a whole list alone is no sign that watches come whole again
                     backoff.reset()
-            except (*FAILED, TimedOut) as trouble:
+            except (*CALL_ERRORS, DeadlineExceededError) as trouble:
                 self.counts["errors"] += 1
                 self.log.warning("discovery", why=f"{type(trouble).__name__}: {trouble}"[:200])
                 version = None
                 if self.asking:
-                    self.host.post_first("on_list_error")
-                yield Sleep(backoff.next())
+                    self.host.post_event_first("on_list_error")
+                yield Sleep(backoff.next_delay())
 
     def whole_list(self, address):
         """(status, body) of whichever call answers first; asked again every `ASK_AGAIN`, as the agent is on
@@ -150,7 +156,7 @@
                 with Deadline(self.loop, ANSWER):
                     told = yield from call(self.loop, address, "GET", HOSTS, b"", ANSWER)
                 answers.put_now((told, None))
-            except (*FAILED, TimedOut) as trouble:
+            except (*CALL_ERRORS, DeadlineExceededError) as trouble:
                 answers.put_now((None, trouble))
 
         try:
@@ -160,7 +166,7 @@
                 try:
                     with again:
                         told, trouble = yield from answers.get()
-                except TimedOut:
+                except DeadlineExceededError:
                     if not again.passed:
                         raise
                     continue
@@ -171,7 +177,7 @@
             for task in calls:
                 task.cancel()
 
-    def ask(self, whole: bool):
+    def request_list(self, whole: bool):
         """The decisions may ask where the settings say so; a watch stands here at all times."""
         return
         yield
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -5,9 +5,9 @@
 of "may it have run?" hangs on the last byte of the statement: see `gateway/forward_results.py`.
 """
 
-from cobaltpond.gateway.endpoints import NoConnection, Place
-from cobaltpond.gateway.forward_results import SEEN
-from cobaltpond.loop import Deadline, PeerLost, TimedOut, Writable
+from cobaltpond.gateway.endpoints import InstanceEndpoint, NoConnectionError
+from cobaltpond.gateway.forward_results import FORWARD_RESULTS
+from cobaltpond.loop import ConnectionLostError, Deadline, DeadlineExceededError, Writable
 from cobaltpond.wire import pg
 
 USER, DATABASE = "web", "orders"
@@ -16,50 +16,58 @@
 PROBES = ("57P03",)  # what a probe is told by an instance that drains
 
 
-def greet(connection):
+def handshake(connection):
     """Startup and welcome, before any hit is written: a machine that accepts and says nothing has then not
     got it."""
-    connection.answers = answers = pg.Answers()
+    connection.answers = answers = pg.ServerMessageParser()
     try:
-        yield from connection.write(pg.startup(USER, DATABASE))
+        yield from connection.write(pg.startup_message(USER, DATABASE))
         while not answers.ready:
             data = yield from connection.read()
             if not data:
-                raise NoConnection("no welcome")
+                raise NoConnectionError("no welcome")
             answers.feed(data)
-            if answers.code is not None:
-                raise NoConnection("turned away" if answers.code in REFUSALS else "no welcome")
-    except (PeerLost, pg.Nonsense):
-        raise NoConnection("no welcome") from None
+            if answers.error_code is not None:
+                raise NoConnectionError("turned away" if answers.error_code in REFUSALS else "no welcome")
+    except (ConnectionLostError, pg.PgProtocolError):
+        raise NoConnectionError("no welcome") from None
 
 
 class Forwards:
     """`is_current(place, since)`: does what the decision at `since` was built on hold?"""
 
     def __init__(self, loop, places, is_current):
-        self.loop, self.places, self.is_current = loop, places, is_current
-        self.seen = dict.fromkeys(SEEN, 0)
+        self.loop, self.endpoints, self.is_current = loop, places, is_current
+        self.observations = dict.fromkeys(FORWARD_RESULTS, 0)
 
-    def carry(self, hit, number: int, place: Place, time_out: int, send_within: int | None, tell):
+    def run_forward(
+        self, hit, number: int, place: InstanceEndpoint, time_out: int, send_within: int | None, tell
+    ):
         """A task. `tell(ending, took, closed, report)` is called exactly once, also when it is cancelled."""
-        run = Run(self, place, hit.statement.waiting, hit.statement.tag, time_out, send_within)
-        yield from run.whole(lambda: not hit.final, hit.deliver, tell)
+        run = ForwardAttempt(self, place, hit.statement.waiting, hit.statement.tag, time_out, send_within)
+        yield from run.run(lambda: not hit.final, hit.deliver, tell)
 
-    def probe(self, place: Place, tell):
+    def run_probe(self, place: InstanceEndpoint, tell):
         """A task: one cheap question to an instance. `tell(ending, took, report)`."""
-        run = Run(self, place, lambda left: b"SHOW gauges", SHOWN, self.places.limits.dial_time)
-        yield from run.whole(
+        run = ForwardAttempt(self, place, lambda left: b"SHOW gauges", SHOWN, self.endpoints.limits.dial_time)
+        yield from run.run(
             lambda: True, None, lambda ending, took, closed, report: tell(ending, took, report)
         )
 
 
-class Run:
+class ForwardAttempt:
     """One forward under way."""
 
     def __init__(
-        self, forwards: Forwards, place: Place, statement, tag: bytes, time_out: int, send_within=None
+        self,
+        forwards: Forwards,
+        place: InstanceEndpoint,
+        statement,
+        tag: bytes,
+        time_out: int,
+        send_within=None,
     ):
-        self.of, self.loop, self.place, self.statement, self.tag = (
+        self.forwards, self.loop, self.place, self.statement, self.tag = (
             forwards,
             forwards.loop,
             place,
@@ -70,48 +78,50 @@
         self.send_by = None if send_within is None else self.began + send_within
         self.connection, self.begun, self.wrote = None, False, False
 
-    def whole(self, wanted, deliver, tell):
+    def run(self, wanted, deliver, tell):
         """`wanted()`: does anybody still wait for it? `deliver(value)`: the whole answer."""
         seen, closed, report = "called off", False, {}
         try:
             try:
                 with Deadline(self.loop, self.time_out):
                     seen = yield from self.exchange(wanted)
-            except TimedOut:
+            except DeadlineExceededError:
                 seen = "too late" if self.wrote else "dial too slow"
             answers = self.connection and self.connection.answers
             if answers is not None and self.wrote:
                 # what SHOW asks for is the row itself; the answers to hits bring it beside the row
-                report = pg.report(answers.shown if self.tag == SHOWN else answers.gauges)
+                report = pg.parse_gauges(answers.shown if self.tag == SHOWN else answers.gauges)
             if seen == "answer" and deliver is not None and wanted():
                 closed = True
                 deliver(answers.value)
-            if seen in ("answer", "refusal", "server error") and not answers.ready and answers.fit:
-                self.loop.spawn(self.settle(self.place, self.connection), "settle")
+            if seen in ("answer", "refusal", "server error") and not answers.ready and answers.is_clean:
+                self.loop.spawn(self.read_to_end(self.place, self.connection), "settle")
                 self.connection = None
         finally:
             self.close(seen)  # before the decisions hear of it: no second copy is out
-            self.of.seen[seen] += 1
-            tell(SEEN[seen][0], self.loop.now() - self.began, closed or not wanted(), report)
+            self.forwards.observations[seen] += 1
+            tell(FORWARD_RESULTS[seen][0], self.loop.now() - self.began, closed or not wanted(), report)
 
     def exchange(self, wanted):
         """A key of SEEN."""
-        places = self.of.places
+        places = self.forwards.endpoints
         while True:
             if not wanted():
                 return "nothing to send"
             try:
-                self.connection, kept = yield from places.take(self.place)
-            except NoConnection as trouble:
+                self.connection, kept = yield from places.acquire(self.place)
+            except NoConnectionError as trouble:
                 return str(trouble)
             answers = self.connection.answers
             answers.expect(self.tag)
             left = max(1, (self.began + self.time_out - self.loop.now()) // 1000)
             try:
-                if (why := (yield from self.send(pg.query(self.statement(left)), wanted))) is not None:
+                if (
+                    why := (yield from self.send(pg.query_message(self.statement(left)), wanted))
+                ) is not None:
                     return why
                 break
-            except PeerLost:
+            except ConnectionLostError:
                 places.close(self.place, self.connection)
                 self.connection = None
                 if not kept:
@@ -121,22 +131,22 @@
             while not answers.done:
                 data = yield from self.connection.read()
                 if not data:
-                    return "cut in the answer" if answers.begun else "cut before an answer"
+                    return "cut in the answer" if answers.has_begun else "cut before an answer"
                 answers.feed(data)
-        except pg.Nonsense:
+        except pg.PgProtocolError:
             return "spoilt"
-        except PeerLost:
-            return "cut in the answer" if answers.begun else "cut before an answer"
-        if answers.code is None:
+        except ConnectionLostError:
+            return "cut in the answer" if answers.has_begun else "cut before an answer"
+        if answers.error_code is None:
             return "answer"
-        return "refusal" if answers.code in REFUSALS + PROBES else "server error"
+        return "refusal" if answers.error_code in REFUSALS + PROBES else "server error"
 
     def send(self, data, wanted):
         """None once the last byte is out, else a key of SEEN. A dial takes time, and so does a machine that
         takes no more bytes: guards drains, the exposure cap and the key's window against what was told or
         passed meanwhile."""
         while True:
-            if not wanted() or not self.of.is_current(self.place, self.began):
+            if not wanted() or not self.forwards.is_current(self.place, self.began):
                 return "changed meanwhile"
             if self.send_by is not None and self.loop.kernel.now() >= self.send_by:
                 return "window over"
@@ -150,38 +160,38 @@
             try:
                 with bound:
                     yield Writable(self.connection.handle)
-            except TimedOut:
+            except DeadlineExceededError:
                 if not bound.passed:
                     raise
 
-    def settle(self, place, connection):
+    def read_to_end(self, place, connection):
         """What is still to come behind an answer, within the time of a dial; then it is kept or closed."""
         try:
-            with Deadline(self.loop, self.of.places.limits.dial_time):
+            with Deadline(self.loop, self.forwards.endpoints.limits.dial_time):
                 while not connection.answers.ready:
                     data = yield from connection.read()
                     if not data:
                         break
                     connection.answers.feed(data)
-        except (TimedOut, PeerLost, pg.Nonsense):
+        except (DeadlineExceededError, ConnectionLostError, pg.PgProtocolError):
             pass
         finally:
             self.hand_back(place, connection)
 
     def hand_back(self, place, connection):
         if connection.answers.reusable:
-            self.of.places.give_back(place, connection)
+            self.forwards.endpoints.release(place, connection)
         else:
-            self.of.places.close(place, connection)
+            self.forwards.endpoints.close(place, connection)
 
     def close(self, seen):
         connection, self.connection = self.connection, None
         if connection is None:
             return
         if seen in ("changed meanwhile", "window over") and not self.begun:
-            self.of.places.give_back(self.place, connection)  # nothing was written to it
+            self.forwards.endpoints.release(self.place, connection)  # nothing was written to it
         elif seen in ("answer", "refusal", "server error"):
             self.hand_back(self.place, connection)
         else:
             # with a reset, what the instance has not got yet is never sent to it: see gateway/forwards.py
-            self.of.places.close(self.place, connection, reset=True)
+            self.forwards.endpoints.close(self.place, connection, reset=True)
--- a/cobaltpond/edge/frontend.py
+++ b/cobaltpond/edge/frontend.py
@@ -5,10 +5,10 @@
 that it does not read by size and time, connections by the configuration's descriptors.
 """
 
-from cobaltpond.gateway.pending_hit import Owed
-from cobaltpond.loop import Connection, PeerLost, Sleep, Writable, serve
+from cobaltpond.gateway.pending_hit import PendingHit
+from cobaltpond.loop import Connection, ConnectionLostError, Sleep, Writable, serve
 from cobaltpond.wire import pg
-from cobaltpond.wire.statement import PLAIN_NAME, NoStatement, Statement
+from cobaltpond.wire.statement import PLAIN_NAME, PlatformStatement, StatementError
 
 SILENT = 2_200_000  # a client that has asked nothing goes: 3 s are its due
 YOUNG = 150_000  # who means to ask has asked by then, when room is short
@@ -19,32 +19,34 @@
 CLOSING, CLOSING_BYTES = 500_000, 256 << 10  # how long and how much is read after our end of file
 SWEEP = 200_000
 FOREVER = 1 << 60
-TOO_MANY = pg.error("53300", "too many connections, and nothing was asked", fatal=True)
-ENDING = pg.error("53300", "this gateway ends", fatal=True)
+TOO_MANY = pg.error_response("53300", "too many connections, and nothing was asked", fatal=True)
+ENDING = pg.error_response("53300", "this gateway ends", fatal=True)
 
 
 class ClientConnection:
     """One client's connection."""
 
-    def __init__(self, door: "Door", connection: Connection):
-        self.door, self.loop, self.connection = door, door.loop, connection
-        self.asked, self.waiting, self.hit = pg.Asked(), [], None
+    def __init__(self, door: "Frontend", connection: Connection):
+        self.frontend, self.loop, self.connection = door, door.loop, connection
+        self.asked, self.waiting, self.hit = pg.ClientMessageParser(), [], None
         self.came = self.active = door.loop.now()
         self.began, self.unread, self.writer, self.closing, self.thrown = False, b"", None, None, 0
 
     @property
-    def idle(self) -> bool:
-        return self.hit is None and self.writer is None and self.closing is None and not self.asked.torn
+    def is_idle(self) -> bool:
+        return (
+            self.hit is None and self.writer is None and self.closing is None and not self.asked.has_partial
+        )
 
-    def hear(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Bytes of the client."""
         self.active = self.loop.now()
         for kind, value in self.asked.feed(data):
-            self.take(kind, value)
+            self.handle_event(kind, value)
             if self.closing is not None:
                 break
 
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Has nothing come that has no answer yet, in whole or in part, read or still unread in the socket?
         What is unread is read now. Guards against a close that crosses a request: one that lies in the socket
         is not lost by it, nor thrown away behind our end of file."""
@@ -52,13 +54,13 @@
             return False
         try:
             data = self.connection.read_now()
-        except PeerLost:
+        except ConnectionLostError:
             return True
         if data:
-            self.hear(data)
-        return not data and not self.asked.torn
+            self.receive(data)
+        return not data and not self.asked.has_partial
 
-    def put(self, data: bytes) -> None:
+    def send_data(self, data: bytes) -> None:
         """Sends; what the client does not take at once is kept, within a bound, and sent by a task."""
         self.active = self.loop.now()
         if self.writer is not None:  # in order, behind what is on its way
@@ -66,17 +68,17 @@
         else:
             try:
                 sent = self.connection.write_now(data)
-            except PeerLost:
+            except ConnectionLostError:
                 self.connection.close()
                 return
             self.unread = data[sent:]
             if self.unread:
-                self.writer = self.loop.spawn(self.rest(), "door-rest")
+                self.writer = self.loop.spawn(self.write_rest(), "door-rest")
         if len(self.unread) > UNREAD_MOST:  # guards against clients that ask and never read
-            self.door.count("unread")
+            self.frontend.count("unread")
             self.connection.abort()
 
-    def rest(self):
+    def write_rest(self):
         try:
             while self.unread:
                 sent = self.connection.write_now(self.unread)
@@ -84,7 +86,7 @@
                     self.unread, self.active = self.unread[sent:], self.loop.now()
                 else:
                     yield Writable(self.connection.handle)
-        except PeerLost:
+        except ConnectionLostError:
             self.unread = b""
             self.connection.close()
         self.writer = None
@@ -103,75 +105,76 @@
 
     def refuse(self, code: str, text: str) -> None:
         """One FATAL error, and the end. A hit that is open here gets that for its final answer."""
-        self.door.count("unfit")
-        self.leave()
+        self.frontend.count("unfit")
+        self.abandon_open_hit()
         if self.closing is None:
-            self.put(pg.error(code, text, fatal=True))
+            self.send_data(pg.error_response(code, text, fatal=True))
             self.half_close()
 
     def turn_away(self, data: bytes) -> None:
         """A FATAL refusal and the end: for who has no request open here."""
-        self.put(data)
+        self.send_data(data)
         self.half_close()
 
-    def leave(self) -> None:
+    def abandon_open_hit(self) -> None:
         hit, self.hit = self.hit, None
         if hit is not None:
-            self.door.gone(hit)
+            self.frontend.abandon_hit(hit)
 
-    def take(self, kind, value) -> None:
+    def handle_event(self, kind, value) -> None:
         """One event of the client's bytes."""
         if kind == "query":
             if self.hit is None and not self.waiting:
-                self.ask(value)
+                self.handle_query(value)
             elif len(self.waiting) < WAITING_MOST:
                 self.waiting.append(value)
             else:
                 self.refuse("54000", f"more than {WAITING_MOST} commands wait behind an open one")
         elif kind == "startup":
-            self.put(pg.welcome())
+            self.send_data(pg.startup_response())
         elif kind == "tls":
-            self.put(pg.PLAIN_ONLY)
+            self.send_data(pg.ENCRYPTION_REFUSED)
         elif kind == "wrong":
             self.refuse(value.code, str(value))
         else:  # Terminate, or a wish to call off: nothing is owed to it
-            self.leave()
+            self.abandon_open_hit()
             self.half_close()
 
-    def ask(self, text: bytes) -> None:
-        door = self.door
+    def handle_query(self, text: bytes) -> None:
+        door = self.frontend
         self.began = True
         if not text.strip(b" \t\r\n;"):
-            self.put(pg.EMPTY)
+            self.send_data(pg.EMPTY_QUERY_RESPONSE)
             return
         try:
-            statement = Statement(text)
+            statement = PlatformStatement(text)
             group = door.groups.get(statement.group)
             if group is None:
-                raise NoStatement("no such path group")
+                raise StatementError("no such path group")
             if statement.customer not in door.customers and not PLAIN_NAME.fullmatch(statement.customer):
-                raise NoStatement("no such tenant")
+                raise StatementError("no such tenant")
             if not 0 < statement.left:
-                raise NoStatement("no time to answer in")
+                raise StatementError("no time to answer in")
             if group["kind"] == "tagged" and statement.key is None:
-                raise NoStatement("this path group needs a key")
+                raise StatementError("this path group needs a key")
             if statement.id in door.open_ids:
-                raise NoStatement("a hit of that id is open")
-        except NoStatement as trouble:
+                raise StatementError("a hit of that id is open")
+        except StatementError as trouble:
             self.refuse("42601", str(trouble))
             return
         left = min(statement.left, group["client_timeout"], door.time_remaining())
-        if door.host.full() or left <= 0:
+        if door.host.is_full() or left <= 0:
             door.count("turned away")
-            self.put(
-                pg.error("53300", "no room for a further hit" if left > 0 else "this gateway ends") + pg.READY
+            self.send_data(
+                pg.error_response("53300", "no room for a further hit" if left > 0 else "this gateway ends")
+                + pg.READY_FOR_QUERY
             )
             return
-        self.hit = Hit(self, statement)
+        self.hit = PgHit(self, statement)
         door.open_ids[statement.id] = self.hit
         customer = statement.customer if statement.customer in door.customers else None
         slack = door.host.slack
-        door.host.take(
+        door.host.accept_hit(
             self.hit,
             statement.group,
             customer,
@@ -186,40 +189,40 @@
         """The open hit has its final answer: the next command's turn."""
         self.hit = None
         while self.waiting and self.hit is None and self.closing is None:
-            self.ask(self.waiting.pop(0))
-        if self.door.draining and self.quiet():
+            self.handle_query(self.waiting.pop(0))
+        if self.frontend.draining and self.is_quiet():
             self.half_close()
 
 
-class Hit(Owed):
-    def __init__(self, client: ClientConnection, statement: Statement):
-        super().__init__(client.door.host.next_number(), statement.id.decode(), client.door)
+class PgHit(PendingHit):
+    def __init__(self, client: ClientConnection, statement: PlatformStatement):
+        super().__init__(client.frontend.host.next_number(), statement.id.decode(), client.frontend)
         self.client, self.statement = client, statement
 
     def answer(self, outcome: str, data: bytes) -> None:
-        self.end(outcome)
-        self.client.put(data)
+        self.finalize(outcome)
+        self.client.send_data(data)
         self.client.answered()
 
     def deliver(self, value: bytes) -> None:
-        self.answer("delivered", value + pg.READY)
+        self.answer("delivered", value + pg.READY_FOR_QUERY)
 
-    def bounce(self, retry_after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         detail = str(-(-retry_after // 1000)) if retry_after else None
-        self.answer("bounced", pg.error("53300", "not taken on now", detail) + pg.READY)
+        self.answer("bounced", pg.error_response("53300", "not taken on now", detail) + pg.READY_FOR_QUERY)
 
-    def error(self, late: bool) -> None:
+    def fail(self, late: bool) -> None:
         self.answer(
             "errored",
-            pg.error(
+            pg.error_response(
                 "57014" if late else "58000",
                 "no answer in time; it may have run" if late else "it failed; it may have run",
             )
-            + pg.READY,
+            + pg.READY_FOR_QUERY,
         )
 
 
-class Door:
+class Frontend:
     """`groups`: path group -> its row of the runsheet; `room()`: how many connections of clients may be
     now, `most`: ever."""
 
@@ -238,25 +241,27 @@
         """Microseconds in which an answer can still be given."""
         return FOREVER if self.ends_at is None else self.ends_at - self.loop.now()
 
-    def ended(self, hit: Hit) -> None:
+    def hit_ended(self, hit: PgHit) -> None:
         self.count(hit.outcome)
         self.open_ids.pop(hit.statement.id, None)
-        self.host.ended(hit)
+        self.host.hit_ended(hit)
 
-    def gone(self, hit: Hit) -> None:
+    def abandon_hit(self, hit: PgHit) -> None:
         """Its client has left: nobody waits for what is under way, so where that may be called off, it is."""
         if hit.final:
             return
-        self.host.gone(hit)
+        self.host.abandon_hit(hit)
         if self.may_cancel and self.groups[hit.statement.group]["kind"] != "mutating":
             for forward in hit.forwards:
                 if forward is not None:
                     forward.cancel()
 
-    def open(self, listener) -> None:
+    def start_accepting(self, listener) -> None:
         self.listener = listener
         self.accepting = self.loop.spawn(
-            serve(self.loop, listener, self.client, self.room, "client", pause=20_000, evict=self.evict),
+            serve(
+                self.loop, listener, self.serve_client, self.room, "client", pause=20_000, evict=self.evict
+            ),
             "door",
         )
         self.loop.spawn(self.sweep(), "door-sweep")
@@ -271,23 +276,23 @@
             spare = (
                 not client.began
                 and now - client.came > YOUNG
-                or client.idle
+                or client.is_idle
                 and now - client.active > IDLE_PRESSED
             )
             if spare and not client.connection.closed:
-                if client.quiet():
+                if client.is_quiet():
                     self.count("evicted")
                     if not client.began:
-                        client.put(TOO_MANY)
+                        client.send_data(TOO_MANY)
                     client.connection.close()  # nothing lies unread: it ends as a half-close does
                     return True
-                if client.asked.torn and client.active < now and not turned_away:
+                if client.asked.has_partial and client.active < now and not turned_away:
                     self.count("evicted")
                     turned_away = True
                     client.turn_away(TOO_MANY)  # its room is free when it has closed, or soon
-        return len(self.clients) < self.most and self.host.places.evict()
+        return len(self.clients) < self.most and self.host.endpoints.evict()
 
-    def client(self, connection):
+    def serve_client(self, connection):
         """A task for each connection: reads, and so hears of a client that hangs up."""
         client = ClientConnection(self, connection)
         self.clients[client] = True
@@ -302,11 +307,11 @@
                         connection.abort()
                         return
                     continue
-                client.hear(data)
+                client.receive(data)
                 self.clients[client] = self.clients.pop(client)  # the longest idle come first
         finally:
             self.clients.pop(client, None)
-            client.leave()
+            client.abandon_open_hit()
             if client.writer is not None:
                 client.writer.cancel()
 
@@ -326,11 +331,11 @@
             elif client.closing is not None:
                 if now - client.closing > CLOSING:
                     client.connection.close()
-            elif client.hit is None and (client.asked.torn or not client.began):
+            elif client.hit is None and (client.asked.has_partial or not client.began):
                 if now - (client.active if client.began else client.came) > SILENT:
                     client.refuse("57P05", "nothing was asked")
-            elif len(self.clients) * 2 > self.room() and client.idle and now - client.active > IDLE_ENOUGH:
-                if client.quiet():
+            elif len(self.clients) * 2 > self.room() and client.is_idle and now - client.active > IDLE_ENOUGH:
+                if client.is_quiet():
                     self.count("evicted")
                     client.half_close()
 
@@ -340,7 +345,7 @@
         to our very end. Who is in the middle of a request may end it."""
         now = self.loop.now()
         for client in list(self.clients):
-            if now - client.active >= since and client.quiet():
+            if now - client.active >= since and client.is_quiet():
                 if client.began:
                     client.half_close()
                 else:  # it waits for an answer, as far as we know
@@ -362,9 +367,9 @@
             yield Sleep(10_000)
             self.half_close_idle(YOUNG)
         for hit in list(self.open_ids.values()):
-            self.host.too_late(hit)
+            self.host.answer_overdue(hit)
         for client in list(self.clients):
-            if client.asked.torn and client.closing is None:
+            if client.asked.has_partial and client.closing is None:
                 client.turn_away(ENDING)
         end = self.loop.now() + flush
         while self.clients and self.loop.now() < end:
--- a/cobaltpond/edge/log.py
+++ b/cobaltpond/edge/log.py
@@ -15,7 +15,7 @@
         self.sink, self.part, self.wall = sink, part, wall
         self.second, self.lines, self.left_out = 0, 0, 0
 
-    def put(self, level: str, event: str, more: dict) -> None:
+    def write_line(self, level: str, event: str, more: dict) -> None:
         now = self.wall()
         if now // 1_000_000 != self.second:
             self.second, self.lines = now // 1_000_000, 0
@@ -36,10 +36,10 @@
             pass
 
     def info(self, event, **more):
-        self.put("info", event, more)
+        self.write_line("info", event, more)
 
     def warning(self, event, **more):
-        self.put("warning", event, more)
+        self.write_line("warning", event, more)
 
     def error(self, event, **more):
-        self.put("error", event, more)
+        self.write_line("error", event, more)
--- a/cobaltpond/edge/platform.py
+++ b/cobaltpond/edge/platform.py
@@ -3,10 +3,10 @@
 import json
 
 from cobaltpond.edge.source_switch import SourceSwitch
-from cobaltpond.gateway.desk_client import ANSWERS
-from cobaltpond.loop import Deadline, TimedOut
-from cobaltpond.rpc import FAILED, NOT_SENT, Backoff, call, follow
-from cobaltpond.wire.json_lines import BadLine, one_object
+from cobaltpond.gateway.desk_client import VOTE_ANSWERS
+from cobaltpond.loop import Deadline, DeadlineExceededError
+from cobaltpond.rpc import CALL_ERRORS, NOT_SENT_ERRORS, Backoff, call, follow_stream
+from cobaltpond.wire.json_lines import JsonLineError, parse_object
 
 PHASES = {"canary": "trial", "reverting": "going back", "stable": "released", "reverted": "withdrawn"}
 DECISIONS = {"none": "abstain", "on": "promote", "hold": "pause", "back": "abort"}
@@ -33,11 +33,11 @@
     return state[0], COURSE.index(state[2]), state[1]
 
 
-class Platform:
+class PlatformDesk:
     def __init__(self, loop, host, address, vote_wait: int, dial_time: int, log):
         self.loop, self.host, self.address, self.log = loop, host, address, log
         self.vote_wait, self.dial_time, self.following = vote_wait, dial_time, SourceSwitch(loop, "feed")
-        self.heard, self.last, self.began, self.lowered = False, None, 0, {}
+        self.has_heard, self.last, self.began, self.lowered = False, None, 0, {}
         self.counts = {"news": 0, "wrong": 0, "errors": 0}
 
     def news(self, told: dict, reply: bool = False) -> None:
@@ -48,7 +48,7 @@
         self.counts["news"] += 1
         if self.last is not None and course(state) < course(self.last) and now - state[4] < self.began:
             if reply:  # the vote counts all the same
-                self.host.post_first("on_news", *self.last, max(0, now - self.began), True, "ok")
+                self.host.post_event_first("on_news", *self.last, max(0, now - self.began), True, "ok")
             return
         self.began = now - state[4]
         if state[:4] != self.last:
@@ -60,27 +60,27 @@
                 before[0] != state[0] or state[3] < before[3] or state[2] != before[2]
             ):
                 self.lowered = {**dict(list(self.lowered.items())[-LOWERED:]), state[0]: now}
-        self.host.post_first("on_news", *state, reply, "ok")
+        self.host.post_event_first("on_news", *state, reply, "ok")
 
-    def take(self, objects: list) -> None:
+    def apply_objects(self, objects: list) -> None:
         """Raises BadLine: guards against a feed that came spoilt, whose next lines may be lost; a new one
         begins with the state."""
         for told in objects:
             try:
                 if told.get("type") == "ROLLOUT":
                     self.news(told["object"])
-                    self.heard = True
+                    self.has_heard = True
                 elif told.get("type") == "DISPUTE":
                     one = told["object"]
                     instance, group, age = str(one["InstanceId"]), str(one["Lane"]), int(one["AgeMs"] * 1000)
                     self.counts["wrong"] += 1
-                    self.host.post("on_wrong", instance, group, age)
+                    self.host.post_event("on_wrong", instance, group, age)
                 elif told:  # an empty object is a sign of life
-                    raise BadLine(f"no news: {str(told)[:80]}")
+                    raise JsonLineError(f"no news: {str(told)[:80]}")
             except NO_NEWS as trouble:
-                raise BadLine(f"no news: {trouble!r}"[:200]) from trouble
+                raise JsonLineError(f"no news: {trouble!r}"[:200]) from trouble
 
-    def recall(self, told: dict | None) -> None:
+    def restore(self, told: dict | None) -> None:
         """What the configuration holds of the newest build."""
         if told:
             try:
@@ -97,26 +97,26 @@
         """The feed, for ever."""
 
         def take(objects):
-            if not self.following.replaced:  # what two feeds tell must not count twice
-                self.following.heard()
-                self.take(objects)
+            if not self.following.is_replaced:  # what two feeds tell must not count twice
+                self.following.source_answered()
+                self.apply_objects(objects)
 
         def broken(trouble):
             self.counts["errors"] += 1
             self.log.warning("feed broken", why=f"{type(trouble).__name__}: {trouble}"[:200])
 
-        yield from follow(
+        yield from follow_stream(
             self.loop,
             address,
             lambda: FEED,
             take,
             SILENCE,
             self.dial_time,
-            Backoff(50_000, 1_000_000, self.loop.kernel.seed()),
+            Backoff(50_000, 1_000_000, self.loop.kernel.random_seed()),
             broken,
         )
 
-    def vote(self, build, stage, verdict):
+    def cast_vote(self, build, stage, verdict):
         """One vote and exactly one answer: ok, moot, full, error (it did not count), timeout (it may
         count)."""
         answer = "timeout"
@@ -128,13 +128,13 @@
                 status, text = yield from call(
                     self.loop, self.address, "POST", BALLOTS, body.encode(), self.dial_time
                 )
-            answer = ANSWERS.get(status, "error" if status in (400, 500) else "timeout")
+            answer = VOTE_ANSWERS.get(status, "error" if status in (400, 500) else "timeout")
             if status == 200:
-                self.news(one_object(text), True)
-        except NOT_SENT:
+                self.news(parse_object(text), True)
+        except NOT_SENT_ERRORS:
             answer = "error"
-        except (*FAILED, TimedOut, *NO_NEWS):
+        except (*CALL_ERRORS, DeadlineExceededError, *NO_NEWS):
             answer = "timeout"  # it may have been heard, and what was said makes no sense
         self.log.info("vote answered", build=build, stage=stage, verdict=verdict, answer=answer)
         if answer != "ok":
-            self.host.post_first("on_news", build, stage, "trial", 0.0, 0, True, answer)
+            self.host.post_event_first("on_news", build, stage, "trial", 0.0, 0, True, answer)
--- a/cobaltpond/gateway/admission_limits.py
+++ b/cobaltpond/gateway/admission_limits.py
@@ -2,34 +2,36 @@
 by all."""
 
 from cobaltpond.leases.service import Leases
-from cobaltpond.limits.compiled import Limits
-from cobaltpond.limits.rules import Hit, Limit
+from cobaltpond.limits.compiled import CompiledLimits
+from cobaltpond.limits.rules import HitAttributes, Limit
 
 OWN = 5  # a fifth of a fleet's limit is everybody's own, in equal parts
 LIFE = 2_000_000  # of a lease
 
 
-class Limited:
+class AdmissionLimits:
     """`settings.limits`; `members`: `members.service.Members`, needed for limits of the whole fleet."""
 
     def __init__(self, loop, sheet, number: int, members, log):
-        self.loop, self.log, self.sheet, self.noted = loop, log, sheet, {}
+        self.loop, self.log, self.settings, self.noted = loop, log, sheet, {}
         parents = {limit.name: limit for limit in sheet.limits}
-        plain = [Limit(**limit.plain(parents)) for limit in sheet.limits]
+        plain = [Limit(**limit.limit_fields(parents)) for limit in sheet.limits]
         self.count = len(sheet.gateways)
-        self.limits = Limits(plain, self.base)
+        self.limits = CompiledLimits(plain, self.own_rate)
         names = [limit.name for limit in plain if limit.fleet]
-        pools = {limit.name: limit.rate - self.count * self.base(limit) for limit in plain if limit.fleet}
+        pools = {limit.name: limit.rate - self.count * self.own_rate(limit) for limit in plain if limit.fleet}
         self.leases = (
             Leases(loop, number, self.count, members, self.limits, names, pools, LIFE) if names else None
         )
 
-    def base(self, limit: Limit) -> int:
+    def own_rate(self, limit: Limit) -> int:
         return limit.rate // OWN // self.count if limit.fleet else limit.rate
 
-    def ask(self, group, customer, key, again):
+    def check(self, group, customer, key, again):
         """A `limits.rules.Verdict`."""
-        verdict = self.limits.ask(self.loop.now(), Hit(group.name, group.kind, customer, key, again))
+        verdict = self.limits.check(
+            self.loop.now(), HitAttributes(group.name, group.kind, customer, key, again)
+        )
         for name in verdict.over:  # once a second each: a flood must not fill the log
             if self.loop.now() - self.noted.get(name, -1_000_000) >= 1_000_000:
                 self.noted[name] = self.loop.now()
