--- a/cobaltpond/gateway/decision_host.py
+++ b/cobaltpond/gateway/decision_host.py
@@ -8,17 +8,17 @@
 """
 
 from cobaltpond.decisions.rules import Gateway
-from cobaltpond.gateway.pending_hit import Owed
+from cobaltpond.gateway.pending_hit import PendingHit
 
 
-class Host:
+class GatewayDecisionHost:
     """`runsheet`: what the decisions get; `most_hits` open at once; `slack`: how long before the client's own
     time is up the decisions believe it to be up, in microseconds."""
 
     name = "decisions"  # as tasks have one, for the log
 
     def __init__(self, loop, runsheet: dict, start: int, most_hits: int, slack: int, places, forwards, log):
-        self.loop, self.runsheet, self.number, self.start, self.log = (
+        self.loop, self.policy_settings, self.number, self.start, self.log = (
             loop,
             runsheet,
             runsheet["number"],
@@ -26,47 +26,53 @@
             log,
         )
         self.most_hits, self.slack, self.most_forwards = most_hits, slack, runsheet.get("most_forwards", 1)
-        self.places, self.forwards = places, forwards
+        self.endpoints, self.forwards = places, forwards
         self.hits, self.first, self.inbox, self.open_hits = {}, [], [], 0
         self.taken, self.probes_out, self.decisions = 0, 0, None
-        self.list, self.news, self.peers = None, None, None  # set by whoever puts the gateway together
-        self.may = lambda what, verdict="": True  # may this phase of the gateway vote so, or tell a sample?
+        self.instance_source, self.desk_client, self.peers = (
+            None,
+            None,
+            None,
+        )  # set by whoever puts the gateway together
+        self.is_allowed = (
+            lambda what, verdict="": True
+        )  # may this phase of the gateway vote so, or tell a sample?
         self.counts = {"forwards": 0, "overdue": 0, "probes": 0, "votes": 0, "told": 0, "peer sends lost": 0}
-        loop.after_turn.append(self.turn)
+        loop.after_turn.append(self.deliver_events)
 
-    def begin(self, decisions=Gateway, seed: int | None = None) -> None:
+    def start_decisions(self, decisions=Gateway, seed: int | None = None) -> None:
         """Makes the decisions; from here on they are told everything."""
-        seed = self.loop.kernel.seed() if seed is None else seed
-        self.decisions = decisions(self, self.loop.now(), seed, self.runsheet)
+        seed = self.loop.kernel.random_seed() if seed is None else seed
+        self.decisions = decisions(self, self.loop.now(), seed, self.policy_settings)
 
-    def turn(self) -> None:
+    def deliver_events(self) -> None:
         now = self.loop.now()
         batch, self.first, self.inbox = self.first + self.inbox, [], []
         for name, *arguments in batch:
             try:
                 getattr(self.decisions, name)(now, *arguments)
             except Exception as trouble:  # guards all other hits against a fault met by one
-                self.loop.on_death(self, trouble)
+                self.loop.on_task_failure(self, trouble)
 
-    def post(self, name: str, *arguments) -> None:
+    def post_event(self, name: str, *arguments) -> None:
         """Tells the decisions at the end of this turn."""
         self.inbox.append((name, *arguments))
 
-    def post_first(self, name: str, *arguments) -> None:
+    def post_event_first(self, name: str, *arguments) -> None:
         self.first.append((name, *arguments))
 
     # --- the door ----------------------------------------------------------------------------------------
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return self.open_hits >= self.most_hits
 
     def next_number(self) -> int:
         self.taken += 1
         return self.taken
 
-    def take(
+    def accept_hit(
         self,
-        hit: Owed,
+        hit: PendingHit,
         group: str,
         customer: str | None,
         key: int | None,
@@ -79,61 +85,63 @@
         `net`."""
         self.hits[hit.number] = hit
         self.open_hits += 1
-        hit.overdue = self.loop.call_in(left if net is None else net, lambda: self.too_late(hit))
-        self.post("on_hit", hit.number, group, customer, key, max(1, left - self.slack), cost, again)
+        hit.overdue = self.loop.call_in(left if net is None else net, lambda: self.answer_overdue(hit))
+        self.post_event("on_hit", hit.number, group, customer, key, max(1, left - self.slack), cost, again)
 
-    def ended(self, hit: Owed) -> None:
+    def hit_ended(self, hit: PendingHit) -> None:
         self.open_hits -= 1
-        self.loop.call_in(0, lambda: self.forget(hit))  # not before the decisions have heard of its end
+        self.loop.call_in(
+            0, lambda: self.drop_finished(hit)
+        )  # not before the decisions have heard of its end
 
-    def forget(self, hit: Owed) -> None:
+    def drop_finished(self, hit: PendingHit) -> None:
         if hit.final and all(task is None or task.done for task in hit.forwards):
             self.hits.pop(hit.number, None)
 
-    def gone(self, hit: Owed) -> None:
+    def abandon_hit(self, hit: PendingHit) -> None:
         if not hit.final:
-            hit.end("gone")
-            self.post("on_gone", hit.number)
+            hit.finalize("gone")
+            self.post_event("on_gone", hit.number)
 
-    def too_late(self, hit: Owed) -> None:
+    def answer_overdue(self, hit: PendingHit) -> None:
         """The decisions answer every hit before its client timeout. Guards against a gateway that stood still
         over it: the client is told at once, and the decisions that nothing is owed any more."""
         if not hit.final:
             self.counts["overdue"] += 1
             self.log.error("answer overdue", hit=hit.name)
-            hit.error(late=True)
-            self.post("on_gone", hit.number)
+            hit.fail(late=True)
+            self.post_event("on_gone", hit.number)
 
     # --- what the decisions ask for ----------------------------------------------------------------------
 
-    def forward(self, hit, instance, time_out, send_within):
-        held, place = self.hits[hit], self.places.by_id.get(instance)
+    def send_forward(self, hit, instance, time_out, send_within):
+        held, place = self.hits[hit], self.endpoints.by_id.get(instance)
         number = len(held.forwards)
         if held.final:  # its client left in this very turn
             held.forwards.append(None)
-            self.loop.call_in(0, lambda: self.post("on_outcome", hit, number, "moot", 0, True, {}))
+            self.loop.call_in(0, lambda: self.post_event("on_outcome", hit, number, "moot", 0, True, {}))
             return
 
         def tell(ending, took, closed, report):
             held.last_ending = ending
-            self.post("on_outcome", hit, number, ending, took, closed, report)
-            self.loop.call_in(0, lambda: self.forget(held))
+            self.post_event("on_outcome", hit, number, ending, took, closed, report)
+            self.loop.call_in(0, lambda: self.drop_finished(held))
 
         if place is None or number >= self.most_forwards:
             held.forwards.append(None)
-            self.forwards.seen["not listed" if place is None else "nothing to send"] += 1
+            self.forwards.observations["not listed" if place is None else "nothing to send"] += 1
             self.loop.call_in(0, lambda: tell("unreachable" if place is None else "moot", 0, held.final, {}))
             return
         self.counts["forwards"] += 1
-        self.places.promise(place)
+        self.endpoints.reserve(place)
         held.forwards.append(
             self.loop.spawn(
-                self.forwards.carry(held, number, place, time_out, send_within, tell),
+                self.forwards.run_forward(held, number, place, time_out, send_within, tell),
                 f"forward-{held.name}-{number}",
             )
         )
 
-    def cancel(self, hit, forward):
+    def cancel_forward(self, hit, forward):
         held = self.hits.get(hit)
         # past the point of no return nothing is called off
         if (
@@ -144,57 +152,58 @@
         ):
             held.forwards[forward].cancel()
 
-    def bounce(self, hit, retry_after):
+    def reject_hit(self, hit, retry_after):
         held = self.hits.get(hit)
         if held is not None and not held.final:
-            held.bounce(retry_after)
+            held.reject(retry_after)
 
-    def error(self, hit):
+    def fail_hit(self, hit):
         held = self.hits.get(hit)
         if held is not None and not held.final:
-            held.error(late=held.last_ending == "timeout")
+            held.fail(late=held.last_ending == "timeout")
 
-    def wake(self, token, delay):
-        self.loop.call_in(delay, lambda: self.post("on_wake", token))
+    def schedule_wakeup(self, token, delay):
+        self.loop.call_in(delay, lambda: self.post_event("on_wake", token))
 
-    def probe(self, instance):
+    def probe_instance(self, instance):
         self.counts["probes"] += 1
-        place = self.places.by_id.get(instance)
+        place = self.endpoints.by_id.get(instance)
         if place is None:
-            self.loop.call_in(0, lambda: self.post("on_probed", instance, "unreachable", 0, {}))
+            self.loop.call_in(0, lambda: self.post_event("on_probed", instance, "unreachable", 0, {}))
             return
-        self.places.promise(place)
+        self.endpoints.reserve(place)
         self.loop.spawn(
-            self.forwards.probe(place, lambda *told: self.post("on_probed", instance, *told)), "probe"
+            self.forwards.run_probe(place, lambda *told: self.post_event("on_probed", instance, *told)),
+            "probe",
         )
 
-    def reaches(self, instance):
+    def is_reachable(self, instance):
         """May a forward go there now: is a kept connection idle, or a new one our turn?"""
-        place = self.places.by_id.get(instance)
-        return place is None or self.places.reaches(place)
+        place = self.endpoints.by_id.get(instance)
+        return place is None or self.endpoints.is_reachable(place)
 
-    def vote(self, build, stage, verdict):
-        if not self.may("vote", verdict):  # not counted: it may be cast again later
+    def cast_vote(self, build, stage, verdict):
+        if not self.is_allowed("vote", verdict):  # not counted: it may be cast again later
             self.loop.call_in(
-                0, lambda: self.post_first("on_news", build, stage, "trial", 0.0, 0, True, "full")
+                0, lambda: self.post_event_first("on_news", build, stage, "trial", 0.0, 0, True, "full")
             )
             return
         self.counts["votes"] += 1
         self.log.info("vote", build=build, stage=stage, verdict=verdict)
-        self.loop.spawn(self.news.vote(build, stage, verdict), "vote")
+        self.loop.spawn(self.desk_client.cast_vote(build, stage, verdict), "vote")
 
     def fetch_list(self):
-        self.loop.spawn(self.list.ask(whole=True), "list-fetch")
+        self.loop.spawn(self.instance_source.request_list(whole=True), "list-fetch")
 
     def watch_list(self):
-        self.loop.spawn(self.list.ask(whole=False), "list-watch")
+        self.loop.spawn(self.instance_source.request_list(whole=False), "list-watch")
 
-    def tell(self, peer, data):
-        if not self.may("tell"):
+    def send_to_peer(self, peer, data):
+        if not self.is_allowed("tell"):
             return
         self.counts["told"] += 1
-        if self.peers is None or not self.peers.tell(peer, data):
+        if self.peers is None or not self.peers.send_to(peer, data):
             self.counts["peer sends lost"] += 1
 
-    def note(self, text):
+    def log_note(self, text):
         self.log.info("decision", text=text)
--- a/cobaltpond/gateway/endpoints.py
+++ b/cobaltpond/gateway/endpoints.py
@@ -2,76 +2,88 @@
 
 from collections import deque
 
-from cobaltpond.loop import Deadline, HandlesUsedUp, PeerLost, Refused, Sleep, TimedOut, Unreachable, dial
+from cobaltpond.loop import (
+    ConnectionLostError,
+    Deadline,
+    DeadlineExceededError,
+    HandlesExhaustedError,
+    RefusedError,
+    Sleep,
+    UnreachableError,
+    dial,
+)
 
 SWEEP_LEAST = 20_000  # between two sweeps, however short the idle time is
-PROMISED = 100_000  # a forward that has not asked by then will not ask any more
+RESERVATION_TIME = 100_000  # a forward that has not asked by then will not ask any more
 
 
-class NoConnection(Exception):
+class NoConnectionError(Exception):
     """None was to be had, and nothing was sent; the text is a key of `endings.SEEN`."""
 
 
-class Place:
+class InstanceEndpoint:
     """One instance of the list: `row` as the decisions get it, where to dial, connections that wait."""
 
     def __init__(self, row: dict, address: tuple[str, int]):
         self.row, self.address = row, address
-        self.idle, self.open = deque(), 0  # (connection, since); all that are open
-        self.promised = self.dials = self.promised_at = (
+        self.idle, self.open_count = deque(), 0  # (connection, since); all that are open
+        self.reserved = self.dials = self.reserved_at = (
             0  # forwards on their way to a kept connection, to a dial
         )
 
 
-class Places:
+class EndpointPool:
     def __init__(self, loop, limits, greet=None, most=None):
         """`limits`: the sheet's `instances`. `greet(connection)`: what a protocol needs before the first hit,
         within the dial's time; raises NoConnection. `most()`: connections to all instances together, now."""
-        self.loop, self.limits, self.by_id, self.greet, self.most = loop, limits, {}, greet, most
-        self.open, self.turns = 0, None  # `recovery.rate_limiter.Turns`, where new connections are paced
+        self.loop, self.limits, self.by_id, self.handshake, self.most = loop, limits, {}, greet, most
+        self.open_count, self.dial_limiter = (
+            0,
+            None,
+        )  # `recovery.rate_limiter.Turns`, where new connections are paced
 
-    def reaches(self, place: Place) -> bool:
+    def is_reachable(self, place: InstanceEndpoint) -> bool:
         """Is a kept connection left for one more forward, or a new one allowed now?"""
-        if self.turns is not None:
-            self.settle(place)
+        if self.dial_limiter is not None:
+            self.expire_reservations(place)
         return (
-            self.turns is None
-            or self.spare(place) > place.promised
-            or self.turns.due(place.row["id"], self.loop.now())
+            self.dial_limiter is None
+            or self.idle_count(place) > place.reserved
+            or self.dial_limiter.is_due(place.row["id"], self.loop.now())
         )
 
-    def settle(self, place: Place) -> None:
+    def expire_reservations(self, place: InstanceEndpoint) -> None:
         """Forwards that were called off before they asked for their connection do not keep it from others for
         ever."""
-        if self.loop.now() - place.promised_at > PROMISED:
-            place.promised = place.dials = 0
+        if self.loop.now() - place.reserved_at > RESERVATION_TIME:
+            place.reserved = place.dials = 0
 
-    def spare(self, place: Place) -> int:
+    def idle_count(self, place: InstanceEndpoint) -> int:
         """Kept connections that have rested, and not for too long."""
         now = self.loop.now()
         return sum(self.limits.rest_time <= now - since < self.limits.idle_time for _, since in place.idle)
 
-    def promise(self, place: Place) -> None:
+    def reserve(self, place: InstanceEndpoint) -> None:
         """A forward will ask for a connection in this turn of the loop: what it will use is not promised
         twice."""
-        if self.turns is None:
+        if self.dial_limiter is None:
             return
-        self.settle(place)
-        place.promised_at = self.loop.now()
-        if self.spare(place) > place.promised:
-            place.promised += 1
-        elif self.turns.take(place.row["id"], self.loop.now()):
+        self.expire_reservations(place)
+        place.reserved_at = self.loop.now()
+        if self.idle_count(place) > place.reserved:
+            place.reserved += 1
+        elif self.dial_limiter.try_acquire(place.row["id"], self.loop.now()):
             place.dials += 1
 
-    def allowed(self, place: Place) -> bool:
+    def may_dial(self, place: InstanceEndpoint) -> bool:
         """May this forward make a new connection? One that was promised a kept one, which has ended
         meanwhile, needs a turn of its own: guards against hundreds that all dial again when a zone resets
         what they had."""
-        self.settle(place)
+        self.expire_reservations(place)
         if place.dials:
             place.dials -= 1
             return True
-        return self.turns is None or self.turns.take(place.row["id"], self.loop.now())
+        return self.dial_limiter is None or self.dial_limiter.try_acquire(place.row["id"], self.loop.now())
 
     def update(self, whole: bool, rows: list[tuple[dict, tuple[str, int]]]) -> None:
         """`rows`: what the decisions get, and the address. Connections to what restarted or left are
@@ -79,28 +91,28 @@
         if whole:
             listed = {row["id"] for row, _ in rows}
             for id in [id for id in self.by_id if id not in listed]:
-                self.forget(self.by_id.pop(id))
+                self.close_idle(self.by_id.pop(id))
         for row, address in rows:
             place = self.by_id.get(row["id"])
             if row["state"] == "gone":
                 if place is not None:
-                    self.forget(self.by_id.pop(row["id"]))
+                    self.close_idle(self.by_id.pop(row["id"]))
             elif (
                 place is None
                 or place.address != address
                 or any(place.row[mark] != row[mark] for mark in ("started", "build"))
             ):
                 if place is not None:  # nothing of the last one carries over
-                    self.forget(place)
-                self.by_id[row["id"]] = Place(row, address)
+                    self.close_idle(place)
+                self.by_id[row["id"]] = InstanceEndpoint(row, address)
             else:
                 place.row = row
 
-    def forget(self, place: Place) -> None:
+    def close_idle(self, place: InstanceEndpoint) -> None:
         while place.idle:
             self.close(place, place.idle.popleft()[0])
 
-    def take(self, place: Place):
+    def acquire(self, place: InstanceEndpoint):
         """A connection, and whether it was kept from an earlier hit. Raises NoConnection.
 
         A kept one is looked at before it is given out: guards against an instance that closed it meanwhile.
@@ -108,45 +120,45 @@
         it has rested it is not given out: guards against a second answer to the hit before, which comes a
         little later and would pass for the answer to the next.
         """
-        place.promised = max(0, place.promised - 1)
+        place.reserved = max(0, place.reserved - 1)
         while (connection := self.rested(place)) is not None:
             try:
                 if connection.read_now(1) is None:
                     return connection, True
-            except PeerLost:
+            except ConnectionLostError:
                 pass
             self.close(place, connection)
-        if place.open >= self.limits.connections or (
-            self.most is not None and self.open >= self.most() and not self.evict()
+        if place.open_count >= self.limits.connections or (
+            self.most is not None and self.open_count >= self.most() and not self.evict()
         ):
-            raise NoConnection("no connection free")
-        if not self.allowed(place):
-            raise NoConnection("not our turn")
-        place.open += 1
-        self.open += 1
+            raise NoConnectionError("no connection free")
+        if not self.may_dial(place):
+            raise NoConnectionError("not our turn")
+        place.open_count += 1
+        self.open_count += 1
         try:
             try:
                 connection = yield from self.made(place)
-            except HandlesUsedUp:
+            except HandlesExhaustedError:
                 if not self.evict():
                     raise
                 connection = yield from self.made(place)
         except BaseException as trouble:
-            place.open -= 1
-            self.open -= 1
+            place.open_count -= 1
+            self.open_count -= 1
             why = {
-                Refused: "refused",
-                Unreachable: "no route",
-                TimedOut: "dial too slow",
-                HandlesUsedUp: "no handle",
-                PeerLost: "no route",
+                RefusedError: "refused",
+                UnreachableError: "no route",
+                DeadlineExceededError: "dial too slow",
+                HandlesExhaustedError: "no handle",
+                ConnectionLostError: "no route",
             }.get(type(trouble))
             if why is None:
                 raise
-            raise NoConnection(why) from None
+            raise NoConnectionError(why) from None
         return connection, False
 
-    def rested(self, place: Place):
+    def rested(self, place: InstanceEndpoint):
         """The kept connection that came back last of those that have rested; None where there is none. What
         has idled its time is left to the sweep. Guards against the machine that closes it with a request on
         its way."""
@@ -158,28 +170,28 @@
                 return connection
         return None
 
-    def made(self, place: Place):
+    def made(self, place: InstanceEndpoint):
         """A new connection, ready for a hit."""
         with Deadline(self.loop, self.limits.dial_time):
             connection = yield from dial(self.loop, place.address, self.limits.dial_time)
-            if self.greet is not None:
+            if self.handshake is not None:
                 try:
-                    yield from self.greet(connection)
+                    yield from self.handshake(connection)
                 except BaseException:
                     connection.abort()
                     raise
         return connection
 
-    def give_back(self, place: Place, connection) -> None:
+    def release(self, place: InstanceEndpoint, connection) -> None:
         """Kept for the next hit, unless the instance has left meanwhile."""
         if self.by_id.get(place.row["id"]) is place and not connection.closed:
             place.idle.append((connection, self.loop.now()))
         else:
             self.close(place, connection)
 
-    def close(self, place: Place, connection, reset: bool = False) -> None:
-        place.open -= 1
-        self.open -= 1
+    def close(self, place: InstanceEndpoint, connection, reset: bool = False) -> None:
+        place.open_count -= 1
+        self.open_count -= 1
         connection.abort() if reset else connection.close()
 
     def evict(self) -> bool:
@@ -200,7 +212,7 @@
     def counts(self) -> dict:
         return {
             id: {
-                "open": place.open,
+                "open": place.open_count,
                 "idle": len(place.idle),
                 "state": place.row["state"],
                 "build": place.row["build"],
--- a/cobaltpond/gateway/forward_results.py
+++ b/cobaltpond/gateway/forward_results.py
@@ -4,12 +4,12 @@
 all others leave it open. When in doubt it is open.
 """
 
-from cobaltpond.wire.http1 import Head
+from cobaltpond.wire.http1 import MessageHead
 
 NOT_RUN_FIELD = b"cobaltpond-not-run"
 
 # what was seen -> (ending, reason)
-SEEN = {
+FORWARD_RESULTS = {
     "refused": ("unreachable", "the dial was refused: no byte of the hit has left"),
     "no route": ("unreachable", "the dial failed: no byte of the hit has left"),
     "dial too slow": ("unreachable", "no connection in time: no byte of the hit has left"),
@@ -61,7 +61,7 @@
 }
 
 
-def of_answer(head: Head, refusals: tuple[int, ...]) -> str:
+def classify_response(head: MessageHead, refusals: tuple[int, ...]) -> str:
     """The key in SEEN for a whole answer. A refusal is a status that the sheet names as one, or an answer
     that carries `Cobaltpond-Not-Run`: nothing else promises that the hit did not run."""
     if head.status in refusals or head.get(NOT_RUN_FIELD) is not None:
--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -11,22 +11,22 @@
 import zlib
 from urllib.parse import urlencode
 
-from cobaltpond.decisions.sample_message import Told
-from cobaltpond.loop import Deadline, Sleep, TimedOut
-from cobaltpond.recovery.list_reconciliation import Doubt
-from cobaltpond.rpc import FAILED, Backoff, call, follow
+from cobaltpond.decisions.sample_message import SampleMessage
+from cobaltpond.loop import Deadline, DeadlineExceededError, Sleep
+from cobaltpond.recovery.list_reconciliation import ListReconciler
+from cobaltpond.rpc import CALL_ERRORS, Backoff, call, follow_stream
 from cobaltpond.settings.sections import split_address
-from cobaltpond.wire.json_lines import BadLine, Lines
+from cobaltpond.wire.json_lines import JsonLineError, JsonLineParser
 
 STATES = ("up", "draining", "gone")
 ANSWERS_FOR = 30_000_000  # so long ago an answer speaks for an instance
 
 
-class Gap(Exception):
+class ListGapError(Exception):
     """A change to a list that is not the one held."""
 
 
-class Held:
+class InstanceList:
     """The list as last heard. Free of I/O."""
 
     def __init__(self):
@@ -39,13 +39,15 @@
             if not whole and (told["epoch"], told["base"]) != (self.epoch, self.revision):
                 if told["epoch"] == self.epoch and told["revision"] <= self.revision:
                     return False, []  # heard already, over another connection
-                raise Gap(f"a change to {told['epoch']}/{told['base']}, held is {self.epoch}/{self.revision}")
+                raise ListGapError(
+                    f"a change to {told['epoch']}/{told['base']}, held is {self.epoch}/{self.revision}"
+                )
             if whole and told["epoch"] == self.epoch and told["revision"] < self.revision:
                 return False, []  # an answer that was overtaken
             rows = [self.row(now, entry) for entry in told["rows"]]
             self.epoch, self.revision = told["epoch"], int(told["revision"])
         except (KeyError, TypeError, ValueError, AttributeError) as trouble:
-            raise BadLine(f"no list: {trouble!r}") from trouble
+            raise JsonLineError(f"no list: {trouble!r}") from trouble
         if whole:
             self.rows = {}
         for entry in told["rows"]:
@@ -74,7 +76,7 @@
             "started": self.starts[mark],
         }, address
 
-    def kept(self, now: int) -> bytes:
+    def to_disk(self, now: int) -> bytes:
         """What goes to disk, with a checksum: a torn file is found out."""
         rows = [
             {**{k: v for k, v in entry.items() if k != "at"}, "age_us": entry["age_us"] + now - entry["at"]}
@@ -85,10 +87,12 @@
         ).encode()
         return b"%08x %s\n" % (zlib.crc32(body), body)
 
-    def draining(self) -> list[int]:
+    def draining_tags(self) -> list[int]:
         """Tags of those that drain by it, as gateways tell each other of instances."""
         return [
-            Told.mark(id, entry["build"]) for id, entry in self.rows.items() if entry["state"] == "draining"
+            SampleMessage.instance_tag(id, entry["build"])
+            for id, entry in self.rows.items()
+            if entry["state"] == "draining"
         ]
 
     @staticmethod
@@ -101,26 +105,29 @@
             return None
 
 
-class Follower:
+class InstanceListFollower:
     def __init__(self, loop, sheet, place, host, log):
-        self.loop, self.sheet, self.host, self.log = loop, sheet, host, log
+        self.loop, self.settings, self.host, self.log = loop, sheet, host, log
         self.address, self.memory = split_address(sheet.listing.address), place.memory
-        self.held, self.heard, self.dirty = Held(), False, False
-        self.said = lambda: None  # called whenever the list has been applied
-        self.doubt, self.recalled = Doubt(self.answers), {}  # rows of the kept list, until one has been heard
-        self.waits = Backoff(100_000, 3_000_000, loop.kernel.seed())
+        self.instance_list, self.has_heard, self.dirty = InstanceList(), False, False
+        self.on_applied = lambda: None  # called whenever the list has been applied
+        self.reconciler, self.kept_list = (
+            ListReconciler(self.is_answering),
+            {},
+        )  # rows of the kept list, until one has been heard
+        self.waits = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
         self.counts = {"applied": 0, "gaps": 0, "errors": 0}
 
-    def recall(self) -> None:
+    def restore_kept_list(self) -> None:
         """The list as it was kept: it may be out of date, and its revision is not built upon."""
-        told = Held.from_disk(self.loop.kernel.read_file(self.memory)) if self.memory else None
+        told = InstanceList.from_disk(self.loop.kernel.read_file(self.memory)) if self.memory else None
         if told is not None:
             try:
-                _, rows = Held().apply(self.loop.now(), told)
-            except BadLine as trouble:
+                _, rows = InstanceList().apply(self.loop.now(), told)
+            except JsonLineError as trouble:
                 self.log.warning("kept list unreadable", why=str(trouble))
                 return
-            self.recalled = {
+            self.kept_list = {
                 "epoch": told["epoch"],
                 "rows": {
                     row["id"]: {**row, "at": self.loop.now()}
@@ -128,36 +135,42 @@
                     if row["state"] != "gone"
                 },
             }
-            self.doubt.seen(told["rows"])
-            self.host.places.update(True, rows)
-            self.host.post_first("on_list", True, [row for row, _ in rows])
+            self.reconciler.record_rows(told["rows"])
+            self.host.endpoints.update(True, rows)
+            self.host.post_event_first("on_list", True, [row for row, _ in rows])
             self.log.info("list recalled", revision=told["revision"], rows=len(rows))
 
-    def take(self, told: dict) -> None:
+    def apply_object(self, told: dict) -> None:
         if told.get("beat"):
             return
-        told = self.sober(told)
-        whole, rows = self.held.apply(self.loop.now(), told)
-        self.doubt.seen(told["rows"])
-        self.doubt.change(() if whole else told["rows"])
-        self.heard, self.dirty, self.recalled = True, True, {}
-        self.said()
+        told = self.reconcile(told)
+        whole, rows = self.instance_list.apply(self.loop.now(), told)
+        self.reconciler.record_rows(told["rows"])
+        self.reconciler.apply_change(() if whole else told["rows"])
+        self.has_heard, self.dirty, self.kept_list = True, True, {}
+        self.on_applied()
         if rows or whole:
             self.counts["applied"] += 1
-            self.host.places.update(whole, rows)
-            self.host.post_first("on_list", whole, [row for row, _ in rows])
+            self.host.endpoints.update(whole, rows)
+            self.host.post_event_first("on_list", whole, [row for row, _ in rows])
             self.log.info(
                 "list",
-                revision=self.held.revision,
+                revision=self.instance_list.revision,
                 whole=whole,
                 rows=[f"{r['id']} {r['state']} build {r['build']}" for r, _ in rows][:20],
             )
 
-    def sober(self, told: dict) -> dict:
+    def reconcile(self, told: dict) -> dict:
         """A whole list of another epoch than the one held, or kept, is looked at before it is obeyed. What is
         no list at all is left to `Held.apply`."""
-        epoch = self.held.epoch if self.held.epoch is not None else self.recalled.get("epoch")
-        rows = self.held.rows if self.held.epoch is not None else self.recalled.get("rows", {})
+        epoch = (
+            self.instance_list.epoch if self.instance_list.epoch is not None else self.kept_list.get("epoch")
+        )
+        rows = (
+            self.instance_list.rows
+            if self.instance_list.epoch is not None
+            else self.kept_list.get("rows", {})
+        )
         if epoch is None or told.get("base", 0) is not None or told.get("epoch") == epoch:
             return told
         now = self.loop.now()
@@ -166,38 +179,38 @@
             for id, row in rows.items()
         }
         try:
-            obeyed = self.doubt.whole(now, held, told["rows"])
+            obeyed = self.reconciler.filter_whole_list(now, held, told["rows"])
         except (KeyError, TypeError, ValueError):
             return told
         if len(obeyed) != len(told["rows"]) or obeyed != told["rows"]:
             self.log.warning(
-                "list doubted", epoch=told.get("epoch"), rows=len(told["rows"]), **self.doubt.counts
+                "list doubted", epoch=told.get("epoch"), rows=len(told["rows"]), **self.reconciler.counts
             )
         return {**told, "rows": obeyed}
 
-    def answers(self, id: str, now: int) -> bool:
+    def is_answering(self, id: str, now: int) -> bool:
         """For all that this gateway knows, does the instance still answer? One not asked yet is not held for
         gone."""
         fleet = getattr(self.host.decisions, "fleet", None)
         instance = fleet.by_id.get(id) if fleet is not None else None
         if instance is None:
-            return not self.heard
-        if now < instance.benched_until or instance.faults > 0.5:
+            return not self.has_heard
+        if now < instance.ejected_until or instance.faults > 0.5:
             return False
         return not instance.heard_at or now - instance.heard_at < ANSWERS_FOR
 
-    def doubts(self):
+    def resolve_doubts(self):
         """Ends the doubt about instances that a new epoch of the list has lost: for ever."""
         while True:
             yield Sleep(1_000_000)
-            rows = self.doubt.due(self.loop.now())
+            rows = self.reconciler.due_rows(self.loop.now())
             if rows:
                 self.log.warning("gone after all", rows=[row["id"] for row in rows][:20])
-                self.take(
+                self.apply_object(
                     {
-                        "epoch": self.held.epoch,
-                        "revision": self.held.revision,
-                        "base": self.held.revision,
+                        "epoch": self.instance_list.epoch,
+                        "revision": self.instance_list.revision,
+                        "base": self.instance_list.revision,
                         "rows": rows,
                     }
                 )
@@ -206,11 +219,11 @@
         asked = {"gateway": self.host.number}
         if stream:
             asked["watch"] = 1
-        if not whole and self.held.epoch is not None:
-            asked.update(epoch=self.held.epoch, after=self.held.revision)
+        if not whole and self.instance_list.epoch is not None:
+            asked.update(epoch=self.instance_list.epoch, after=self.instance_list.revision)
         return "/v1/list?" + urlencode(asked)
 
-    def push(self):
+    def follow_pushed(self):
         """The pushed stream, for ever."""
         whole = [False]
 
@@ -220,66 +233,68 @@
 
         def take(told):
             for one in told:
-                self.take(one)
+                self.apply_object(one)
 
         def broken(trouble):
-            whole[0] = isinstance(trouble, Gap)
+            whole[0] = isinstance(trouble, ListGapError)
             self.counts["gaps" if whole[0] else "errors"] += 1
             self.log.warning(
                 "list gap" if whole[0] else "list broken", why=f"{type(trouble).__name__}: {trouble}"
             )
 
-        yield from follow(
+        yield from follow_stream(
             self.loop,
             self.address,
             target,
             take,
-            self.sheet.listing.silence,
-            self.sheet.instances.dial_time,
+            self.settings.listing.silence,
+            self.settings.instances.dial_time,
             self.waits,
             broken,
-            (Gap,),
+            (ListGapError,),
         )
 
-    def ask(self, whole: bool):
+    def request_list(self, whole: bool):
         """One call: what has changed since, or all. The decisions hear of it either way."""
         try:
-            with Deadline(self.loop, self.sheet.listing.ask_within // 3):
+            with Deadline(self.loop, self.settings.listing.ask_within // 3):
                 status, body = yield from call(
                     self.loop,
                     self.address,
                     "GET",
                     self.query(whole, False),
                     b"",
-                    self.sheet.instances.dial_time,
+                    self.settings.instances.dial_time,
                 )
             if status != 200:
-                raise BadLine(f"status {status}")
-            told = Lines().feed(body + b"\n")
+                raise JsonLineError(f"status {status}")
+            told = JsonLineParser().feed(body + b"\n")
             before = self.counts["applied"]
             for one in told:
-                self.take(one)
+                self.apply_object(one)
             if before == self.counts["applied"]:  # nothing new is an answer too
-                self.host.post_first("on_list", False, [])
-        except Gap as trouble:
+                self.host.post_event_first("on_list", False, [])
+        except ListGapError as trouble:
             self.counts["gaps"] += 1
             self.log.warning("list gap", why=str(trouble))
             if whole:
-                self.host.post_first("on_list_error")
+                self.host.post_event_first("on_list_error")
             else:
-                yield from self.ask(whole=True)
-        except (*FAILED, TimedOut) as trouble:
+                yield from self.request_list(whole=True)
+        except (*CALL_ERRORS, DeadlineExceededError) as trouble:
             self.counts["errors"] += 1
             self.log.warning("list call failed", why=f"{type(trouble).__name__}: {trouble}")
-            self.host.post_first("on_list_error")
+            self.host.post_event_first("on_list_error")
 
-    def keep(self):
+    def persist_list(self):
         """Writes the copy at most once a second; without a sync, since it is a hint: the checksum tells."""
         while True:
             yield Sleep(1_000_000)
             if self.dirty and self.memory:
                 self.dirty = False
                 try:
-                    self.loop.kernel.replace_file(self.memory, self.held.kept(self.loop.now()), sync=False)
+                    self.loop.kernel.replace_file(
+                        self.memory, self.instance_list.to_disk(self.loop.now()), sync=False
+                    )
                 except OSError as trouble:
                     self.log.warning("list not kept", why=str(trouble))
--- a/cobaltpond/gateway/peers.py
+++ b/cobaltpond/gateway/peers.py
@@ -14,10 +14,14 @@
         """`addresses`: of every gateway, by number; `everyone`: one that reaches them all, where there is."""
         self.loop, self.host, self.addresses, self.everyone = loop, host, addresses, everyone
         self.numbers = {address: number for number, address in addresses.items()}
-        self.handle = loop.kernel.datagrams(listen)
-        self.number, self.counts, self.members = number, {"heard": 0, "odd": 0}, None  # takes (number, data)
+        self.handle = loop.kernel.open_datagrams(listen)
+        self.number, self.counts, self.on_membership = (
+            number,
+            {"heard": 0, "odd": 0},
+            None,
+        )  # takes (number, data)
 
-    def tell(self, peer: int | None, data: bytes) -> bool:
+    def send_to(self, peer: int | None, data: bytes) -> bool:
         """To one gateway, or to all others (None). False where none was sent."""
         packet = self.packet(MAGIC, data)
         if len(packet) > MOST:
@@ -27,7 +31,7 @@
         to = [peer] if peer is not None else [n for n in self.addresses if n != self.number]
         return any([self.handle.send(packet, self.addresses[n]) for n in to if n in self.addresses])
 
-    def send_members(self, peer: int, data: bytes) -> bool:
+    def send_membership(self, peer: int, data: bytes) -> bool:
         """One datagram of membership."""
         return peer in self.addresses and self.handle.send(self.packet(MEMBERS, data), self.addresses[peer])
 
@@ -47,7 +51,7 @@
                 self.counts["odd"] += 1
                 continue
             magic, number, length = struct.unpack(FORM, data[:head])
-            known = magic == MAGIC or magic == MEMBERS and self.members is not None
+            known = magic == MAGIC or magic == MEMBERS and self.on_membership is not None
             if (
                 not known
                 or self.numbers.get(sender) != number
@@ -58,6 +62,6 @@
                 continue
             self.counts["heard"] += 1
             if magic == MEMBERS:
-                self.members(number, data[head:])
+                self.on_membership(number, data[head:])
             else:
-                self.host.post("on_peer", number, data[head:])
+                self.host.post_event("on_peer", number, data[head:])
--- a/cobaltpond/leases/protocol.py
+++ b/cobaltpond/leases/protocol.py
@@ -21,14 +21,14 @@
 
 from dataclasses import dataclass, field
 
-from cobaltpond.decisions.stats import lot
+from cobaltpond.decisions.stats import rendezvous_weight
 
 KEYS_MOST = 4096  # of which an owner has leases out; who asks for more gets none
 
 
 def owner_of(key: str, living) -> int | None:
     """The member with the highest lot; views that differ little choose nearly the same."""
-    return max(sorted(living), key=lambda number: lot(key, number), default=None)
+    return max(sorted(living), key=lambda number: rendezvous_weight(key, number), default=None)
 
 
 def overshoot(pool: int, owners: int) -> int:
@@ -45,7 +45,7 @@
 
     key: str
     owner: int
-    fence: tuple[int, int]
+    fencing_token: tuple[int, int]
     amount: int
     until: int
 
@@ -59,17 +59,17 @@
     declared: int
     life: int
     start: int
-    begun: int = 0
+    known_since: int = 0
     views: list = field(default_factory=list)  # (since, who is there), as far back as a life reaches
     out: dict = field(default_factory=dict)  # key -> {holder: [(amount, until)]}, all that may be in use
     claims: dict = field(default_factory=dict)  # key -> {who asked: (how much, until when that counts)}
     count: int = 0
     looked: int | None = None
 
-    def seen(self, now: int, living) -> None:
+    def observe_members(self, now: int, living) -> None:
         """Our view of who is there. Called at each change, and often enough to notice that we stood still."""
         if self.looked is None or now - self.looked > self.life // 2:
-            self.begun, self.views = now, []  # what others did meanwhile, we cannot know: rule 2
+            self.known_since, self.views = now, []  # what others did meanwhile, we cannot know: rule 2
         self.looked = now
         living = tuple(sorted(living))
         if not self.views or self.views[-1][1] != living:
@@ -77,20 +77,20 @@
         while len(self.views) > 1 and self.views[1][0] <= now - self.life:
             del self.views[0]
 
-    def mine(self, now: int, key: str) -> bool:
+    def is_owner(self, now: int, key: str) -> bool:
         """Were we the key's owner by every view of the last life of a lease?"""
         return (
             bool(self.views)
-            and now - self.begun >= self.life
+            and now - self.known_since >= self.life
             and all(owner_of(key, living) == self.number for _, living in self.views)
         )
 
-    def asked(self, now: int, key: str, holder: int, wanted: int, pool: int) -> Lease | None:
+    def grant_lease(self, now: int, key: str, holder: int, wanted: int, pool: int) -> Lease | None:
         """A member asks for so much. None: not the owner, not yet, or nothing left. A new lease takes the
         place of the holder's last one, once it has heard of it. Nobody gets more than its fair part of what
         is asked for now: who has more gets less with its next lease, and who came late gets it as that runs
         out."""
-        if not self.mine(now, key):
+        if not self.is_owner(now, key):
             return None
         if key not in self.out and len(self.out) >= KEYS_MOST:
             self.forget(now)
@@ -149,7 +149,7 @@
     life: int
     leases: dict = field(default_factory=dict)  # key -> Lease
 
-    def take(self, now: int, lease: Lease, living, asked_at: int) -> bool:
+    def accept_lease(self, now: int, lease: Lease, living, asked_at: int) -> bool:
         """An answer to what we asked at `asked_at`: it counts from then, so that a late one is short. Not
         from one that we do not hold for the owner, nor one older than what we have from the same start of
         it."""
@@ -159,13 +159,13 @@
         if (
             known is not None
             and known.until > now
-            and (known.owner != lease.owner or known.fence >= lease.fence)
+            and (known.owner != lease.owner or known.fencing_token >= lease.fencing_token)
         ):
             return False
         until = asked_at + self.life
         if until <= now:
             return False
-        self.leases[lease.key] = Lease(lease.key, lease.owner, lease.fence, lease.amount, until)
+        self.leases[lease.key] = Lease(lease.key, lease.owner, lease.fencing_token, lease.amount, until)
         return True
 
     def amount(self, now: int, key: str) -> int:
--- a/cobaltpond/limits/compiled.py
+++ b/cobaltpond/limits/compiled.py
@@ -7,13 +7,13 @@
 is on the strict side.
 """
 
-from cobaltpond.limits.rules import ADVICE_MOST, UNIT, Hit, Limit, Verdict, waited
+from cobaltpond.limits.rules import ADVICE_MOST, UNIT, HitAttributes, Limit, LimitVerdict, wait_for_token
 
-FREE = Verdict()
+FREE = LimitVerdict()
 OTHERS = ("others",)  # the level of values that find no room
 
 
-class Levels:
+class TokenBuckets:
     """Of one limit (or its guarantee): value -> [level, when]. `rate` may change, see `Limits.lend`."""
 
     def __init__(self, rate: int, most: int, keys: int):
@@ -53,30 +53,34 @@
             del self.rows[value]
 
 
-class Limits:
+class CompiledLimits:
     """`base`: the rate of a limit that is our own, thousandths a second; less than all for one of the whole
     fleet, whose burst is shared as its rate is."""
 
     def __init__(self, limits: list[Limit], base=lambda limit: limit.rate):
-        self.limits, self.base, self.by_name = limits, base, {limit.name: limit for limit in limits}
-        self.levels = {one.name: Levels(base(one), self.burst(one, base(one)), one.keys) for one in limits}
-        self.leasts = {limit.name: Levels(limit.least, UNIT, limit.keys) for limit in limits if limit.least}
+        self.limits, self.own_rate, self.by_name = limits, base, {limit.name: limit for limit in limits}
+        self.levels = {
+            one.name: TokenBuckets(base(one), self.burst(one, base(one)), one.keys) for one in limits
+        }
+        self.leasts = {
+            limit.name: TokenBuckets(limit.least, UNIT, limit.keys) for limit in limits if limit.least
+        }
         self.plans, self.counts = {}, {limit.name: [0, 0] for limit in limits}  # [let through, over]
         self.wanted = {}  # (limit's name, value) -> hits asked for, of limits of the fleet
 
-    def plan(self, hit: Hit) -> tuple:
+    def plan(self, hit: HitAttributes) -> tuple:
         """(limits that its coming adds to, limits that take it), for all hits that look alike."""
         mark = hit.group, hit.kind, hit.customer, hit.again, hit.key is None
         found = self.plans.get(mark)
         if found is None:
-            concerned = [limit for limit in self.limits if limit.concerns(hit)]
+            concerned = [limit for limit in self.limits if limit.applies_to(hit)]
             found = self.plans[mark] = (
-                [limit for limit in concerned if limit.gives(hit)],
-                [limit for limit in concerned if limit.takes(hit)],
+                [limit for limit in concerned if limit.refills(hit)],
+                [limit for limit in concerned if limit.consumes(hit)],
             )
         return found
 
-    def ask(self, now: int, hit: Hit) -> Verdict:
+    def check(self, now: int, hit: HitAttributes) -> LimitVerdict:
         giving, taking = self.plan(hit)
         if not giving and not taking:
             return FREE
@@ -97,24 +101,24 @@
         for limit, row in rows if over else ():
             if limit in over:
                 self.counts[limit.name][1] += 1
-                if limit.binds and limit.name not in saved:
+                if limit.is_binding and limit.name not in saved:
                     wait = (
-                        waited(row[0], self.levels[limit.name].rate_of(limit.value(hit)))
+                        wait_for_token(row[0], self.levels[limit.name].rate_of(limit.value(hit)))
                         if limit.advice
                         else 0
                     )
                     worst, by = (wait, limit.name) if wait > worst else (worst, by)
         if by is not None:
-            return Verdict(tuple(limit.name for limit in over), by, min(ADVICE_MOST, worst))
+            return LimitVerdict(tuple(limit.name for limit in over), by, min(ADVICE_MOST, worst))
         for limit, row in rows:
             if limit not in over:
                 row[0] -= UNIT
                 self.counts[limit.name][0] += 1
             if limit.least and limit in saved.values():
                 self.leasts[limit.name].row(now, limit.value(hit))[0] -= UNIT
-        return Verdict(tuple(limit.name for limit in over)) if over else FREE
+        return LimitVerdict(tuple(limit.name for limit in over)) if over else FREE
 
-    def saved(self, now: int, hit: Hit, taking, over) -> dict:
+    def saved(self, now: int, hit: HitAttributes, taking, over) -> dict:
         """Parent's name -> the limit whose guarantee lets this hit through."""
         return {
             limit.within: limit
@@ -126,13 +130,13 @@
 
     # --- limits of the whole fleet --------------------------------------------------------------------------
 
-    def lend(self, now: int, name: str, value, amount: int) -> None:
+    def set_lent_rate(self, now: int, name: str, value, amount: int) -> None:
         """What a lease adds to our own part of a limit, thousandths a second; 0: it has run out. What came
         until now came at the rate before."""
         levels, limit = self.levels[name], self.by_name[name]
         levels.row(now, value)
         if amount:
-            rate = self.base(limit) + amount
+            rate = self.own_rate(limit) + amount
             levels.own[value] = rate, self.burst(limit, rate)
         else:
             levels.own.pop(value, None)
@@ -142,7 +146,7 @@
         """The highest level, of whoever has this part of the rate; one hit at least."""
         return max(UNIT, limit.burst * UNIT * rate // limit.rate) if limit.fleet else limit.burst * UNIT
 
-    def demand(self) -> dict:
+    def take_demand(self) -> dict:
         """What was asked for since the last call, of limits of the fleet: (name, value) -> hits."""
         wanted, self.wanted = self.wanted, {}
         return wanted
--- a/cobaltpond/limits/reference.py
+++ b/cobaltpond/limits/reference.py
@@ -4,10 +4,10 @@
 question. `rules.py` says in words what is written here.
 """
 
-from cobaltpond.limits.rules import ADVICE_MOST, UNIT, Hit, Limit, Verdict, waited
+from cobaltpond.limits.rules import ADVICE_MOST, UNIT, HitAttributes, Limit, LimitVerdict, wait_for_token
 
 
-class Plain:
+class ReferenceLimits:
     def __init__(self, limits: list[Limit]):
         self.limits, self.by_name = limits, {limit.name: limit for limit in limits}
         self.events = {}  # (limit's name, "level" or "least", value) -> [(when, units)]
@@ -25,12 +25,12 @@
     def event(self, now: int, limit: Limit, what: str, value, units: int) -> None:
         self.events.setdefault((limit.name, what, value), []).append((now, units))
 
-    def ask(self, now: int, hit: Hit) -> Verdict:
-        concerned = [limit for limit in self.limits if limit.concerns(hit)]
+    def check(self, now: int, hit: HitAttributes) -> LimitVerdict:
+        concerned = [limit for limit in self.limits if limit.applies_to(hit)]
         for limit in concerned:
-            if limit.gives(hit):
+            if limit.refills(hit):
                 self.event(now, limit, "level", limit.value(hit), limit.share * (UNIT // 1000))
-        taking = [limit for limit in concerned if limit.takes(hit)]
+        taking = [limit for limit in concerned if limit.consumes(hit)]
         over = [limit for limit in taking if self.level(now, limit, "level", limit.value(hit)) < UNIT]
         # a guarantee within a parent that is over: its holder goes through all the same
         saved = {
@@ -38,16 +38,16 @@
             for limit in taking
             if limit.least and limit not in over and self.level(now, limit, "least", limit.value(hit)) >= UNIT
         }
-        bounced = [limit for limit in over if limit.binds and limit.name not in saved]
+        bounced = [limit for limit in over if limit.is_binding and limit.name not in saved]
         if bounced:
             waits = {
-                limit.name: waited(self.level(now, limit, "level", limit.value(hit)), limit.rate)
+                limit.name: wait_for_token(self.level(now, limit, "level", limit.value(hit)), limit.rate)
                 if limit.advice
                 else 0
                 for limit in bounced
             }
             first = max(bounced, key=lambda limit: waits[limit.name])
-            return Verdict(
+            return LimitVerdict(
                 tuple(limit.name for limit in over), first.name, min(ADVICE_MOST, waits[first.name])
             )
         for limit in taking:
@@ -55,4 +55,4 @@
                 self.event(now, limit, "level", limit.value(hit), -UNIT)
             if limit.least and limit in saved.values():
                 self.event(now, limit, "least", limit.value(hit), -UNIT)
-        return Verdict(tuple(limit.name for limit in over))
+        return LimitVerdict(tuple(limit.name for limit in over))
--- a/cobaltpond/limits/rules.py
+++ b/cobaltpond/limits/rules.py
@@ -44,10 +44,10 @@
     customer: str | None = None
 
     @property
-    def binds(self) -> bool:
+    def is_binding(self) -> bool:
         return self.over == "bounce" and not self.trial
 
-    def concerns(self, hit: "Hit") -> bool:
+    def applies_to(self, hit: "HitAttributes") -> bool:
         return (
             self.group in (None, hit.group)
             and self.kind in (None, hit.kind)
@@ -55,19 +55,19 @@
             and (self.by == "nothing" or getattr(hit, self.by) is not None)
         )
 
-    def takes(self, hit: "Hit") -> bool:
+    def consumes(self, hit: "HitAttributes") -> bool:
         return self.counts == "hits" or self.counts == ("repeats" if hit.again else "tries")
 
-    def gives(self, hit: "Hit") -> bool:
+    def refills(self, hit: "HitAttributes") -> bool:
         """Does this hit add to the level of a share?"""
         return self.share_of in ("hits", "repeats" if hit.again else "tries")
 
-    def value(self, hit: "Hit"):
+    def value(self, hit: "HitAttributes"):
         return None if self.by == "nothing" else getattr(hit, self.by)
 
 
 @dataclass(frozen=True)
-class Hit:
+class HitAttributes:
     group: str
     kind: str
     customer: str | None = None
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class LimitVerdict:
     """`over`: names of all limits that were over, whether they bind or not. `by`: the one that bounces, None:
     let through. `wait`: microseconds until there is room, 0: no advice."""
 
@@ -85,6 +85,6 @@
     wait: int = 0
 
 
-def waited(level: int, rate: int) -> int:
+def wait_for_token(level: int, rate: int) -> int:
     """Microseconds until a whole unit is there; 0 where time brings none."""
     return -(-(UNIT - level) // rate) if rate else 0
--- a/cobaltpond/loop/__init__.py
+++ b/cobaltpond/loop/__init__.py
@@ -1,44 +1,44 @@
 """The only room that knows the operating system: clock, epoll, sockets, timers, tasks, processes, files."""
 
-from cobaltpond.loop.errors import HandlesUsedUp, PeerLost, Refused, Unreachable
+from cobaltpond.loop.errors import ConnectionLostError, HandlesExhaustedError, RefusedError, UnreachableError
 from cobaltpond.loop.kernel import EpollKernel, Kernel
-from cobaltpond.loop.ports import free_run
-from cobaltpond.loop.process import in_workers, run_part
+from cobaltpond.loop.ports import reserve_ports
+from cobaltpond.loop.process import map_in_workers, run_component
 from cobaltpond.loop.streams import Connection, dial, serve
 from cobaltpond.loop.tasks import (
-    Cancelled,
     Deadline,
+    DeadlineExceededError,
     Event,
     Loop,
     Queue,
     Readable,
     Sleep,
     Task,
-    TimedOut,
+    TaskCancelledError,
     Writable,
 )
 
 __all__ = [
-    "Cancelled",
+    "TaskCancelledError",
     "Connection",
     "Deadline",
     "EpollKernel",
     "Event",
-    "HandlesUsedUp",
+    "HandlesExhaustedError",
     "Kernel",
     "Loop",
-    "PeerLost",
+    "ConnectionLostError",
     "Queue",
     "Readable",
-    "Refused",
+    "RefusedError",
     "Sleep",
     "Task",
-    "TimedOut",
-    "Unreachable",
+    "DeadlineExceededError",
+    "UnreachableError",
     "Writable",
     "dial",
-    "free_run",
-    "in_workers",
-    "run_part",
+    "reserve_ports",
+    "map_in_workers",
+    "run_component",
     "serve",
 ]
--- a/cobaltpond/loop/children.py
+++ b/cobaltpond/loop/children.py
@@ -6,7 +6,7 @@
 MARK = "COBALTPOND_RUN"
 
 
-class Child:
+class ChildProcess:
     def __init__(self, process):
         self.process, self.pid = process, process.pid
 
@@ -23,7 +23,7 @@
             os.killpg(self.pid, getattr(signal, f"SIG{name}"))
 
 
-class Adopted:
+class AdoptedProcess:
     """A process that an earlier start of this program began. It is known by the mark in its environment: a
     number that the system has given to another process since does not carry it."""
 
@@ -32,7 +32,7 @@
 
     def ended(self) -> int | None:
         """-1 once it is gone; its exit code went to whoever began it."""
-        return None if carries(self.pid, self.mark) else -1
+        return None if has_mark(self.pid, self.mark) else -1
 
     def signal_all(self, name: str) -> None:
         if self.ended() is None:
@@ -61,7 +61,7 @@
     return sorted(found)
 
 
-def carries(pid: int, mark: str) -> bool:
+def has_mark(pid: int, mark: str) -> bool:
     """Is this the leader that was started with the mark? A process that has ended has no environment left."""
     try:
         with open(f"/proc/{pid}/environ", "rb") as file:
--- a/cobaltpond/loop/kernel.py
+++ b/cobaltpond/loop/kernel.py
@@ -16,8 +16,8 @@
 import time
 from typing import Protocol
 
-from cobaltpond.loop.children import MARK, Adopted, Child, carries, marked
-from cobaltpond.loop.errors import Refused, Unreachable, translated
+from cobaltpond.loop.children import MARK, AdoptedProcess, ChildProcess, has_mark, marked
+from cobaltpond.loop.errors import RefusedError, UnreachableError, translate_os_error
 from cobaltpond.loop.sockets import Datagrams, Handle, Listener, Stream
 
 READ, WRITE = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
@@ -28,18 +28,18 @@
     """What the program asks of the world. Times are whole microseconds of a clock that never goes back."""
 
     def now(self) -> int: ...
-    def seed(self) -> int: ...
+    def random_seed(self) -> int: ...
     def poll(self, until: int | None) -> list: ...
-    def drive(self, loop, main): ...
-    def settle(self) -> None: ...
+    def run_loop(self, loop, main): ...
+    def freeze_memory(self) -> None: ...
     def listen(self, address: tuple[str, int], backlog: int): ...
     def dial(self, address: tuple[str, int]): ...
-    def datagrams(self, address: tuple[str, int]): ...
+    def open_datagrams(self, address: tuple[str, int]): ...
     def spawn(self, argv: list[str], output: str, mark: str = ""): ...
-    def adopt(self, mark: str): ...
-    def marked(self) -> list[tuple[int, str]]: ...
+    def adopt_process(self, mark: str): ...
+    def marked_processes(self) -> list[tuple[int, str]]: ...
     def command_lines(self) -> list[tuple[int, list[str]]]: ...
-    def kill(self, pid: int) -> None: ...
+    def kill_process(self, pid: int) -> None: ...
     def on_signals(self, call) -> None: ...
     def read_file(self, path: str) -> bytes | None: ...
     def replace_file(self, path: str, data: bytes, sync: bool = True) -> None: ...
@@ -51,15 +51,15 @@
     def list_folder(self, path: str) -> list[str]: ...
     def remove(self, path: str) -> None: ...
     def truncate(self, path: str, size: int) -> None: ...
-    def size(self, path: str) -> int | None: ...
-    def age(self, path: str) -> int: ...
+    def file_size(self, path: str) -> int | None: ...
+    def file_age(self, path: str) -> int: ...
     def touch(self, path: str) -> None: ...
     def free_space(self, path: str) -> int: ...
-    def lock(self, path: str): ...
-    def wall(self) -> int: ...
+    def lock_file(self, path: str): ...
+    def wall_clock(self) -> int: ...
 
 
-class Appending:
+class AppendFile:
     """A file that only grows."""
 
     def __init__(self, path: str):
@@ -84,20 +84,20 @@
 
     def __init__(self):
         self.epoll, self.handles, self.wake_fd = select.epoll(), {}, None
-        self.signal_call, self.signalled = None, []
+        self.signal_handler, self.pending_signals = None, []
 
     def now(self) -> int:
         return time.monotonic_ns() // 1000
 
-    def seed(self) -> int:
+    def random_seed(self) -> int:
         return int.from_bytes(os.urandom(8), "big")
 
-    def enter(self, handle: Handle) -> None:
+    def register_handle(self, handle: Handle) -> None:
         number = handle.sock.fileno()
         self.handles[number] = handle
         self.epoll.register(number, READ | WRITE | select.EPOLLET)
 
-    def leave(self, handle: Handle) -> None:
+    def unregister_handle(self, handle: Handle) -> None:
         number = handle.sock.fileno()
         self.handles.pop(number, None)
         try:
@@ -116,11 +116,11 @@
             handle = self.handles.get(number)
             if handle is not None:
                 ready.append((handle, bool(mask & (READ | BROKEN)), bool(mask & (WRITE | BROKEN))))
-        while self.signalled:
-            self.signal_call(self.signalled.pop(0))
+        while self.pending_signals:
+            self.signal_handler(self.pending_signals.pop(0))
         return ready
 
-    def drive(self, loop, main):
+    def run_loop(self, loop, main):
         """Gives the loop its turns until the main task has ended, then cancels what is left. Gives what it
         gave."""
         try:
@@ -128,7 +128,7 @@
         finally:
             loop.close()
 
-    def settle(self) -> None:
+    def freeze_memory(self) -> None:
         """What is in memory now stays: later collections pass it over."""
         gc.collect()
         gc.freeze()
@@ -141,7 +141,7 @@
             sock.listen(backlog)
         except OSError as trouble:
             sock.close()
-            raise Unreachable(f"cannot listen at {address[0]}:{address[1]}: {trouble}") from None
+            raise UnreachableError(f"cannot listen at {address[0]}:{address[1]}: {trouble}") from None
         return Listener(self, sock)
 
     def dial(self, address) -> Stream:
@@ -149,20 +149,20 @@
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError as trouble:
-            raise translated(trouble) from None
+            raise translate_os_error(trouble) from None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(tuple(address))
         if code not in (0, errno.EINPROGRESS):
             sock.close()
-            raise translated(OSError(code, os.strerror(code)))
+            raise translate_os_error(OSError(code, os.strerror(code)))
         return Stream(self, sock)
 
-    def datagrams(self, address) -> Datagrams:
+    def open_datagrams(self, address) -> Datagrams:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(tuple(address))
         return Datagrams(self, sock)
 
-    def spawn(self, argv, output, mark="") -> Child:
+    def spawn(self, argv, output, mark="") -> ChildProcess:
         """Starts a process that leads its own session and group; what it prints goes to the end of a file. A
         mark lets a later start of this program find it again, see `adopt`. Raises Unreachable where it cannot
         start."""
@@ -170,7 +170,7 @@
 
         try:
             with open(output, "ab") as sink:
-                return Child(
+                return ChildProcess(
                     subprocess.Popen(
                         argv,
                         stdin=subprocess.DEVNULL,
@@ -181,16 +181,16 @@
                     )
                 )
         except OSError as trouble:
-            raise Unreachable(f"{argv[0]}: {trouble}") from None
+            raise UnreachableError(f"{argv[0]}: {trouble}") from None
 
-    def adopt(self, mark) -> Adopted | None:
+    def adopt_process(self, mark) -> AdoptedProcess | None:
         """The living process that was started with this mark."""
         for name in os.listdir("/proc"):
-            if name.isdigit() and carries(int(name), mark):
-                return Adopted(int(name), mark)
+            if name.isdigit() and has_mark(int(name), mark):
+                return AdoptedProcess(int(name), mark)
         return None
 
-    def marked(self) -> list[tuple[int, str]]:
+    def marked_processes(self) -> list[tuple[int, str]]:
         """(pid, mark) of every living process that was started with a mark and leads its group."""
         return marked()
 
@@ -206,7 +206,7 @@
                     continue
         return found
 
-    def kill(self, pid) -> None:
+    def kill_process(self, pid) -> None:
         try:
             os.kill(pid, signal.SIGKILL)
         except ProcessLookupError:
@@ -215,13 +215,15 @@
     def on_signals(self, call) -> None:
         """`call(name)` in the loop's turn after TERM, INT or HUP has come."""
         read, write = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
-        self.wake_fd, self.signal_call = read, call
+        self.wake_fd, self.signal_handler = read, call
         self.epoll.register(read, select.EPOLLIN)
         for name in ("TERM", "INT", "HUP"):
-            signal.signal(getattr(signal, f"SIG{name}"), lambda *_, name=name: self.signalled.append(name))
+            signal.signal(
+                getattr(signal, f"SIG{name}"), lambda *_, name=name: self.pending_signals.append(name)
+            )
         signal.set_wakeup_fd(write, warn_on_full_buffer=False)
 
-    def variable(self, name) -> str | None:
+    def environment_variable(self, name) -> str | None:
         """Of the environment that the process was started with."""
         return os.environ.get(name)
 
@@ -286,16 +288,16 @@
             file.truncate(size)
             os.fsync(file.fileno())
 
-    def size(self, path) -> int | None:
+    def file_size(self, path) -> int | None:
         """None where there is no such file."""
         try:
             return os.stat(path).st_size
         except FileNotFoundError:
             return None
 
-    def age(self, path) -> int:
+    def file_age(self, path) -> int:
         """Microseconds since it was last written or touched."""
-        return max(0, self.wall() - os.stat(path).st_mtime_ns // 1000)
+        return max(0, self.wall_clock() - os.stat(path).st_mtime_ns // 1000)
 
     def touch(self, path) -> None:
         os.utime(path)
@@ -305,7 +307,7 @@
         state = os.statvfs(path)
         return state.f_bavail * state.f_frsize
 
-    def lock(self, path):
+    def lock_file(self, path):
         """Holds a file for this process alone while the result is kept. Raises Refused where another has
         it."""
         file = open(path, "ab")
@@ -313,12 +315,12 @@
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             file.close()
-            raise Refused(f"{path} is held by another process") from None
+            raise RefusedError(f"{path} is held by another process") from None
         return file
 
-    def wall(self) -> int:
+    def wall_clock(self) -> int:
         """Microseconds since 1970, for expiry and ages of files only: it may jump."""
         return time.time_ns() // 1000
 
-    def append_file(self, path) -> Appending:
-        return Appending(path)
+    def append_file(self, path) -> AppendFile:
+        return AppendFile(path)
--- a/cobaltpond/loop/process.py
+++ b/cobaltpond/loop/process.py
@@ -6,7 +6,7 @@
 from cobaltpond.loop.tasks import Loop
 
 
-def run_part(kernel, make, log, name: str):
+def run_component(kernel, make, log, name: str):
     """`make(loop)` gives the part. Runs it until it ends by itself or by a signal, then cancels what is left.
     A task that dies is logged with its stack and the rest goes on; a main task that dies ends the process."""
 
@@ -16,10 +16,10 @@
     loop = Loop(kernel, died)
     part = make(loop)
     kernel.on_signals(part.stop)
-    return kernel.drive(loop, loop.spawn(part.run(), name))
+    return kernel.run_loop(loop, loop.spawn(part.run(), name))
 
 
-def in_workers(jobs: int, call, items, each: int = 30):
+def map_in_workers(jobs: int, call, items, each: int = 30):
     """Gives `call(item)` for every item, in order, worked out by `jobs` processes (0: one a core; 1: this
     one). A worker is replaced after `each` items, so that what one leaves in memory goes."""
     jobs = jobs or os.cpu_count() or 1
--- a/cobaltpond/loop/random_source.py
+++ b/cobaltpond/loop/random_source.py
@@ -3,6 +3,6 @@
 from random import Random
 
 
-def seeded(seed) -> Random:
+def seeded_random(seed) -> Random:
     """The same draws for the same seed."""
     return Random(seed)
--- a/cobaltpond/loop/sockets.py
+++ b/cobaltpond/loop/sockets.py
@@ -4,7 +4,7 @@
 import socket
 import struct
 
-from cobaltpond.loop.errors import PeerLost, Unreachable, translated
+from cobaltpond.loop.errors import ConnectionLostError, UnreachableError, translate_os_error
 
 
 class Handle:
@@ -14,12 +14,12 @@
         self.kernel, self.sock, self.reader, self.writer = kernel, sock, None, None
         self.closed = False
         sock.setblocking(False)
-        kernel.enter(self)
+        kernel.register_handle(self)
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.kernel.leave(self)
+            self.kernel.unregister_handle(self)
             self.sock.close()
             for task in (self.reader, self.writer):  # they try again, and are told that it is gone
                 if task is not None:
@@ -35,8 +35,8 @@
         """Is the dial through? Raises Refused, Unreachable or HandlesUsedUp where it has failed."""
         trouble = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if trouble:
-            wrong = translated(OSError(trouble, os.strerror(trouble)))
-            raise Unreachable(str(wrong)) if isinstance(wrong, PeerLost) else wrong
+            wrong = translate_os_error(OSError(trouble, os.strerror(trouble)))
+            raise UnreachableError(str(wrong)) if isinstance(wrong, ConnectionLostError) else wrong
         try:
             self.sock.getpeername()
         except OSError:
@@ -46,23 +46,23 @@
     def recv(self, size: int) -> bytes | None:
         """b"" at the peer's end of file."""
         if self.closed:
-            raise PeerLost("closed here")
+            raise ConnectionLostError("closed here")
         try:
             return self.sock.recv(size)
         except BlockingIOError:
             return None
         except OSError as trouble:
-            raise PeerLost(str(trouble)) from None
+            raise ConnectionLostError(str(trouble)) from None
 
     def send(self, data) -> int | None:
         if self.closed:
-            raise PeerLost("closed here")
+            raise ConnectionLostError("closed here")
         try:
             return self.sock.send(data)
         except BlockingIOError:
             return None
         except OSError as trouble:
-            raise PeerLost(str(trouble)) from None
+            raise ConnectionLostError(str(trouble)) from None
 
     def finish(self) -> None:
         """Our end of file: the peer reads what was sent and then b""."""
@@ -89,7 +89,7 @@
         except (BlockingIOError, ConnectionAbortedError):
             return None
         except OSError as trouble:
-            raise translated(trouble) from None
+            raise translate_os_error(trouble) from None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return Stream(self.kernel, sock)
 
--- a/cobaltpond/loop/streams.py
+++ b/cobaltpond/loop/streams.py
@@ -1,7 +1,7 @@
 """Bytes over a stream handle: reads, writes with back-pressure, dials with a time-out, a bounded accept."""
 
-from cobaltpond.loop.errors import HandlesUsedUp, PeerLost
-from cobaltpond.loop.tasks import Cancelled, Deadline, Readable, Sleep, Writable
+from cobaltpond.loop.errors import ConnectionLostError, HandlesExhaustedError
+from cobaltpond.loop.tasks import Deadline, Readable, Sleep, TaskCancelledError, Writable
 
 CHUNK = 1 << 16
 LAST_TRIES = 50  # to take what waits in a backlog, with no descriptor left
@@ -74,7 +74,7 @@
     def one(connection):
         try:
             yield from answer(connection)
-        except PeerLost:
+        except ConnectionLostError:
             pass
         finally:
             open_now[0] -= 1
@@ -87,7 +87,7 @@
                 continue
             try:
                 handle = listener.accept()
-            except HandlesUsedUp:
+            except HandlesExhaustedError:
                 yield Sleep(0 if evict() else pause)
                 continue
             if handle is None:
@@ -98,13 +98,13 @@
             loop.spawn(one(Connection(loop, handle)), f"{name}-{number}")
             if number % 64 == 0:
                 yield Sleep(0)  # a flood of dials must not hold up the turn
-    except Cancelled:
+    except TaskCancelledError:
         # who waits in the backlog believes to be connected and may have sent something: take them all
         tries = LAST_TRIES
         while tries:
             try:
                 handle = listener.accept()
-            except HandlesUsedUp:  # they stay in the backlog until something is closed
+            except HandlesExhaustedError:  # they stay in the backlog until something is closed
                 tries -= 1
                 yield Sleep(0 if evict() else pause)
                 continue
--- a/cobaltpond/loop/tasks.py
+++ b/cobaltpond/loop/tasks.py
@@ -12,11 +12,11 @@
 from itertools import count
 
 
-class Cancelled(BaseException):
+class TaskCancelledError(BaseException):
     """Thrown into a task that is to end. Not an Exception: no handler should swallow it by chance."""
 
 
-class TimedOut(Exception):
+class DeadlineExceededError(Exception):
     """A deadline has passed."""
 
 
@@ -29,32 +29,32 @@
     def cancel(self):
         if self.call is not None:
             self.call = None
-            self.loop.timers.dropped()
+            self.loop.timers.timer_cancelled()
 
 
 class Timers:
     """A heap with lazy removal; when half of it is cancelled it is built anew, so that cost stays log n."""
 
     def __init__(self):
-        self.heap, self.number, self.dead = [], count(), 0
+        self.heap, self.number, self.cancelled_count = [], count(), 0
 
     def add(self, timer):
         heapq.heappush(self.heap, (timer.at, next(self.number), timer))
 
-    def dropped(self):
-        self.dead += 1
-        if self.dead > 64 and self.dead * 2 > len(self.heap):
+    def timer_cancelled(self):
+        self.cancelled_count += 1
+        if self.cancelled_count > 64 and self.cancelled_count * 2 > len(self.heap):
             self.heap = [entry for entry in self.heap if entry[2].call is not None]
             heapq.heapify(self.heap)
-            self.dead = 0
+            self.cancelled_count = 0
 
     def next_at(self):
         while self.heap and self.heap[0][2].call is None:
             heapq.heappop(self.heap)
-            self.dead -= 1
+            self.cancelled_count -= 1
         return self.heap[0][0] if self.heap else None
 
-    def due(self, now):
+    def pop_due(self, now):
         """Takes out, in order of time and then of setting, what is due."""
         while (at := self.next_at()) is not None and at <= now:
             timer = heapq.heappop(self.heap)[2]
@@ -133,25 +133,25 @@
 
     def __init__(self, most):
         self.most, self.items = most, deque()
-        self.came, self.went = Event(), Event()
+        self.item_added, self.item_removed = Event(), Event()
 
     def put_now(self, item) -> bool:
         """False where it is full; the item is not taken."""
         if len(self.items) >= self.most:
             return False
         self.items.append(item)
-        self.came.set()
+        self.item_added.set()
         return True
 
     def put(self, item):
         while not self.put_now(item):
-            yield self.went
+            yield self.item_removed
 
     def get(self):
         while not self.items:
-            yield self.came
+            yield self.item_added
         item = self.items.popleft()
-        self.went.set()
+        self.item_removed.set()
         return item
 
 
@@ -173,7 +173,7 @@
 
     def __exit__(self, kind, value, trace):
         self.timer.cancel()
-        self.task.spare(self)
+        self.task.discard_interrupt(self)
         return False
 
 
@@ -181,9 +181,9 @@
     def __init__(self, loop, generator, name):
         self.loop, self.generator, self.name = loop, generator, name
         self.wait, self.value, self.ready = None, None, False
-        self.thrown = deque()  # interruptions not yet delivered
-        self.plain = False  # woken by what it waited for, not by an interruption
-        self.done, self.result, self.trouble = False, None, None
+        self.interrupts = deque()  # interruptions not yet delivered
+        self.woken_normally = False  # woken by what it waited for, not by an interruption
+        self.done, self.result, self.error = False, None, None
         self.ended, self.watched = Event(), False
 
     def arm(self, task):
@@ -197,69 +197,69 @@
 
     def wake(self, value=None):
         if not self.done and not self.ready:
-            self.ready, self.value, self.wait, self.plain = True, value, None, True
+            self.ready, self.value, self.wait, self.woken_normally = True, value, None, True
             self.loop.run_queue.append(self)
 
     def interrupt(self, why):
         """What is thrown is delivered at a wait; a value already on its way is delivered first."""
         if self.done:
             return
-        self.thrown.append(why)
+        self.interrupts.append(why)
         if self.wait is not None:
             self.wait.disarm(self)
             self.wake()
-            self.plain = False
+            self.woken_normally = False
 
-    def spare(self, why):
-        self.thrown = deque(x for x in self.thrown if x is not why)
+    def discard_interrupt(self, why):
+        self.interrupts = deque(x for x in self.interrupts if x is not why)
 
     def cancel(self):
-        if not self.done and Cancelled not in self.thrown:
-            self.interrupt(Cancelled)
+        if not self.done and TaskCancelledError not in self.interrupts:
+            self.interrupt(TaskCancelledError)
 
     def step(self):
         self.ready, value, self.value = False, self.value, None
         self.loop.current = self
         try:
             while True:
-                if self.thrown and not self.plain:
-                    why = self.thrown.popleft()
+                if self.interrupts and not self.woken_normally:
+                    why = self.interrupts.popleft()
                     wait = self.generator.throw(
-                        Cancelled()
-                        if why is Cancelled
-                        else TimedOut(f"{self.name}: nothing came within {why.delay} us")
+                        TaskCancelledError()
+                        if why is TaskCancelledError
+                        else DeadlineExceededError(f"{self.name}: nothing came within {why.delay} us")
                     )
                 else:
                     wait = self.generator.send(value)
-                value, self.plain = None, False
-                if not self.thrown:
+                value, self.woken_normally = None, False
+                if not self.interrupts:
                     break
         except StopIteration as end:
-            self.end(end.value, None)
-        except Cancelled:
-            self.end(None, None)
+            self.finish(end.value, None)
+        except TaskCancelledError:
+            self.finish(None, None)
         except Exception as trouble:
-            self.end(None, trouble)
+            self.finish(None, trouble)
         else:
             self.wait = wait
             wait.arm(self)
         finally:
             self.loop.current = None
 
-    def end(self, result, trouble):
-        self.done, self.result, self.trouble = True, result, trouble
+    def finish(self, result, trouble):
+        self.done, self.result, self.error = True, result, trouble
         self.loop.tasks.pop(self, None)
         heard = self.watched or self.ended.waiting
         self.ended.set()
         if trouble is not None and not heard:
-            self.loop.on_death(self, trouble)
+            self.loop.on_task_failure(self, trouble)
 
     def join(self):
         """Waits for its end; its exception is raised here too."""
         if not self.done:
             yield self
-        if self.trouble is not None:
-            raise self.trouble
+        if self.error is not None:
+            raise self.error
         return self.result
 
 
@@ -271,8 +271,8 @@
         self.tasks, self.current, self.stopping = {}, None, False
         self.turn_at = self.polled_at = self.polled_before = kernel.now()
         self.after_turn = []  # called at the end of each turn, in order
-        self.on_death = on_death or self.raise_it
-        self.lag = None  # called with how late a due timer was, where set
+        self.on_task_failure = on_death or self.raise_it
+        self.on_timer_lag = None  # called with how late a due timer was, where set
 
     @staticmethod
     def raise_it(task, trouble):
@@ -313,9 +313,9 @@
                 task, handle.writer = handle.writer, None
                 task.wake()
         first = self.timers.next_at()
-        if self.lag is not None and first is not None and first <= self.turn_at:
-            self.lag(self.turn_at - first)
-        for call in self.timers.due(self.turn_at):
+        if self.on_timer_lag is not None and first is not None and first <= self.turn_at:
+            self.on_timer_lag(self.turn_at - first)
+        for call in self.timers.pop_due(self.turn_at):
             call()
         for _ in range(len(self.run_queue)):  # what they wake waits for the next turn: no starving
             self.run_queue.popleft().step()
@@ -328,8 +328,8 @@
             until.watched = True
         while not self.stopping and not (until is not None and until.done):
             self.turn()
-        if until is not None and until.trouble is not None:
-            raise until.trouble
+        if until is not None and until.error is not None:
+            raise until.error
         return until.result if until is not None else None
 
     def stop(self):
--- a/cobaltpond/members/compare.py
+++ b/cobaltpond/members/compare.py
@@ -5,7 +5,7 @@
 from cobaltpond.members.gossip import PHASES
 
 
-def compare(tables: dict[int, dict | None]) -> dict:
+def compare_tables(tables: dict[int, dict | None]) -> dict:
     """`tables`: gateway -> its table as `Members.table` gives it, None where it did not answer.
 
     Gives {"silent": gateways that did not answer, "members": one row a member, "apart": what they have not
@@ -77,7 +77,7 @@
     return rows
 
 
-def some(numbers) -> str:
+def format_ranges(numbers) -> str:
     """0-3, 7, 9-12"""
     runs = []
     for number in sorted(numbers):
@@ -88,13 +88,13 @@
     return ", ".join(f"{a}" if a == b else f"{a}-{b}" for a, b in runs)
 
 
-def lines(told: dict) -> list[str]:
+def format_comparison(told: dict) -> list[str]:
     """For a terminal."""
     rows = []
     if told["silent"]:
-        rows.append(f"no answer from: {some(told['silent'])}")
+        rows.append(f"no answer from: {format_ranges(told['silent'])}")
     if told["idle"]:
-        rows.append(f"there, but not open for hits: {some(told['idle'])}")
+        rows.append(f"there, but not open for hits: {format_ranges(told['idle'])}")
     agreed = {}
     for row in told["members"]:
         if row["otherwise"] or row["starts"] > 1 or row["state"] not in ("alive",):
@@ -113,13 +113,18 @@
             ]
         else:
             agreed.setdefault(row["zone"], []).append(row["number"])
-    rows = [f"zone {zone:<10} alive in all eyes: {some(numbers)}" for zone, numbers in agreed.items()] + rows
+    rows = [
+        f"zone {zone:<10} alive in all eyes: {format_ranges(numbers)}" for zone, numbers in agreed.items()
+    ] + rows
     for at, says in told["zones"].items():
         rows.append(f"gateway {at} sees {'; '.join(says)}")
     for at, numbers in told["links"].items():
-        rows.append(f"gateway {at} is heard by others, but not by or from: {some(numbers)} (one link)")
+        rows.append(
+            f"gateway {at} is heard by others, but not by or from: {format_ranges(numbers)} (one link)"
+        )
     for name, values in told["apart"].items():
         rows.append(
-            f"{name} differ: " + "; ".join(f"{value} at {some(ats)}" for value, ats in values.items())
+            f"{name} differ: "
+            + "; ".join(f"{value} at {format_ranges(ats)}" for value, ats in values.items())
         )
     return rows
--- a/cobaltpond/members/gossip.py
+++ b/cobaltpond/members/gossip.py
@@ -14,11 +14,11 @@
 FRESH = 5_000_000  # an instance that began to drain so lately is told of
 
 
-class Hearsay:
+class Gossip:
     """`post`: called with what the module is to hear, as `Host.post`."""
 
     def __init__(self, post):
-        self.post = post
+        self.post_event = post
         self.own, self.own_since = None, 0  # what our own link to the desk said last
         self.heard, self.heard_since, self.heard_from = None, 0, None  # what holds on another's word
         self.overruled = {}  # words that our own link has spoken after, in order
@@ -27,7 +27,7 @@
 
     # --- what our own links say -----------------------------------------------------------------------------
 
-    def news(self, now: int, build: int, stage: int, phase: str, cap: float, age: int) -> None:
+    def update_release(self, now: int, build: int, stage: int, phase: str, cap: float, age: int) -> None:
         """From the desk. It always holds, and ends what was taken on another's word."""
         self.own, self.own_since = (build, stage, phase, cap), now - age
         if self.heard is not None:
@@ -37,16 +37,16 @@
                     del self.overruled[next(iter(self.overruled))]
                 self.counts["overruled"] += 1
             self.heard = self.heard_from = None
-            self.post("on_shut", None)
+            self.post_event("on_shut", None)
 
-    def listed(self, now: int, revision: int, tags: list[int]) -> None:
+    def set_draining(self, now: int, revision: int, tags: list[int]) -> None:
         """Our own list has changed; `tags`: of those that drain by it."""
         self.revision = revision
         self.draining = {tag: self.draining.get(tag, now) for tag in tags}
 
     # --- what is said ---------------------------------------------------------------------------------------
 
-    def say(self, now: int) -> tuple[tuple | None, list[int]]:
+    def outgoing(self, now: int) -> tuple[tuple | None, list[int]]:
         """(news for a datagram or None, tags of instances that began to drain lately, the newest first)."""
         told, since = (self.heard, self.heard_since) if self.heard is not None else (self.own, self.own_since)
         news = None
@@ -58,13 +58,13 @@
 
     # --- what others say ------------------------------------------------------------------------------------
 
-    def word(self, now: int, member, news: tuple | None, drains: list[int]) -> None:
+    def receive(self, now: int, member, news: tuple | None, drains: list[int]) -> None:
         """Of one fresh datagram."""
         if member.state == LEFT:
             return
         if drains and member.facts.get("revision", 0) > self.revision:
             self.counts["drains taken"] += 1
-            self.post("on_drains", drains)
+            self.post_event("on_drains", drains)
         if news is None or news[2] >= len(PHASES):
             return  # a phase of a later version: no word that we know
         told = news[0], news[1], PHASES[news[2]], news[3]
@@ -72,7 +72,7 @@
             return
         self.heard, self.heard_since, self.heard_from = told, now - news[4], member.number
         self.counts["news taken"] += 1
-        self.post("on_shut", told[0])
+        self.post_event("on_shut", told[0])
 
     def shuts(self, told: tuple, since: int) -> bool:
         """Is it a reason to send no more to that build? An older stage or build is not: its teller is
--- a/cobaltpond/members/probing.py
+++ b/cobaltpond/members/probing.py
@@ -6,7 +6,7 @@
 
 from cobaltpond.members import wire
 from cobaltpond.members.reachability import LOST, MUTE
-from cobaltpond.members.states import ALIVE, DOUBTED, FAILED, SUSPECT, UNHEARD, Member
+from cobaltpond.members.states import ALIVE, FAILED, SUSPECT, SUSPECTED, UNHEARD, Member
 
 HELPERS = 3  # asked for who does not answer (SWIM's k)
 NACK_SHARE = 0.8  # of the wait: a helper says that it has heard nothing either
@@ -27,25 +27,25 @@
         )
 
 
-class Rounds:
+class Probing:
     def nack(self, now: int) -> None:
         for sequence, (asker, asked, about, nack_at, end) in list(self.relays.items()):
             if now >= end:
                 del self.relays[sequence]
             elif nack_at is not None and now >= nack_at:
                 self.relays[sequence] = asker, asked, about, None, end
-                if not self.settings.plain:
+                if not self.probe_settings.plain:
                     self.send(wire.NACK, asker, asked, about)
 
     def begin_probe(self, now: int) -> None:
-        self.reach(now)
+        self.probe_absent(now)
         member = self.next_of_round()
         if member is None:
-            self.next_probe = now + self.settings.period
+            self.next_probe = now + self.probe_settings.period
             return
-        period = self.slowed(self.settings.period)
+        period = self.slowed(self.probe_settings.period)
         self.next_probe = now + period
-        self.probe = Probe(member, 0, now, self.slowed(self.settings.wait), period)
+        self.probe = Probe(member, 0, now, self.slowed(self.probe_settings.wait), period)
         self.probe.sequence = self.ping(member.number)
 
     def next_of_round(self) -> Member | None:
@@ -54,20 +54,20 @@
         for _ in range(2):
             while self.round:
                 member = self.members[self.round.pop()]
-                if member.there:
+                if member.is_present:
                     return member
-            self.round = self.drawn([n for n, m in self.members.items() if m.there])
+            self.round = self.drawn([n for n, m in self.members.items() if m.is_present])
         return None
 
     def drawn(self, numbers: list) -> list:
         for last in range(len(numbers) - 1, 0, -1):
-            other = self.chance.below(last + 1)
+            other = self.chance.randbelow(last + 1)
             numbers[last], numbers[other] = numbers[other], numbers[last]
         return numbers
 
-    def reach(self, now: int) -> None:
+    def probe_absent(self, now: int) -> None:
         """Asks who was never heard, or has failed: so a newcomer finds whoever lives, and a split heals."""
-        alone = not any(m.there for m in self.members.values())
+        alone = not any(m.is_present for m in self.members.values())
         for _ in range(REACHES if alone else 1):
             while self.reach_round and self.members[self.reach_round[-1]].state not in (UNHEARD, FAILED):
                 self.reach_round.pop()
@@ -78,7 +78,7 @@
             if self.reach_round:
                 self.ping(self.reach_round.pop())
 
-    def ask(self, probe: Probe) -> None:
+    def request_indirect(self, probe: Probe) -> None:
         """Helpers of every zone there is, as far as their number goes: what a zone's silence means is told by
         who hears it and who does not."""
         numbers = self.drawn(
@@ -93,25 +93,25 @@
         for helper in helpers:
             probe.helpers[helper] = True
             self.counts["asked"] += 1
-            self.send(wire.ASK, helper, probe.sequence, probe.member.number)
+            self.send(wire.INDIRECT_PING, helper, probe.sequence, probe.member.number)
 
     def end_probe(self, now: int) -> None:
         probe, self.probe = self.probe, None
         member = probe.member
         if probe.reached is not None:
-            self.feel(-1)
+            self.adjust_health(-1)
             member.reached = probe.reached
             return
         if member.start != probe.start:  # asked was its former life, which could not answer any more
             return
         self.counts["probes failed"] += 1
         if not probe.helpers:
-            self.feel(1)
+            self.adjust_health(1)
         for helper in probe.helpers:  # charged once it is heard again: what a dead helper does not
             if helper not in probe.nacks:  # say is no sign of our own health (ours; Lifeguard charges it)
-                self.members[helper].missed = 1
+                self.members[helper].missed_acks = 1
         member.reached = LOST if probe.nacks else MUTE
         if member.state == ALIVE:
-            self.alter(member, DOUBTED, now, self.number, *member.mark)
+            self.alter(member, SUSPECTED, now, self.number, *member.mark)
         elif member.state == SUSPECT:
-            self.more_doubt(member, self.number, now)
+            self.confirm_suspicion(member, self.number, now)
--- a/cobaltpond/members/reachability.py
+++ b/cobaltpond/members/reachability.py
@@ -9,7 +9,7 @@
 
 DIRECT, HELPED, LOST, MUTE = "direct", "helped", "lost", "mute"
 ALONE_PERIODS = 4  # of a probe, without a word from anybody
-FINE, GONE, PART, CUT_OFF, ALONE, UNKNOWN = (
+REACHABLE, GONE, PARTLY_GONE, CUT_OFF, ALONE, UNKNOWN = (
     "fine",
     "gone",
     "partly gone",
@@ -19,15 +19,15 @@
 )
 
 
-class Picture:
+class Reachability:
     def __init__(self, view):
         self.view = view
 
-    def alone(self, now: int) -> bool:
+    def is_alone(self, now: int) -> bool:
         """Nothing came from anybody for a while, though others are known to be or have been there."""
         heard = [m.heard_at for m in self.view.members.values() if m.heard_at is not None]
         known = any(m.state not in (UNHEARD, LEFT) for m in self.view.members.values())
-        wait = ALONE_PERIODS * self.view.settings.period
+        wait = ALONE_PERIODS * self.view.probe_settings.period
         return known and now - max(heard, default=self.view.began) > wait
 
     def links(self) -> list[int]:
@@ -43,24 +43,24 @@
         view, own = self.view, self.view.zones[self.view.number]
         rows, counted = {}, [m for m in view.members.values() if m.state not in (UNHEARD, LEFT)]
         dark = [m for m in counted if m.state in (SUSPECT, FAILED)]
-        if self.alone(now):
+        if self.is_alone(now):
             return dict.fromkeys(dict.fromkeys(view.zones.values()), ALONE)
         for zone in dict.fromkeys(view.zones.values()):
             members = [m for m in counted if m.zone == zone]
             silent = [m for m in members if m.state in (SUSPECT, FAILED)]
             if not members:
-                rows[zone] = FINE if zone == own else UNKNOWN
+                rows[zone] = REACHABLE if zone == own else UNKNOWN
             elif not silent:
-                rows[zone] = FINE
+                rows[zone] = REACHABLE
             elif len(silent) < len(members) or zone == own:
-                rows[zone] = PART
+                rows[zone] = PARTLY_GONE
             elif 2 * len(dark) > len(counted) + 1:
                 rows[zone] = CUT_OFF
             else:
                 rows[zone] = GONE
         return rows
 
-    def island(self, now: int) -> bool:
+    def is_island(self, now: int) -> bool:
         """Are we on the smaller side?"""
         return any(state in (CUT_OFF, ALONE) for state in self.zones(now).values())
 
@@ -74,6 +74,6 @@
             "unheard": states.count(UNHEARD),
             "zones": self.zones(now),
             "broken_links": self.links(),
-            "alone": self.alone(now),
+            "alone": self.is_alone(now),
             "health": self.view.health,
         }
--- a/cobaltpond/members/receiving.py
+++ b/cobaltpond/members/receiving.py
@@ -12,45 +12,45 @@
 class Receiving:
     """A part of `view.View`, which has the state."""
 
-    def heard(self, now: int, sender: int, data: bytes) -> None:
+    def receive_datagram(self, now: int, sender: int, data: bytes) -> None:
         """One datagram from the address of a member. Raises wire.Odd on what is not read; nothing of it is
         kept."""
         member = self.members.get(sender)
         if member is None:
-            raise wire.Odd("stranger")
+            raise wire.DatagramError("stranger")
         if (
-            now - member.spent_at >= self.settings.period
+            now - member.spent_at >= self.probe_settings.period
         ):  # guards against floods: before anything is worked out
             member.spent, member.spent_at = 0, now
         member.spent += 1
         if member.spent > EACH_PERIOD:
             self.counts["flood"] += 1
             return
-        kind, sequence, stamp, fields = wire.opened(sender, self.number, data)
+        kind, sequence, stamp, fields = wire.decode_datagram(sender, self.number, data)
         facts, rows = wire.facts_of(fields), wire.rows_of(fields)
         about, digest = wire.number_of(fields, wire.ABOUT, ">H"), wire.number_of(fields, wire.DIGEST, ">I")
         news, drains, trial = wire.news_of(fields), wire.drains_of(fields), wire.trial_of(fields)
         warm, leases = wire.warm_of(fields), wire.leases_of(fields)
         self.counts["heard"] += 1
-        self.feel(member.missed)
-        member.missed = 0
+        self.adjust_health(member.missed_acks)
+        member.missed_acks = 0
         fresh = (
             facts["start"] > member.start
             or facts["start"] == member.start
             and (member.stamp is None or stamp > member.stamp)
         )
-        self.told(now, sender, facts["start"], facts["incarnation"], wire.NAMES[facts["state"]], sender)
+        self.apply_row(now, sender, facts["start"], facts["incarnation"], wire.NAMES[facts["state"]], sender)
         if fresh and facts["start"] == member.start:
             member.facts, member.stamp, member.heard_at = facts, stamp, now
-            if self.hearsay is not None:
-                self.hearsay(member, news, drains)
+            if self.on_gossip is not None:
+                self.on_gossip(member, news, drains)
         elif facts["start"] < member.start:
             self.counts["old"] += 1  # a former life's, late or replayed: its word is not taken
             return
         else:
             self.counts["old"] += 1
         for told in rows:
-            self.told(now, *told)
+            self.apply_row(now, *told)
         if facts["state"] == CODES[LEFT]:
             return
         differs = digest is not None and digest != self.hash
@@ -58,22 +58,22 @@
             self.send(wire.ACK, sender, sequence, differs=differs)
         elif kind == wire.ACK:
             self.acked(now, sender, sequence, about)
-        elif kind == wire.ASK and about in self.members and len(self.relays) < RELAYED:
+        elif kind == wire.INDIRECT_PING and about in self.members and len(self.relays) < RELAYED:
             relayed = self.ping(about)
-            wait = self.settings.wait
+            wait = self.probe_settings.wait
             self.relays[relayed] = (
                 sender,
                 sequence,
                 about,
                 now + int(NACK_SHARE * wait),
-                now + self.settings.period,
+                now + self.probe_settings.period,
             )
-        elif kind in (wire.TRIAL_ASK, wire.TRIAL_TOLD) and self.trial is not None:
-            self.trial(kind, sender, sequence, trial)
-        elif kind in (wire.WARM_ASK, wire.WARM_TOLD) and self.warm is not None:
-            self.warm(kind, sender, sequence, warm)
-        elif kind in (wire.LEASE_ASK, wire.LEASE_TOLD) and self.leases is not None:
-            self.leases(kind, sender, sequence, leases)
+        elif kind in (wire.TRIAL_ASK, wire.TRIAL_REPLY) and self.on_trial_message is not None:
+            self.on_trial_message(kind, sender, sequence, trial)
+        elif kind in (wire.WARM_ASK, wire.WARM_REPLY) and self.on_warm_start_message is not None:
+            self.on_warm_start_message(kind, sender, sequence, warm)
+        elif kind in (wire.LEASE_ASK, wire.LEASE_REPLY) and self.on_lease_message is not None:
+            self.on_lease_message(kind, sender, sequence, leases)
         elif (
             kind == wire.NACK
             and self.probe is not None
--- a/cobaltpond/members/sending.py
+++ b/cobaltpond/members/sending.py
@@ -17,10 +17,10 @@
         if number == self.number:
             return wire.row(number, self.start, self.incarnation, self.state, number)
         member = self.members[number]
-        if member.state == SUSPECT and member.doubters:  # in turn: each of those who doubt is heard of
-            doubters = list(member.doubters)
-            by = doubters[member.given % len(doubters)]
-            member.given += 1
+        if member.state == SUSPECT and member.suspecting:  # in turn: each of those who doubt is heard of
+            doubters = list(member.suspecting)
+            by = doubters[member.rows_sent % len(doubters)]
+            member.rows_sent += 1
         else:
             by = member.by if member.by is not None else self.number
         return wire.row(number, *member.mark, member.state, by)
@@ -30,17 +30,19 @@
         told the least often, then, where the views differ, the table in turn."""
         most, chosen = room // wire.ROW_SIZE, []
         target = self.members[receiver]
-        if target.state in (SUSPECT, FAILED, LEFT) and not (self.settings.plain and target.state == SUSPECT):
+        if target.state in (SUSPECT, FAILED, LEFT) and not (
+            self.probe_settings.plain and target.state == SUSPECT
+        ):
             chosen.append(receiver)
         limit = self.tellings()
-        for number in sorted(self.telling, key=self.telling.get):
+        for number in sorted(self.pending_updates, key=self.pending_updates.get):
             if len(chosen) >= most:
                 break
             if number not in chosen:
                 chosen.append(number)
-                self.telling[number] += 1
-        for number in [n for n, times in self.telling.items() if times >= limit]:
-            del self.telling[number]
+                self.pending_updates[number] += 1
+        for number in [n for n, times in self.pending_updates.items() if times >= limit]:
+            del self.pending_updates[number]
         if differs:
             for _ in self.members:
                 if len(chosen) >= most:
@@ -62,7 +64,7 @@
     ) -> None:
         self.stamp += 1
         facts = {
-            **self.told_of_me,
+            **self.self_description,
             "start": self.start,
             "incarnation": self.incarnation,
             "state": CODES[self.state],
@@ -75,10 +77,12 @@
             fields += wire.news_field(*self.news)
         if self.drains:
             fields += wire.drains_field(self.drains[: wire.DRAINS_MOST])
-        rows = self.rows_for(receiver, wire.MOST - wire.BEGIN - len(fields) - 2, differs)
+        rows = self.rows_for(receiver, wire.MAX_BYTES - wire.HEADER_SIZE - len(fields) - 2, differs)
         if rows:
             fields += wire.field(wire.ROWS, rows)
-        self.out.append((receiver, wire.sealed(kind, self.number, receiver, sequence, self.stamp, fields)))
+        self.out.append(
+            (receiver, wire.encode_datagram(kind, self.number, receiver, sequence, self.stamp, fields))
+        )
 
     def ping(self, receiver: int) -> int:
         self.sequence = (self.sequence + 1) & 0xFFFFFFFF
--- a/cobaltpond/members/service.py
+++ b/cobaltpond/members/service.py
@@ -1,12 +1,12 @@
 """The tasks of membership on our loop: feeds the view with datagrams and time, sends what it wants sent,
 logs."""
 
-from cobaltpond.loop import Deadline, Event, Sleep, TimedOut
+from cobaltpond.loop import Deadline, DeadlineExceededError, Event, Sleep
 from cobaltpond.members import wire
-from cobaltpond.members.gossip import Hearsay
+from cobaltpond.members.gossip import Gossip
 from cobaltpond.members.states import LEFT
-from cobaltpond.members.trial_evidence import Evidence
-from cobaltpond.members.view import Settings, View
+from cobaltpond.members.trial_evidence import TrialEvidence
+from cobaltpond.members.view import ProbeSettings, View
 
 VERSION = 2  # of the program, as members tell each other
 LEAVE_ROUNDS, LEAVE_EVERY = 3, 50_000  # who is stopped says so so often
@@ -23,7 +23,7 @@
         loop,
         zones: dict[int, str],
         number: int,
-        settings: Settings,
+        settings: ProbeSettings,
         peers,
         post,
         about,
@@ -35,46 +35,46 @@
         groups=(),
         window: int = 10_000_000,
     ):
-        self.loop, self.peers, self.post, self.about, self.log = loop, peers, post, about, log
-        self.view = view(number, zones, settings, chance, loop.kernel.wall(), loop.now())
-        self.view.told_of_me.update(version=VERSION, settings=digest)
-        self.hearsay = Hearsay(post)
-        self.view.hearsay = lambda member, news, drains: self.hearsay.word(
+        self.loop, self.peers, self.post_event, self.describe_self, self.log = loop, peers, post, about, log
+        self.view = view(number, zones, settings, chance, loop.kernel.wall_clock(), loop.now())
+        self.view.self_description.update(version=VERSION, settings=digest)
+        self.gossip = Gossip(post)
+        self.view.on_gossip = lambda member, news, drains: self.gossip.receive(
             self.loop.now(), member, news, drains
         )
-        self.evidence, self.trial, self.groups = (
-            Evidence(window, post, chance, loop.now()),
+        self.evidence, self.trial_counts, self.groups = (
+            TrialEvidence(window, post, chance, loop.now()),
             trial,
             list(groups),
         )
-        self.view.trial = self.asked_for if trial is not None else None
-        self.moved, self.odd, self.living = Event(), {}, None
-        self.alone, self.island, self.replaced = False, False, False
-        peers.members = self.take
+        self.view.on_trial_message = self.asked_for if trial is not None else None
+        self.changed, self.odd, self.living = Event(), {}, None
+        self.is_alone, self.is_island, self.replaced = False, False, False
+        peers.on_membership = self.receive_datagram
 
     # --- datagrams ------------------------------------------------------------------------------------------
 
-    def take(self, sender: int, data: bytes) -> None:
+    def receive_datagram(self, sender: int, data: bytes) -> None:
         self.prepare()
         try:
-            self.view.heard(self.loop.now(), sender, data)
-        except wire.Odd as why:  # counted, not logged: a flood must not fill the disk
+            self.view.receive_datagram(self.loop.now(), sender, data)
+        except wire.DatagramError as why:  # counted, not logged: a flood must not fill the disk
             self.odd[str(why)] = self.odd.get(str(why), 0) + 1
         self.flush()
-        self.moved.set()
+        self.changed.set()
 
     def prepare(self) -> None:
         """What a datagram of ours says is as things are now."""
-        now, told = self.loop.now(), self.about()
-        news, self.view.drains = self.hearsay.say(now)
+        now, told = self.loop.now(), self.describe_self()
+        news, self.view.drains = self.gossip.outgoing(now)
         self.view.news = news
         flags = (
             told["flags"]
-            | (wire.ALONE if self.alone else 0)
+            | (wire.ALONE if self.is_alone else 0)
             | (wire.DRAINING if self.view.state == LEFT else 0)
         )
         build, stage, phase = news[:3] if news else (0, 0, 0)
-        self.view.told_of_me.update(
+        self.view.self_description.update(
             revision=told["revision"] & 0xFFFFFFFF,
             out=min(65535, told["out"]),
             flags=flags,
@@ -87,7 +87,7 @@
     def flush(self) -> None:
         out, self.view.out = self.view.out, []
         for receiver, data in out:
-            self.peers.send_members(receiver, data)
+            self.peers.send_membership(receiver, data)
         changes, self.view.changes = self.view.changes, []
         for member, before in changes:
             self.log.info(
@@ -104,7 +104,7 @@
         living = self.view.living() if changes or self.living is None else self.living
         if living != self.living:
             self.living = living
-            self.post("on_members", living)
+            self.post_event("on_members", living)
         if self.view.replaced and not self.replaced:
             self.replaced = True
             self.log.error(
@@ -117,10 +117,13 @@
         """A question about a trial, or the answer to ours."""
         if kind == wire.TRIAL_ASK:
             self.view.send(
-                wire.TRIAL_TOLD, sender, sequence, more=wire.trial_field(self.trial()[: wire.TRIAL_MOST])
+                wire.TRIAL_REPLY,
+                sender,
+                sequence,
+                more=wire.trial_field(self.trial_counts()[: wire.TRIAL_MOST]),
             )
         else:
-            self.evidence.answered(
+            self.evidence.apply_answer(
                 sender,
                 [
                     (build, self.groups[place], *rest)
@@ -129,10 +132,10 @@
                 ],
             )
 
-    def news(self, build: int, stage: int, phase: str, cap: float, age: int) -> None:
+    def desk_news(self, build: int, stage: int, phase: str, cap: float, age: int) -> None:
         """What our own desk says."""
-        self.hearsay.news(self.loop.now(), build, stage, phase, cap, age)
-        self.evidence.news(self.loop.now(), build, phase, age)
+        self.gossip.update_release(self.loop.now(), build, stage, phase, cap, age)
+        self.evidence.update_release(self.loop.now(), build, phase, age)
 
     # --- time -----------------------------------------------------------------------------------------------
 
@@ -143,24 +146,24 @@
             wait = max(1_000, self.view.next_at() - self.loop.now())
             try:
                 with Deadline(self.loop, wait):
-                    yield self.moved
-            except TimedOut:
+                    yield self.changed
+            except DeadlineExceededError:
                 pass
             self.prepare()
             self.view.tick(self.loop.now())
-            for number in self.evidence.due(
+            for number in self.evidence.due_requests(
                 self.loop.now(), [n for n in self.view.living() if n != self.view.number]
             ):
                 self.view.send(wire.TRIAL_ASK, number, 0)
             self.flush()
-            self.look()
+            self.check_connectivity()
 
-    def look(self) -> None:
+    def check_connectivity(self) -> None:
         """Are we alone, or the smaller side of a split? Said once as it begins, and once as it ends."""
-        now, picture = self.loop.now(), self.view.picture
-        alone, island = picture.alone(now), picture.island(now)
-        if (alone, island) != (self.alone, self.island):
-            self.alone, self.island = alone, island
+        now, picture = self.loop.now(), self.view.reachability
+        alone, island = picture.is_alone(now), picture.is_island(now)
+        if (alone, island) != (self.is_alone, self.is_island):
+            self.is_alone, self.is_island = alone, island
             self.log.warning(
                 "cut off" if alone or island else "not cut off any more",
                 alone=alone,
@@ -182,16 +185,16 @@
     def status(self) -> dict:
         now, view = self.loop.now(), self.view
         return {
-            **view.picture.summary(now),
-            "island": self.island,
+            **view.reachability.summary(now),
+            "island": self.is_island,
             "start": view.start,
             "incarnation": view.incarnation,
             "counts": view.counts,
             "odd": self.odd,
             "hearsay": {
-                **self.hearsay.counts,
-                "shut": self.hearsay.heard and self.hearsay.heard[0],
-                "from": self.hearsay.heard_from,
+                **self.gossip.counts,
+                "shut": self.gossip.heard and self.gossip.heard[0],
+                "from": self.gossip.heard_from,
             },
             "evidence": self.evidence.counts,
         }
@@ -200,7 +203,7 @@
         """All members as they are seen from here, ours first."""
         now, view = self.loop.now(), self.view
         own = {
-            **view.told_of_me,
+            **view.self_description,
             "number": view.number,
             "state": view.state,
             "start": view.start,
--- a/cobaltpond/members/states.py
+++ b/cobaltpond/members/states.py
@@ -6,14 +6,26 @@
 CODES = {name: code for code, name in enumerate((UNHEARD, ALIVE, SUSPECT, FAILED, LEFT))}
 NAMES = {code: name for name, code in CODES.items()}
 
-HEARD, DOUBTED, RAN_OUT, TOLD_FAILED, TOLD_LEFT = "heard", "doubted", "ran out", "told failed", "told left"
-CAUSE_OF = {ALIVE: HEARD, SUSPECT: DOUBTED, FAILED: TOLD_FAILED, LEFT: TOLD_LEFT}
+HEARD, SUSPECTED, SUSPICION_EXPIRED, REPORTED_FAILED, REPORTED_LEFT = (
+    "heard",
+    "doubted",
+    "ran out",
+    "told failed",
+    "told left",
+)
+CAUSE_OF = {ALIVE: HEARD, SUSPECT: SUSPECTED, FAILED: REPORTED_FAILED, LEFT: REPORTED_LEFT}
 NEXT = {
-    UNHEARD: {HEARD: ALIVE, DOUBTED: SUSPECT, TOLD_FAILED: FAILED, TOLD_LEFT: LEFT},
-    ALIVE: {HEARD: ALIVE, DOUBTED: SUSPECT, TOLD_FAILED: FAILED, TOLD_LEFT: LEFT},
-    SUSPECT: {HEARD: ALIVE, DOUBTED: SUSPECT, RAN_OUT: FAILED, TOLD_FAILED: FAILED, TOLD_LEFT: LEFT},
-    FAILED: {HEARD: ALIVE, DOUBTED: SUSPECT, TOLD_FAILED: FAILED, TOLD_LEFT: LEFT},
-    LEFT: {HEARD: ALIVE, DOUBTED: SUSPECT, TOLD_FAILED: FAILED, TOLD_LEFT: LEFT},
+    UNHEARD: {HEARD: ALIVE, SUSPECTED: SUSPECT, REPORTED_FAILED: FAILED, REPORTED_LEFT: LEFT},
+    ALIVE: {HEARD: ALIVE, SUSPECTED: SUSPECT, REPORTED_FAILED: FAILED, REPORTED_LEFT: LEFT},
+    SUSPECT: {
+        HEARD: ALIVE,
+        SUSPECTED: SUSPECT,
+        SUSPICION_EXPIRED: FAILED,
+        REPORTED_FAILED: FAILED,
+        REPORTED_LEFT: LEFT,
+    },
+    FAILED: {HEARD: ALIVE, SUSPECTED: SUSPECT, REPORTED_FAILED: FAILED, REPORTED_LEFT: LEFT},
+    LEFT: {HEARD: ALIVE, SUSPECTED: SUSPECT, REPORTED_FAILED: FAILED, REPORTED_LEFT: LEFT},
 }
 
 
@@ -31,7 +43,7 @@
         "since",
         "cause",
         "by",
-        "doubters",
+        "suspecting",
         "doubted_at",
         "until",
         "facts",
@@ -40,34 +52,34 @@
         "reached",
         "spent",
         "spent_at",
-        "given",
-        "missed",
+        "rows_sent",
+        "missed_acks",
     )
 
     def __init__(self, number: int, zone: str, now: int):
         self.number, self.zone, self.state, self.start, self.incarnation = number, zone, UNHEARD, 0, 0
         self.since, self.cause, self.by = now, "", None
-        self.doubters, self.doubted_at, self.until = {}, 0, 0
+        self.suspecting, self.doubted_at, self.until = {}, 0, 0
         self.facts, self.stamp, self.heard_at, self.reached = {}, None, None, None
-        self.spent, self.spent_at, self.given, self.missed = 0, now, 0, 0
+        self.spent, self.spent_at, self.rows_sent, self.missed_acks = 0, now, 0, 0
 
     @property
     def mark(self) -> tuple[int, int]:
         return self.start, self.incarnation
 
     @property
-    def there(self) -> bool:
+    def is_present(self) -> bool:
         """As far as we know: a suspect is there until its time has run out."""
         return self.state in (ALIVE, SUSPECT)
 
-    def newer(self, state: str, start: int, incarnation: int) -> bool:
+    def supersedes(self, state: str, start: int, incarnation: int) -> bool:
         """Does this word hold against what is known?"""
         if self.state == UNHEARD:
             return True
         return (start, incarnation, RANK[state]) > (self.start, self.incarnation, RANK[self.state])
 
 
-def change(member: Member, cause: str, now: int, by: int | None, start: int, incarnation: int) -> str:
+def change_state(member: Member, cause: str, now: int, by: int | None, start: int, incarnation: int) -> str:
     """The only place where a state changes. Gives the state before. Raises RuntimeError on what the table
     lacks: a fault of ours, never of a peer (words of peers are ranked before they come here)."""
     before = member.state
@@ -79,5 +91,5 @@
     if start != member.start:  # another life: nothing known of the last one holds
         member.facts, member.stamp = {}, None
     member.start, member.incarnation, member.cause, member.by = start, incarnation, cause, by
-    member.doubters, member.given = {}, 0
+    member.suspecting, member.rows_sent = {}, 0
     return before
--- a/cobaltpond/members/trial_evidence.py
+++ b/cobaltpond/members/trial_evidence.py
@@ -8,16 +8,16 @@
 ASKED, TIMES, EVERY = 2, 3, 500_000  # members; times each; so long apart, until it answers
 
 
-class Evidence:
+class TrialEvidence:
     """`window`: so old a count is worth nothing, in microseconds; `post`: as `Host.post`; `began`: our own
     start."""
 
     def __init__(self, window: int, post, chance, began: int):
-        self.window, self.post, self.chance, self.began = window, post, chance, began
+        self.window, self.post_event, self.chance, self.began = window, post, chance, began
         self.build, self.asked, self.next_at, self.taken = None, {}, None, {}
         self.counts = {"asked": 0, "answers": 0, "tallies": 0}
 
-    def news(self, now: int, build: int, phase: str, age: int) -> None:
+    def update_release(self, now: int, build: int, phase: str, age: int) -> None:
         """Our own desk speaks. A trial that began before we did is one that we have missed the first part
         of."""
         if phase != "trial":
@@ -27,7 +27,7 @@
             self.build, self.asked, self.taken = build, {}, {}
             self.next_at = now if missed else None
 
-    def due(self, now: int, living) -> list[int]:
+    def due_requests(self, now: int, living) -> list[int]:
         """Whom to ask now. Who has gone meanwhile is replaced by another."""
         if self.next_at is None or now < self.next_at:
             return []
@@ -36,7 +36,7 @@
         answered = sum(times is None for times in self.asked.values())
         fresh = [n for n in living if n not in self.asked]
         while fresh and len(waiting) + answered < ASKED:
-            waiting.append(fresh.pop(self.chance.below(len(fresh))))
+            waiting.append(fresh.pop(self.chance.randbelow(len(fresh))))
         to = [n for n in waiting if self.asked.get(n, 0) < TIMES]
         for number in to:
             self.asked[number] = self.asked.get(number, 0) + 1
@@ -45,7 +45,7 @@
         self.counts["asked"] += len(to)
         return to
 
-    def answered(self, sender: int, rows: list[tuple]) -> None:
+    def apply_answer(self, sender: int, rows: list[tuple]) -> None:
         """`rows`: (build, path group, hits, errored, age of the newest). Taken once from each that was
         asked."""
         if self.asked.get(sender) is None:
@@ -59,4 +59,4 @@
             if count > known:
                 self.taken[build, group] = count, max(bad, known_bad)
                 self.counts["tallies"] += 1
-                self.post("on_tally", build, group, count - known, max(0, bad - known_bad), 0, age)
+                self.post_event("on_tally", build, group, count - known, max(0, bad - known_bad), 0, age)
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -12,8 +12,8 @@
 from math import ceil, log, log10
 
 from cobaltpond.members import wire
-from cobaltpond.members.probing import HELPERS, Rounds
-from cobaltpond.members.reachability import Picture
+from cobaltpond.members.probing import HELPERS, Probing
+from cobaltpond.members.reachability import Reachability
 from cobaltpond.members.receiving import Receiving
 from cobaltpond.members.sending import Sending
 from cobaltpond.members.states import (
@@ -21,11 +21,11 @@
     CAUSE_OF,
     CODES,
     LEFT,
-    RAN_OUT,
     SUSPECT,
+    SUSPICION_EXPIRED,
     UNHEARD,
     Member,
-    change,
+    change_state,
 )
 
 ALPHA, BETA, DOUBTS = 5, 6, 3  # Lifeguard, IV: suspicion's least and most, confirmations
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Settings:
+class ProbeSettings:
     """Times in microseconds. `plain`: SWIM as first published, for comparison."""
 
     period: int = 1_000_000
@@ -47,18 +47,20 @@
         return 1 if self.plain else BETA
 
 
-class View(Rounds, Sending, Receiving):
+class View(Probing, Sending, Receiving):
     """`zones`: name of each gateway's zone by number, ours included. `chance`: as `Chance` of the decisions.
     What is to be sent collects in `out` as (number, datagram), what has changed in `changes` as (member,
     state before)."""
 
-    def __init__(self, number: int, zones: dict[int, str], settings: Settings, chance, start: int, now: int):
-        self.number, self.zones, self.settings, self.chance = number, zones, settings, chance
+    def __init__(
+        self, number: int, zones: dict[int, str], settings: ProbeSettings, chance, start: int, now: int
+    ):
+        self.number, self.zones, self.probe_settings, self.chance = number, zones, settings, chance
         self.members = {n: Member(n, zone, now) for n, zone in zones.items() if n != number}
         self.order = list(self.members)
         self.start, self.incarnation, self.state, self.bumped = start, 0, ALIVE, False
-        self.health, self.sequence, self.stamp, self.began = 0, chance.below(1 << 30), 0, now
-        self.told_of_me = {
+        self.health, self.sequence, self.stamp, self.began = 0, chance.randbelow(1 << 30), 0, now
+        self.self_description = {
             "zone": wire.zone_mark(zones[number]),
             "version": 0,
             "settings": 0,
@@ -71,16 +73,16 @@
             "flags": 0,
         }
         self.news, self.drains = None, ()  # to ride along: gossip.py
-        self.hearsay = None  # called with (member, news or None, drains) of each datagram
-        self.trial = None  # called with (kind, sender, sequence, rows): questions on trials
-        self.warm = self.leases = None  # the same, on instances and on leases
-        self.probe, self.next_probe = None, now + chance.below(settings.period) + 1
+        self.on_gossip = None  # called with (member, news or None, drains) of each datagram
+        self.on_trial_message = None  # called with (kind, sender, sequence, rows): questions on trials
+        self.on_warm_start_message = self.on_lease_message = None  # the same, on instances and on leases
+        self.probe, self.next_probe = None, now + chance.randbelow(settings.period) + 1
         self.round, self.reach_round = [], []  # whom to probe, whom to reach for, in a drawn order
-        self.telling = {}  # number -> times told
+        self.pending_updates = {}  # number -> times told
         self.relays = {}  # sequence -> (who asks, its sequence, about whom, nack at, end)
         self.cursor, self.hash = 0, self.row_hash(number)
         self.out, self.changes, self.replaced = [], [], False
-        self.picture = Picture(self)
+        self.reachability = Reachability(self)
         self.counts = {
             "pings": 0,
             "asked": 0,
@@ -97,12 +99,12 @@
 
     def living(self) -> dict[int, int]:
         """Who is there, ours included: number -> start."""
-        return {n: m.start for n, m in self.members.items() if m.there} | (
+        return {n: m.start for n, m in self.members.items() if m.is_present} | (
             {self.number: self.start} if self.state == ALIVE else {}
         )
 
     def size(self) -> int:
-        return 1 + sum(m.there for m in self.members.values())
+        return 1 + sum(m.is_present for m in self.members.values())
 
     def slowed(self, time: int) -> int:
         """A wait as long as our own health asks for: who is slow itself doubts others later."""
@@ -111,8 +113,8 @@
     def suspicion(self, doubters: int) -> int:
         """How long a suspicion lasts with so many who doubt."""
         size = self.size()
-        least = int(ALPHA * max(1.0, log10(max(1, size))) * self.settings.period)
-        most, wanted = self.settings.beta * least, min(DOUBTS, size - 2)
+        least = int(ALPHA * max(1.0, log10(max(1, size))) * self.probe_settings.period)
+        most, wanted = self.probe_settings.beta * least, min(DOUBTS, size - 2)
         if wanted < 1:
             return least
         return max(least, int(most - (most - least) * log(doubters) / log(wanted + 1)))
@@ -120,8 +122,8 @@
     def tellings(self) -> int:
         return TELLINGS * ceil(log10(self.size() + 1))
 
-    def feel(self, step: int) -> None:
-        if not self.settings.plain:
+    def adjust_health(self, step: int) -> None:
+        if not self.probe_settings.plain:
             self.health = min(HEALTH_MOST, max(0, self.health + step))
 
     def row_hash(self, number: int) -> int:
@@ -140,27 +142,27 @@
     def alter(self, member: Member, cause: str, now: int, by: int, start: int, incarnation: int) -> None:
         self.hash ^= self.row_hash(member.number)
         life = member.start
-        before = change(member, cause, now, by, start, incarnation)
+        before = change_state(member, cause, now, by, start, incarnation)
         self.hash ^= self.row_hash(member.number)
         if member.state == SUSPECT:
-            member.doubters, member.doubted_at = {}, now
-            self.doubt(member, by, now)
-        if not member.there:
-            member.reached, member.missed = None, 0
+            member.suspecting, member.doubted_at = {}, now
+            self.add_suspicion(member, by, now)
+        if not member.is_present:
+            member.reached, member.missed_acks = None, 0
         if member.state != before or member.start != life:
             self.changes.append((member, before))
-        self.telling[member.number] = 0
+        self.pending_updates[member.number] = 0
 
-    def doubt(self, member: Member, by: int, now: int) -> None:
+    def add_suspicion(self, member: Member, by: int, now: int) -> None:
         """One more who doubts: the suspicion gets shorter, though it never ends in the past."""
-        member.doubters[by] = True
-        member.until = max(now, member.doubted_at + self.suspicion(len(member.doubters)))
+        member.suspecting[by] = True
+        member.until = max(now, member.doubted_at + self.suspicion(len(member.suspecting)))
 
-    def more_doubt(self, member: Member, by: int, now: int) -> None:
+    def confirm_suspicion(self, member: Member, by: int, now: int) -> None:
         """Told on (Lifeguard's dogpile): others' waits get shorter too; so many confirmations and no more."""
-        if by not in member.doubters and len(member.doubters) <= DOUBTS and not self.settings.plain:
-            self.doubt(member, by, now)
-            self.telling[member.number] = 0
+        if by not in member.suspecting and len(member.suspecting) <= DOUBTS and not self.probe_settings.plain:
+            self.add_suspicion(member, by, now)
+            self.pending_updates[member.number] = 0
 
     def raise_self(self, incarnation: int, start: int | None = None) -> None:
         self.hash ^= self.row_hash(self.number)
@@ -168,7 +170,7 @@
         if start is not None:
             self.start = start
         self.hash ^= self.row_hash(self.number)
-        self.telling[self.number] = 0
+        self.pending_updates[self.number] = 0
 
     def doubted_of_me(self, start: int, incarnation: int, state: str) -> None:
         """What others say of us that does not hold. A newer start of our name is our own former life where a
@@ -184,10 +186,10 @@
             start == self.start and state != ALIVE and incarnation >= self.incarnation and self.state == ALIVE
         ):
             self.counts["refuted"] += 1
-            self.feel(1)  # they could not hear us: it may be us
+            self.adjust_health(1)  # they could not hear us: it may be us
             self.raise_self(incarnation + 1)
 
-    def told(self, now: int, number: int, start: int, incarnation: int, state: str, by: int) -> None:
+    def apply_row(self, now: int, number: int, start: int, incarnation: int, state: str, by: int) -> None:
         """One row of another's table."""
         if number == self.number:
             self.doubted_of_me(start, incarnation, state)
@@ -195,10 +197,10 @@
         member = self.members.get(number)
         if member is None:
             self.counts["strangers"] += 1
-        elif member.newer(state, start, incarnation):
+        elif member.supersedes(state, start, incarnation):
             self.alter(member, CAUSE_OF[state], now, by, start, incarnation)
         elif state == SUSPECT == member.state and (start, incarnation) == member.mark:
-            self.more_doubt(member, by, now)
+            self.confirm_suspicion(member, by, now)
 
     # --- time -----------------------------------------------------------------------------------------------
 
@@ -219,7 +221,7 @@
         if now < due:
             return
         late = now - due
-        if late > STOOD_STILL * self.settings.wait and not self.settings.plain:
+        if late > STOOD_STILL * self.probe_settings.wait and not self.probe_settings.plain:
             self.stood_still(now, late)
             return
         self.nack(now)
@@ -227,12 +229,12 @@
         if probe is not None and probe.asked is None and now >= probe.ask_at:
             probe.asked = now
             if probe.reached is None:
-                self.ask(probe)
+                self.request_indirect(probe)
         if probe is not None and now >= probe.end_at:
             self.end_probe(now)
         for member in [m for m in self.members.values() if m.state == SUSPECT]:
             if now >= member.until:
-                self.alter(member, RAN_OUT, now, self.number, *member.mark)
+                self.alter(member, SUSPICION_EXPIRED, now, self.number, *member.mark)
         if self.probe is None and now >= self.next_probe:
             self.begin_probe(now)
 
@@ -240,8 +242,8 @@
         """Guards against a process that was stopped, or a clock that jumped: what it would call overdue it
         has not had time to hear. Its own probe counts for nothing, and every suspicion is as much longer."""
         self.counts["stood still"] += 1
-        self.feel(1)
-        self.probe, self.next_probe = None, now + self.settings.wait
+        self.adjust_health(1)
+        self.probe, self.next_probe = None, now + self.probe_settings.wait
         self.relays = {}
         for member in self.members.values():
             if member.state == SUSPECT:
@@ -254,5 +256,5 @@
         self.hash ^= self.row_hash(self.number)
         self.state = LEFT
         self.hash ^= self.row_hash(self.number)
-        for number in self.drawn([n for n, m in self.members.items() if m.there])[: 2 * HELPERS]:
+        for number in self.drawn([n for n, m in self.members.items() if m.is_present])[: 2 * HELPERS]:
             self.send(wire.LEAVE, number, 0)
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -16,11 +16,21 @@
 from cobaltpond.members.states import CODES, NAMES, UNHEARD
 
 MAJOR, MINOR = 1, 0
-PING, ACK, ASK, NACK, LEAVE, TRIAL_ASK, TRIAL_TOLD, WARM_ASK, WARM_TOLD = 1, 2, 3, 4, 5, 6, 7, 8, 9
-LEASE_ASK, LEASE_TOLD = 10, 11
-MOST = 250  # of a datagram's 256 bytes, what is left for us
+PING, ACK, INDIRECT_PING, NACK, LEAVE, TRIAL_ASK, TRIAL_REPLY, WARM_ASK, WARM_REPLY = (
+    1,
+    2,
+    3,
+    4,
+    5,
+    6,
+    7,
+    8,
+    9,
+)
+LEASE_ASK, LEASE_REPLY = 10, 11
+MAX_BYTES = 250  # of a datagram's 256 bytes, what is left for us
 HEAD = ">BBIHII"
-BEGIN = calcsize(HEAD)
+HEADER_SIZE = calcsize(HEAD)
 SELF, ROWS, ABOUT, NEWS, DRAINS, DIGEST, TRIAL, WARM, LEASES = 1, 2, 3, 4, 5, 6, 7, 8, 9
 # start (microseconds of the calendar), incarnation, state, zone, version, settings, list's revision, build,
 # stage, phase, hits out, share let in (of 255), flags
@@ -51,7 +61,7 @@
 LEASES_FORM, LEASES_MOST = ">BQIII", 7  # limit, value, amount, when it was asked, fence
 
 
-class Odd(Exception):
+class DatagramError(Exception):
     """A datagram that is not read: the text is one of a few words, fit to be counted."""
 
 
@@ -63,30 +73,30 @@
     return pack(">BB", tag, len(value)) + value
 
 
-def sealed(kind: int, sender: int, receiver: int, sequence: int, stamp: int, fields: bytes) -> bytes:
+def encode_datagram(kind: int, sender: int, receiver: int, sequence: int, stamp: int, fields: bytes) -> bytes:
     """A whole datagram. Raises ValueError where it is too long."""
-    if BEGIN + len(fields) > MOST:
-        raise ValueError(f"{BEGIN + len(fields)} bytes")
+    if HEADER_SIZE + len(fields) > MAX_BYTES:
+        raise ValueError(f"{HEADER_SIZE + len(fields)} bytes")
     rest = pack(">HII", receiver, sequence, stamp) + fields
     check = crc32(pack(">HBB", sender, MAJOR << 4 | MINOR, kind) + rest)
     return pack(">BBI", MAJOR << 4 | MINOR, kind, check) + rest
 
 
-def opened(sender: int, receiver: int, data: bytes) -> tuple[int, int, int, dict]:
+def decode_datagram(sender: int, receiver: int, data: bytes) -> tuple[int, int, int, dict]:
     """(kind, sequence, stamp, {tag: value}). Raises Odd."""
-    if len(data) < BEGIN or len(data) > MOST:
-        raise Odd("length")
+    if len(data) < HEADER_SIZE or len(data) > MAX_BYTES:
+        raise DatagramError("length")
     version, kind, check, to, sequence, stamp = unpack_from(HEAD, data)
     if version >> 4 != MAJOR:
-        raise Odd("version")
+        raise DatagramError("version")
     if check != crc32(pack(">HBB", sender, version, kind) + data[6:]):
-        raise Odd("checksum")
+        raise DatagramError("checksum")
     if to != receiver:
-        raise Odd("receiver")
-    fields, at = {}, BEGIN
+        raise DatagramError("receiver")
+    fields, at = {}, HEADER_SIZE
     while at < len(data):
         if at + 2 > len(data) or at + 2 + data[at + 1] > len(data):
-            raise Odd("field")
+            raise DatagramError("field")
         fields.setdefault(data[at], data[at + 2 : at + 2 + data[at + 1]])
         at += 2 + data[at + 1]
     return kind, sequence, stamp, fields
@@ -100,10 +110,10 @@
     """Raises Odd: who says nothing of itself is nobody."""
     value = fields.get(SELF, b"")
     if len(value) < calcsize(FACTS):
-        raise Odd("field")
+        raise DatagramError("field")
     facts = dict(zip(FACT_NAMES, unpack_from(FACTS, value), strict=True))
     if NAMES.get(facts["state"], UNHEARD) == UNHEARD:
-        raise Odd("field")
+        raise DatagramError("field")
     return facts
 
 
@@ -115,10 +125,10 @@
     """(number, start, incarnation, state, who says so). Raises Odd."""
     value = fields.get(ROWS, b"")
     if len(value) % ROW_SIZE:
-        raise Odd("field")
+        raise DatagramError("field")
     rows = [unpack(ROW, value[at : at + ROW_SIZE]) for at in range(0, len(value), ROW_SIZE)]
     if any(NAMES.get(told[3], UNHEARD) == UNHEARD for told in rows):
-        raise Odd("field")
+        raise DatagramError("field")
     return [(*told[:3], NAMES[told[3]], told[4]) for told in rows]
 
 
@@ -128,7 +138,7 @@
     if value is None:
         return None
     if len(value) < calcsize(form):
-        raise Odd("field")
+        raise DatagramError("field")
     return unpack_from(form, value)[0]
 
 
@@ -143,7 +153,7 @@
     if value is None:
         return None
     if len(value) < calcsize(NEWS_FORM):
-        raise Odd("field")
+        raise DatagramError("field")
     build, stage, phase, cap, age = unpack_from(NEWS_FORM, value)
     return build, stage, phase, cap / 65535, age * 1000
 
@@ -152,7 +162,7 @@
     """Tags of instances (`decisions/sample_message.py`). Raises Odd."""
     value = fields.get(DRAINS, b"")
     if len(value) % 4 or len(value) > 4 * DRAINS_MOST:
-        raise Odd("field")
+        raise DatagramError("field")
     return list(unpack(f">{len(value) // 4}I", value))
 
 
@@ -178,7 +188,7 @@
     """Raises Odd."""
     value, size = fields.get(TRIAL, b""), calcsize(TRIAL_FORM)
     if len(value) % size or len(value) > size * TRIAL_MOST:
-        raise Odd("field")
+        raise DatagramError("field")
     rows = [unpack(TRIAL_FORM, value[at : at + size]) for at in range(0, len(value), size)]
     return [(*told[:4], told[4] * 10_000) for told in rows]
 
@@ -206,7 +216,7 @@
     """Raises Odd."""
     value, size = fields.get(WARM, b""), calcsize(WARM_FORM)
     if len(value) % size or len(value) > size * WARM_MOST:
-        raise Odd("field")
+        raise DatagramError("field")
     rows = [unpack(WARM_FORM, value[at : at + size]) for at in range(0, len(value), size)]
     return [
         (mark, pace / PACE_PART, load, faults / 255, flags, age * 100_000)
@@ -229,7 +239,7 @@
     """Raises Odd."""
     value, size = fields.get(LEASES, b""), calcsize(LEASES_FORM)
     if len(value) % size or len(value) > size * LEASES_MOST:
-        raise Odd("field")
+        raise DatagramError("field")
     return [unpack(LEASES_FORM, value[at : at + size]) for at in range(0, len(value), size)]
 
 
--- a/cobaltpond/recovery/measure.py
+++ b/cobaltpond/recovery/measure.py
@@ -29,7 +29,7 @@
     return None
 
 
-def greatest(times: list[int], window: int = WINDOW) -> int:
+def max_in_window(times: list[int], window: int = WINDOW) -> int:
     """The most of these moments that lie within any one window."""
     times, first, most = sorted(times), 0, 0
     for last, at in enumerate(times):
--- a/cobaltpond/recovery/phases.py
+++ b/cobaltpond/recovery/phases.py
@@ -7,7 +7,7 @@
 
 BLANK, HEARING, WARMING, SERVING, SETTLED = "blank", "hearing", "warming", "serving", "settled"
 ORDER = (BLANK, HEARING, WARMING, SERVING, SETTLED)
-HEARD, ALL_HEARD, WARMED, IN_STEP, TIME, STOOD_STILL = (
+HEARD, ALL_HEARD, WARMED, IN_STEP, TIME_UP, STOOD_STILL = (
     "heard",
     "all heard",
     "warmed",
@@ -20,10 +20,10 @@
 # has both and asks others what they know; serving goes by what it sees; settled has seen enough for others to
 # rest on.
 NEXT = {
-    BLANK: {HEARD: HEARING, ALL_HEARD: WARMING, TIME: HEARING},
-    HEARING: {ALL_HEARD: WARMING, TIME: WARMING},
-    WARMING: {WARMED: SERVING, TIME: SERVING, STOOD_STILL: WARMING},
-    SERVING: {IN_STEP: SETTLED, TIME: SETTLED, STOOD_STILL: WARMING},
+    BLANK: {HEARD: HEARING, ALL_HEARD: WARMING, TIME_UP: HEARING},
+    HEARING: {ALL_HEARD: WARMING, TIME_UP: WARMING},
+    WARMING: {WARMED: SERVING, TIME_UP: SERVING, STOOD_STILL: WARMING},
+    SERVING: {IN_STEP: SETTLED, TIME_UP: SETTLED, STOOD_STILL: WARMING},
     SETTLED: {STOOD_STILL: WARMING},
 }
 ADMIT, DIAL, ASK, TELL, VOTE_BACK, VOTE_ON, ANSWER, KEEP = (
@@ -36,7 +36,7 @@
     "answer",
     "keep",
 )
-MAY = {
+PERMISSIONS = {
     BLANK: (),
     HEARING: (ADMIT, DIAL),
     WARMING: (ADMIT, DIAL, ASK, TELL, VOTE_BACK),
@@ -45,44 +45,44 @@
 }
 
 
-class Life:
+class PhaseMachine:
     """One start of a gateway. `longest`: phase -> how long it may stay there, microseconds; none for SETTLED.
     `moved`: called with (phase before, cause) at each change."""
 
     def __init__(self, now: int, longest: dict[str, int], moved=lambda before, cause: None):
-        self.phase, self.since, self.began, self.longest, self.moved = BLANK, now, now, longest, moved
-        self.story = [(now, BLANK, "started")]
+        self.phase, self.since, self.began, self.longest, self.on_change = BLANK, now, now, longest, moved
+        self.transitions = [(now, BLANK, "started")]
 
-    def on(self, now: int, cause: str) -> bool:
+    def apply_cause(self, now: int, cause: str) -> bool:
         """The one place where the phase changes. What a phase has no use for changes nothing; False then."""
         to = NEXT[self.phase].get(cause)
         if to is None:
             return False
         before, self.phase, self.since = self.phase, to, now
-        self.story = [*self.story[-31:], (now, to, cause)]
-        self.moved(before, cause)
+        self.transitions = [*self.transitions[-31:], (now, to, cause)]
+        self.on_change(before, cause)
         return True
 
     def tick(self, now: int) -> None:
         """Nobody stays longer in a phase than it may; each one that is due is left, however late this is
         called."""
         while self.phase in self.longest and now - self.since >= self.longest[self.phase]:
-            self.on(self.since + self.longest[self.phase], TIME)
+            self.apply_cause(self.since + self.longest[self.phase], TIME_UP)
 
-    def may(self, what: str) -> bool:
-        return what in MAY[self.phase]
+    def is_allowed(self, what: str) -> bool:
+        return what in PERMISSIONS[self.phase]
 
     def status(self, now: int) -> dict:
         return {
             "phase": self.phase,
             "since_us": now - self.since,
             "up_us": now - self.began,
-            "may": list(MAY[self.phase]),
-            "story": [[at - self.began, phase, cause] for at, phase, cause in self.story],
+            "may": list(PERMISSIONS[self.phase]),
+            "story": [[at - self.began, phase, cause] for at, phase, cause in self.transitions],
         }
 
 
-class Step:
+class ServiceWindow:
     """Is a gateway in step: were nearly all its hits of the last second answered in time? `least`: of the
     second's hits so many must be there to speak of a share; with fewer, time alone decides."""
 
@@ -91,12 +91,12 @@
     def __init__(self):
         self.rows = []  # (at, answered by then, delivered by then)
 
-    def enter(self, now: int, answered: int, delivered: int) -> None:
+    def record(self, now: int, answered: int, delivered: int) -> None:
         self.rows.append((now, answered, delivered))
         while len(self.rows) > 2 and self.rows[1][0] <= now - self.WINDOW:
             del self.rows[0]
 
-    def fine(self) -> bool:
+    def is_in_step(self) -> bool:
         """Of a whole window."""
         (first, answered, delivered), (last, all_answered, all_delivered) = self.rows[0], self.rows[-1]
         count = all_answered - answered
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -21,11 +21,11 @@
     VOTE_ON,
     WARMED,
     WARMING,
-    Life,
-    Step,
+    PhaseMachine,
+    ServiceWindow,
 )
-from cobaltpond.recovery.rate_limiter import Answers, Fresh, Spread, Turns
-from cobaltpond.recovery.warm_start import SILENT, WarmStart, mark_of, remarkable
+from cobaltpond.recovery.rate_limiter import AnswerRateLimiter, DialRateLimiter, RecentStarts, StartJitter
+from cobaltpond.recovery.warm_start import SILENT, WarmStart, notable_rows, start_mark
 
 LOOK, SLOW_LOOK = 20_000, 100_000  # between looks; once settled
 COLD_TIMES = 3  # so old a word or a snapshot is worth nothing
@@ -38,56 +38,69 @@
 
     def __init__(self, gateway, chance):
         self.gateway, self.loop, self.log, self.chance = gateway, gateway.loop, gateway.log, chance
-        sheet, self.sheet = gateway.sheet, gateway.sheet.recovery
+        sheet, self.recovery_settings = gateway.settings, gateway.settings.recovery
         self.window, self.began = COLD_TIMES * sheet.rules.cold_time, self.loop.now()
-        self.settings, self.step = sheet.digest(), Step()
-        self.life = Life(
+        self.settings_digest, self.service_window = sheet.digest(), ServiceWindow()
+        self.phase_machine = PhaseMachine(
             self.began,
             {
-                BLANK: self.sheet.hear,
-                HEARING: self.sheet.hear,
-                WARMING: self.sheet.warming,
-                SERVING: self.sheet.settle,
+                BLANK: self.recovery_settings.hear,
+                HEARING: self.recovery_settings.hear,
+                WARMING: self.recovery_settings.warming,
+                SERVING: self.recovery_settings.settle,
             },
-            self.moved,
+            self.phase_changed,
+        )
+        self.recent_starts, self.answer_limiter = (
+            RecentStarts(len(sheet.gateways)),
+            AnswerRateLimiter(self.recovery_settings.asks),
+        )
+        self.start_jitter = (
+            StartJitter(self.recovery_settings.calls, chance) if self.recovery_settings.calls else None
+        )
+        if self.recovery_settings.dials:
+            gateway.endpoints.dial_limiter = DialRateLimiter(
+                self.recovery_settings.dials, self.recent_starts.member_count, chance
+            )
+        self.warm_start, self.loaded_snapshot, self.snapshot_refusal, self.written, self.looked = (
+            None,
+            None,
+            None,
+            None,
+            self.began,
         )
-        self.fresh, self.answers = Fresh(len(sheet.gateways)), Answers(self.sheet.asks)
-        self.spread = Spread(self.sheet.calls, chance) if self.sheet.calls else None
-        if self.sheet.dials:
-            gateway.places.turns = Turns(self.sheet.dials, self.fresh.there, chance)
-        self.warm, self.snapshot, self.refused, self.written, self.looked = None, None, None, None, self.began
         self.counts = {"told": 0, "held votes": 0, "held samples": 0, "recalled": 0, "kept": 0, "not kept": 0}
-        gateway.host.may = self.may
+        gateway.host.is_allowed = self.is_allowed
         if gateway.members is not None:
-            gateway.members.view.warm = self.spoken
+            gateway.members.view.on_warm_start_message = self.handle_message
 
-    def moved(self, before: str, cause: str) -> None:
+    def phase_changed(self, before: str, cause: str) -> None:
         self.log.info(
             "phase",
-            phase=self.life.phase,
+            phase=self.phase_machine.phase,
             before=before,
             cause=cause,
             up_ms=(self.loop.now() - self.began) // 1000,
         )
 
-    def may(self, what: str, verdict: str = "") -> bool:
+    def is_allowed(self, what: str, verdict: str = "") -> bool:
         """Asked by the host before it carries out a vote or tells a sample."""
         if what == "vote":
-            held = not self.life.may(VOTE_ON if verdict in ("on", "hold") else VOTE_BACK)
+            held = not self.phase_machine.is_allowed(VOTE_ON if verdict in ("on", "hold") else VOTE_BACK)
             self.counts["held votes"] += held
             return not held
-        held = not self.life.may(TELL)
+        held = not self.phase_machine.is_allowed(TELL)
         self.counts["held samples"] += held
         return not held
 
     # --- the first calls ------------------------------------------------------------------------------------
 
-    def spaced(self, generator):
+    def jittered(self, generator):
         """The first call to the list, or to the desk, at a drawn moment; what follows goes its own way."""
-        if self.spread is not None:
+        if self.start_jitter is not None:
             if self.gateway.members is not None:
                 yield Sleep(EAR)
-            yield Sleep(self.spread.wait(self.fresh.count(self.loop.kernel.wall())))
+            yield Sleep(self.start_jitter.draw_delay(self.recent_starts.count(self.loop.kernel.wall_clock())))
         yield from generator
 
     # --- time -----------------------------------------------------------------------------------------------
@@ -97,43 +110,45 @@
         self.read_snapshot()
         last = 0
         while True:
-            yield Sleep(SLOW_LOOK if self.life.phase == SETTLED else LOOK)
+            yield Sleep(SLOW_LOOK if self.phase_machine.phase == SETTLED else LOOK)
             now = self.loop.now()
-            self.hear(now)
-            self.ask(now)
+            self.observe(now)
+            self.request_warm_start(now)
             if now - last >= SLOW_LOOK:
                 last = now
-                counts = self.gateway.door.counts
+                counts = self.gateway.frontend.counts
                 delivered = counts.get("delivered", 0)
-                self.step.enter(
+                self.service_window.record(
                     now, delivered + counts.get("bounced", 0) + counts.get("errored", 0), delivered
                 )
                 if (
-                    self.life.phase == SERVING
-                    and now - self.life.since >= self.window // COLD_TIMES
-                    and (self.step.fine())
+                    self.phase_machine.phase == SERVING
+                    and now - self.phase_machine.since >= self.window // COLD_TIMES
+                    and (self.service_window.is_in_step())
                 ):
-                    self.life.on(now, IN_STEP)
-            self.life.tick(now)
-            yield from self.keep(now)
+                    self.phase_machine.apply_cause(now, IN_STEP)
+            self.phase_machine.tick(now)
+            yield from self.write_snapshot(now)
 
-    def hear(self, now: int) -> None:
+    def observe(self, now: int) -> None:
         """What has been heard of, and whether we stood still meanwhile."""
         gateway = self.gateway
         if gateway.members is not None:
-            self.fresh.heard(
+            self.recent_starts.update(
                 {n: start for n, start in gateway.members.view.living().items() if n != gateway.number}
             )
         if now - self.looked > self.window // COLD_TIMES:
-            self.life.on(now, STOOD_STILL)  # all that we know is as old as that: as good as begun anew
+            self.phase_machine.apply_cause(
+                now, STOOD_STILL
+            )  # all that we know is as old as that: as good as begun anew
         self.looked = now
-        heard = gateway.follower.heard, gateway.news.heard
+        heard = gateway.list_follower.has_heard, gateway.desk_client.has_heard
         if all(heard):
-            self.life.on(now, ALL_HEARD)
+            self.phase_machine.apply_cause(now, ALL_HEARD)
         elif any(heard):
-            self.life.on(now, HEARD)
-        if gateway.places.turns is not None:
-            gateway.places.turns.keep(gateway.places.by_id)
+            self.phase_machine.apply_cause(now, HEARD)
+        if gateway.endpoints.dial_limiter is not None:
+            gateway.endpoints.dial_limiter.retain(gateway.endpoints.by_id)
 
     # --- warm start -----------------------------------------------------------------------------------------
 
@@ -143,52 +158,55 @@
         return [
             n
             for n, member in view.members.items()
-            if member.there and member.facts.get("flags", 0) & wire.SETTLED
+            if member.is_present and member.facts.get("flags", 0) & wire.SETTLED
         ]
 
-    def ask(self, now: int) -> None:
-        if not self.life.may(ASK):
+    def request_warm_start(self, now: int) -> None:
+        if not self.phase_machine.is_allowed(ASK):
             return
-        if self.warm is None:
-            self.warm = WarmStart(self.window, self.chance, now, self.sheet.warming)
+        if self.warm_start is None:
+            self.warm_start = WarmStart(self.window, self.chance, now, self.recovery_settings.warming)
             self.take_snapshot()
         members = self.gateway.members
-        if members is None or not self.sheet.warm:
-            self.life.on(now, WARMED)
+        if members is None or not self.recovery_settings.warm:
+            self.phase_machine.apply_cause(now, WARMED)
             return
-        for number in self.warm.due(now, self.donors()):
+        for number in self.warm_start.due_requests(now, self.donors()):
             members.view.send(wire.WARM_ASK, number, 0)
         members.flush()
-        if self.warm.over(now):
-            self.life.on(now, WARMED)
+        if self.warm_start.is_over(now):
+            self.phase_machine.apply_cause(now, WARMED)
 
-    def spoken(self, kind: int, sender: int, sequence: int, rows: list) -> None:
+    def handle_message(self, kind: int, sender: int, sequence: int, rows: list) -> None:
         """A question about instances, or an answer to ours."""
         now = self.loop.now()
         if kind == wire.WARM_ASK:
-            if self.life.may(ANSWER) and self.answers.allows(now, sender):
-                told = remarkable(
-                    [(mark_of(id, build, start), *rest) for id, build, start, *rest in self.rows(now)]
+            if self.phase_machine.is_allowed(ANSWER) and self.answer_limiter.try_acquire(now, sender):
+                told = notable_rows(
+                    [(start_mark(id, build, start), *rest) for id, build, start, *rest in self.rows(now)]
                 )
                 for at in range(0, max(1, len(told)), wire.WARM_MOST):
                     self.gateway.members.view.send(
-                        wire.WARM_TOLD, sender, sequence, more=wire.warm_field(told[at : at + wire.WARM_MOST])
+                        wire.WARM_REPLY,
+                        sender,
+                        sequence,
+                        more=wire.warm_field(told[at : at + wire.WARM_MOST]),
                     )
                 self.counts["told"] += 1
-        elif self.warm is not None:
-            self.warm.answered(sender, rows)
-            held = self.gateway.follower.held
-            marks = {mark_of(id, row["build"], row["start"]): id for id, row in held.rows.items()}
-            self.recall(self.warm.believed(marks), [])
+        elif self.warm_start is not None:
+            self.warm_start.apply_answer(sender, rows)
+            held = self.gateway.list_follower.instance_list
+            marks = {start_mark(id, row["build"], row["start"]): id for id, row in held.rows.items()}
+            self.restore(self.warm_start.accepted_rows(marks), [])
 
     def rows(self, now: int) -> list[tuple]:
         """(id, build, the list's mark of its start, pace, load, faults, flags, age) of what we know of
         ourselves."""
-        fleet, held = self.gateway.host.decisions.fleet, self.gateway.follower.held.rows
+        fleet, held = self.gateway.host.decisions.fleet, self.gateway.list_follower.instance_list.rows
         out = []
         for instance in fleet.up:
             row = held.get(instance.id)
-            silent = now < instance.benched_until
+            silent = now < instance.ejected_until
             if row is None or not instance.heard_at and not silent:
                 continue
             age = now - instance.heard_at if instance.heard_at and not silent else 0
@@ -197,8 +215,8 @@
                     instance.id,
                     instance.build.number,
                     row["start"],
-                    instance.pace,
-                    instance.others,
+                    instance.latency_ratio,
+                    instance.other_inflight,
                     instance.faults,
                     SILENT if silent else 0,
                     age,
@@ -206,67 +224,71 @@
             )
         return out
 
-    def recall(self, rows: list, keys: list) -> None:
+    def restore(self, rows: list, keys: list) -> None:
         if rows or keys:
             self.counts["recalled"] += len(rows)
-            self.gateway.host.post("on_recalled", rows, keys)
+            self.gateway.host.post_event("on_recalled", rows, keys)
 
     # --- the snapshot ---------------------------------------------------------------------------------------
 
     def read_snapshot(self) -> None:
-        path, kernel = self.gateway.place.snapshot, self.loop.kernel
+        path, kernel = self.gateway.gateway_settings.snapshot, self.loop.kernel
         if path is None:
             return
         try:
-            size = kernel.size(path)
+            size = kernel.file_size(path)
             if size is not None and size > snapshot.MOST_BYTES:
-                raise snapshot.Unfit(f"{size} bytes are more than one has")
-            self.snapshot = snapshot.read(
+                raise snapshot.SnapshotError(f"{size} bytes are more than one has")
+            self.loaded_snapshot = snapshot.parse_snapshot(
                 kernel.read_file(path),
                 number=self.gateway.number,
-                settings=self.settings,
-                wall=kernel.wall(),
+                settings=self.settings_digest,
+                wall=kernel.wall_clock(),
                 worth=self.window,
             )
-            self.gateway.news.seen = self.snapshot["head"].get("seen") or self.gateway.news.seen
-        except (snapshot.Unfit, OSError) as why:
-            self.refuse(why)
+            self.gateway.desk_client.last_seen_state = (
+                self.loaded_snapshot["head"].get("seen") or self.gateway.desk_client.last_seen_state
+            )
+        except (snapshot.SnapshotError, OSError) as why:
+            self.refuse_snapshot(why)
 
-    def refuse(self, why) -> None:
-        self.refused, self.snapshot = str(why), None
+    def refuse_snapshot(self, why) -> None:
+        self.snapshot_refusal, self.loaded_snapshot = str(why), None
         self.log.info("snapshot refused", why=str(why))
 
     def take_snapshot(self) -> None:
         """Once the list has been heard."""
-        told, held = self.snapshot, self.gateway.follower.held
+        told, held = self.loaded_snapshot, self.gateway.list_follower.instance_list
         if told is None:
             return
         try:
-            snapshot.fits_list(told["head"], held.epoch)
-        except snapshot.Unfit as why:
-            self.refuse(why)
+            snapshot.check_list_epoch(told["head"], held.epoch)
+        except snapshot.SnapshotError as why:
+            self.refuse_snapshot(why)
             return
-        rows = snapshot.believed(told, {id: (row["build"], row["start"]) for id, row in held.rows.items()})
+        rows = snapshot.accepted_rows(
+            told, {id: (row["build"], row["start"]) for id, row in held.rows.items()}
+        )
         self.log.info(
             "snapshot taken", rows=len(rows), keys=len(told["keys"]), weight=round(told["weight"], 3)
         )
-        self.recall(rows, told["keys"])
+        self.restore(rows, told["keys"])
 
-    def keep(self, now: int):
+    def write_snapshot(self, now: int):
         """Writes it now and then, line by line with a turn of the loop between: no sync, the end of the file
         tells whether it is whole. A disk that is full or fails costs the snapshot, nothing else."""
-        path, kernel = self.gateway.place.snapshot, self.loop.kernel
-        due = self.written is None or now - self.written >= self.sheet.snapshot_every
-        if path is None or not due or not self.life.may(KEEP):
+        path, kernel = self.gateway.gateway_settings.snapshot, self.loop.kernel
+        due = self.written is None or now - self.written >= self.recovery_settings.snapshot_every
+        if path is None or not due or not self.phase_machine.is_allowed(KEEP):
             return
         self.written = now
-        held, decisions = self.gateway.follower.held, self.gateway.host.decisions
+        held, decisions = self.gateway.list_follower.instance_list, self.gateway.host.decisions
         head = {
             "number": self.gateway.number,
-            "settings": self.settings,
-            "wall": kernel.wall(),
+            "settings": self.settings_digest,
+            "wall": kernel.wall_clock(),
             "epoch": held.epoch,
-            "seen": self.gateway.news.seen,
+            "seen": self.gateway.desk_client.last_seen_state,
         }
         rows = [
             [id, build, start, round(pace, 3), round(load, 2), round(faults, 3), bool(flags), age]
@@ -277,7 +299,7 @@
         try:
             kernel.remove(f"{path}.new")
             file = kernel.append_file(f"{path}.new")
-            for line in snapshot.lines(head, rows, keys):
+            for line in snapshot.snapshot_lines(head, rows, keys):
                 file.write(line)
                 yield Sleep(0)
             file.close()
@@ -299,12 +321,12 @@
     # --- what is shown --------------------------------------------------------------------------------------
 
     def status(self) -> dict:
-        now, turns = self.loop.now(), self.gateway.places.turns
+        now, turns = self.loop.now(), self.gateway.endpoints.dial_limiter
         return {
-            **self.life.status(now),
-            "fresh": self.fresh.count(self.loop.kernel.wall()),
+            **self.phase_machine.status(now),
+            "fresh": self.recent_starts.count(self.loop.kernel.wall_clock()),
             "counts": self.counts,
-            "asked": self.warm.counts if self.warm else None,
-            "snapshot": {"refused": self.refused, "taken": self.snapshot is not None},
+            "asked": self.warm_start.counts if self.warm_start else None,
+            "snapshot": {"refused": self.snapshot_refusal, "taken": self.loaded_snapshot is not None},
             "turns": {**turns.counts, "period_us": turns.period} if turns else None,
         }
--- a/cobaltpond/recovery/warm_start.py
+++ b/cobaltpond/recovery/warm_start.py
@@ -14,12 +14,12 @@
 SILENT = 1  # flag
 
 
-def mark_of(id: str, build: int, start) -> int:
+def start_mark(id: str, build: int, start) -> int:
     """One start of one instance, the same at all gateways: `start` is the list's own mark."""
     return crc32(f"{id} {build} {start}".encode())
 
 
-def remarkable(rows) -> list[tuple]:
+def notable_rows(rows) -> list[tuple]:
     """`rows`: (mark, pace, load, faults, flags, age); those worth a word, the worst first."""
     worth = [row for row in rows if row[4] & SILENT or row[3] >= FAULTY or row[1] >= PACE]
     return sorted(worth, key=lambda row: (-(row[4] & SILENT), -row[3], -row[1], row[0]))[:ROWS_MOST]
@@ -33,16 +33,16 @@
         self.asked, self.rows, self.known = {}, {}, {}
         self.counts = {"asked": 0, "answers": 0, "rows": 0, "stale": 0}
 
-    def due(self, now: int, donors: list[int]) -> list[int]:
+    def due_requests(self, now: int, donors: list[int]) -> list[int]:
         """Whom to ask now, of those that say of themselves that they are settled. Nobody: there is no donor,
         and nobody waits for one."""
-        if now < self.next_at or self.over(now):
+        if now < self.next_at or self.is_over(now):
             return []
         self.next_at = now + EVERY
         waiting = [n for n, times in self.asked.items() if times is not None and n in donors]
         fresh = [n for n in donors if n not in self.asked]
         while fresh and len(waiting) + self.answers < ASKED:
-            waiting.append(fresh.pop(self.chance.below(len(fresh))))
+            waiting.append(fresh.pop(self.chance.randbelow(len(fresh))))
         to = [n for n in waiting if self.asked.get(n, 0) < TIMES]
         for number in to:
             self.asked[number] = self.asked.get(number, 0) + 1
@@ -53,10 +53,10 @@
     def answers(self) -> int:
         return sum(times is None for times in self.asked.values())
 
-    def over(self, now: int) -> bool:
+    def is_over(self, now: int) -> bool:
         return self.answers >= ASKED or now >= self.end
 
-    def answered(self, sender: int, rows: list[tuple]) -> None:
+    def apply_answer(self, sender: int, rows: list[tuple]) -> None:
         """One datagram of an answer; it may have more than one. `rows` as `remarkable` gives them."""
         if sender not in self.asked:
             return
@@ -71,7 +71,7 @@
             self.counts["rows"] += 1
             self.rows.setdefault(mark, {})[sender] = (pace, load, faults, flags, weight)
 
-    def believed(self, marks: dict[int, str]) -> list[tuple]:
+    def accepted_rows(self, marks: dict[int, str]) -> list[tuple]:
         """(instance id, pace, load, faults, silent), worse than unknown in each or not at all; `marks`: those
         that are listed now, mark -> id. Of two words the worse holds; silent is one only if all who speak of
         it say so."""
--- a/cobaltpond/rpc/__init__.py
+++ b/cobaltpond/rpc/__init__.py
@@ -1,18 +1,18 @@
 """Short calls and streams of JSON lines over HTTP/1.1, between the parts of the program."""
 
-from cobaltpond.rpc.client import FAILED, NOT_SENT, Backoff, LineStream, call, follow
-from cobaltpond.rpc.server import Refusal, Request, Stream, json_answer, service
+from cobaltpond.rpc.client import CALL_ERRORS, NOT_SENT_ERRORS, Backoff, LineStream, call, follow_stream
+from cobaltpond.rpc.server import Request, ResponseStream, RpcError, json_response, serve_rpc
 
 __all__ = [
     "Backoff",
-    "FAILED",
+    "CALL_ERRORS",
     "LineStream",
-    "NOT_SENT",
-    "Refusal",
+    "NOT_SENT_ERRORS",
+    "RpcError",
     "Request",
-    "Stream",
+    "ResponseStream",
     "call",
-    "follow",
-    "json_answer",
-    "service",
+    "follow_stream",
+    "json_response",
+    "serve_rpc",
 ]
--- a/cobaltpond/rpc/server.py
+++ b/cobaltpond/rpc/server.py
@@ -4,14 +4,15 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl, urlsplit
 
-from cobaltpond.loop import Deadline, Event, PeerLost, Queue, TimedOut, serve
+from cobaltpond.loop import ConnectionLostError, Deadline, DeadlineExceededError, Event, Queue, serve
+from cobaltpond.loop.errors import error_name
 from cobaltpond.wire import http1
-from cobaltpond.wire.json_lines import line
+from cobaltpond.wire.json_lines import encode_line
 
-LIMITS = http1.Limits(head=16 << 10, body=1 << 20)
+LIMITS = http1.MessageLimits(head=16 << 10, body=1 << 20)
 
 
-class Refusal(Exception):
+class RpcError(Exception):
     """A handler's way to say no: a status and a reason."""
 
     def __init__(self, status: int, text: str):
@@ -24,39 +25,39 @@
     method: str
     path: str
     query: dict
-    head: http1.Head
+    head: http1.MessageHead
     body: bytes
 
-    def json(self) -> dict:
+    def json_object(self) -> dict:
         """Raises Refusal (400) where the body is no JSON object."""
         try:
             value = json.loads(self.body)
         except ValueError:
-            raise Refusal(400, "the body is no JSON") from None
+            raise RpcError(400, "the body is no JSON") from None
         if not isinstance(value, dict):
-            raise Refusal(400, "the body is no JSON object")
+            raise RpcError(400, "the body is no JSON object")
         return value
 
 
-class Stream:
+class ResponseStream:
     """An answer without end: lines are put, a reader that falls too far behind is cut off. `closed` is set
     when either side has ended it."""
 
     def __init__(self, most: int = 256):
-        self.queue, self.closed, self.over = Queue(most), Event(), False
+        self.queue, self.closed, self.ended = Queue(most), Event(), False
 
-    def put(self, one: dict) -> bool:
-        if not self.over and not self.queue.put_now(one):
-            self.end()
-        return not self.over
+    def send_object(self, one: dict) -> bool:
+        if not self.ended and not self.queue.put_now(one):
+            self.close()
+        return not self.ended
 
-    def end(self) -> None:
-        self.over = True
-        self.queue.came.set()
+    def close(self) -> None:
+        self.ended = True
+        self.queue.item_added.set()
         self.closed.set()
 
 
-def json_answer(status: int, value) -> tuple:
+def json_response(status: int, value) -> tuple:
     return (
         status,
         [(b"content-type", b"application/json")],
@@ -64,7 +65,7 @@
     )
 
 
-def service(loop, listener, handler, name: str, most: int = 2048, idle: int = 120_000_000, log=None):
+def serve_rpc(loop, listener, handler, name: str, most: int = 2048, idle: int = 120_000_000, log=None):
     """A task without end. `handler(request)` is a generator-coroutine or a plain function; it gives (status,
     fields, body) or a Stream, or raises Refusal. Whatever else it raises is a 500, and is logged."""
 
@@ -77,9 +78,9 @@
                 if not data:
                     return
                 events = parser.feed(data)
-            except TimedOut:
+            except DeadlineExceededError:
                 return
-            except http1.BadMessage as trouble:
+            except http1.HttpMessageError as trouble:
                 yield from connection.write(http1.response(trouble.status, [], str(trouble).encode(), False))
                 return
             for kind, value in events:
@@ -99,15 +100,15 @@
             got = handler(request)
             if hasattr(got, "send"):
                 got = yield from got
-        except Refusal as no:
-            got = json_answer(no.status, {"error": no.text})
-        except (PeerLost, TimedOut) as trouble:
-            got = json_answer(502, {"error": str(trouble)})
+        except RpcError as no:
+            got = json_response(no.status, {"error": no.text})
+        except (ConnectionLostError, DeadlineExceededError) as trouble:
+            got = json_response(502, {"error": str(trouble)})
         except Exception as trouble:
             if log is not None:
                 log.error("handler failed", service=name, path=url.path, exc_info=True)
-            got = json_answer(500, {"error": type(trouble).__name__})
-        if isinstance(got, Stream):
+            got = json_response(500, {"error": error_name(trouble)})
+        if isinstance(got, ResponseStream):
             yield from stream(connection, got)
             return False
         status, fields, data = got
@@ -119,23 +120,23 @@
             try:
                 while (yield from connection.read()):
                     pass
-            except PeerLost:
+            except ConnectionLostError:
                 pass
-            lines.end()
+            lines.close()
 
         watcher = loop.spawn(watch(), f"{name}-watch")
         try:
             yield from connection.write(
-                http1.bare(200, [(b"content-type", b"application/x-ndjson")], False, True)
+                http1.response_head(200, [(b"content-type", b"application/x-ndjson")], False, True)
             )
-            while not lines.over:
+            while not lines.ended:
                 if not lines.queue.items:
-                    yield lines.queue.came
+                    yield lines.queue.item_added
                     continue
                 one = yield from lines.queue.get()
-                yield from connection.write(http1.chunk(line(one)))
+                yield from connection.write(http1.encode_chunk(encode_line(one)))
         finally:
-            lines.end()
+            lines.close()
             watcher.cancel()
 
     yield from serve(loop, listener, answer, most, name)
--- a/cobaltpond/scenario/bench_import.py
+++ b/cobaltpond/scenario/bench_import.py
@@ -3,23 +3,23 @@
 What one machine cannot hold is scaled down, and every such change is said in the plan's notes.
 """
 
-from cobaltpond.scenario.declarations import TROUBLES
+from cobaltpond.scenario.declarations import FAULT_KINDS
 
 MOST_GATEWAYS, MOST_PLACES, MOST_RATE, MOST_LENGTH = 6, 24, 160.0, 60_000_000
 EFFECTS = {"safe": "repeatable", "keyed": "tagged", "unsafe": "mutating"}
 GATES = {"any": "any", "share": "count", "timer": "clock"}
 
 
-class BadDay(Exception):
+class BenchFileError(Exception):
     """The file is no day of the bench; the text says why."""
 
 
-def from_bench(day: dict, name: str) -> dict:
+def import_bench_file(day: dict, name: str) -> dict:
     """Raises BadDay."""
     try:
         return convert(day, name)
     except (KeyError, IndexError, TypeError, ValueError, ZeroDivisionError) as trouble:
-        raise BadDay(f"{name}: no day file of the bench: {trouble!r}") from trouble
+        raise BenchFileError(f"{name}: no day file of the bench: {trouble!r}") from trouble
 
 
 def convert(day: dict, name: str) -> dict:
@@ -55,7 +55,7 @@
     for n, t in enumerate(day["troubles"]):
         if t["kind"] == "bad_build":
             continue
-        if t["kind"] not in TROUBLES:
+        if t["kind"] not in FAULT_KINDS:
             notes.append(f"trouble {t['kind']} is not known here and left out")
             continue
         if t["kind"] == "neighbour":
--- a/cobaltpond/scenario/events.py
+++ b/cobaltpond/scenario/events.py
@@ -10,25 +10,25 @@
         plan = self.plan
         for offer in plan["offers"]:
             if offer["at"] < plan["length"]:
-                yield self.offer(begin, offer)
+                yield self.offer_build(begin, offer)
         for trouble in plan["troubles"]:
             if trouble["kind"] == "balancer_stall":
-                yield self.stall(begin, trouble)
+                yield self.stall_gateway(begin, trouble)
             elif trouble["kind"] not in ("burst", "tenant_burst", "heavy_tail", "bad_requests", "give_up"):
-                yield self.trouble(begin, trouble)
+                yield self.inject_fault(begin, trouble)
         for kill in plan["kills"]:
-            yield self.kill(begin, kill)
+            yield self.kill_component(begin, kill)
 
-    def wait(self, at):
+    def sleep_until(self, at):
         yield Sleep(at - self.loop.kernel.now())
 
-    def offer(self, begin, offer):
-        yield from self.wait(begin + offer["at"])
-        self.say(
+    def offer_build(self, begin, offer):
+        yield from self.sleep_until(begin + offer["at"])
+        self.on_progress(
             f"{offer['at'] / 1e6:5.1f} s  build {offer['build']} offered "
             f"({self.plan['flaws'][str(offer['build'])]['how'] or 'good'})"
         )
-        yield from self.insist("POST", "/v1/builds", {"build": offer["build"]})
+        yield from self.call_until_answered("POST", "/v1/builds", {"build": offer["build"]})
         if offer.get("back_after") is not None or offer.get("back_in") is not None:
             yield from self.send_back(begin, offer)
 
@@ -37,9 +37,9 @@
         by votes or by a later offer, is left alone."""
         build, due = offer["build"], offer.get("back_after")
         if due is not None:
-            yield from self.wait(begin + offer["at"] + due)
+            yield from self.sleep_until(begin + offer["at"] + due)
         while self.loop.kernel.now() < begin + self.plan["length"]:
-            status = yield from self.insist("GET", "/v1/status")
+            status = yield from self.call_until_answered("GET", "/v1/status")
             news = status["news"]
             if (
                 news["build"] > build
@@ -50,60 +50,66 @@
             trial = news["phase"] == "trial" and news["stage"] == offer.get("back_in")
             if news["build"] == build and (due is not None or trial):
                 at = (self.loop.kernel.now() - begin) / 1e6
-                self.say(
+                self.on_progress(
                     f"{at:5.1f} s  build {build} sent back in stage {news['stage']}; missing: "
                     f"{status['missing'][:1] or 'nobody'}"
                 )
-                self.act("sent back", build=build, stage=news["stage"], missing=status["missing"])
-                yield from self.insist("POST", "/v1/back", {"build": build, "why": "a word"})
+                self.record_act("sent back", build=build, stage=news["stage"], missing=status["missing"])
+                yield from self.call_until_answered("POST", "/v1/back", {"build": build, "why": "a word"})
                 return
             yield Sleep(50_000)
 
-    def trouble(self, begin, trouble):
+    def inject_fault(self, begin, trouble):
         for begins, at in ((True, trouble["at"]), (False, trouble["at"] + trouble["len"])):
-            yield from self.wait(begin + at)
-            self.say(f"{at / 1e6:5.1f} s  {trouble['kind']} {'begins' if begins else 'is over'}")
-            yield from self.insist("POST", "/v1/trouble", {**trouble, "begins": begins}, "troubles")
+            yield from self.sleep_until(begin + at)
+            self.on_progress(f"{at / 1e6:5.1f} s  {trouble['kind']} {'begins' if begins else 'is over'}")
+            yield from self.call_until_answered(
+                "POST", "/v1/trouble", {**trouble, "begins": begins}, "troubles"
+            )
 
-    def stall(self, begin, trouble):
+    def stall_gateway(self, begin, trouble):
         """A gateway that stands still."""
         number = trouble["which"] % len(self.plan["gateways"])
-        yield from self.wait(begin + trouble["at"])
-        self.say(
+        yield from self.sleep_until(begin + trouble["at"])
+        self.on_progress(
             f"{trouble['at'] / 1e6:5.1f} s  gateway {number} stands still for {trouble['len'] / 1e6:.1f} s"
         )
-        self.act("stalled", gateway=number, len=trouble["len"])
+        self.record_act("stalled", gateway=number, len=trouble["len"])
         self.gateways[number].signal("STOP")
-        yield from self.wait(begin + trouble["at"] + trouble["len"])
+        yield from self.sleep_until(begin + trouble["at"] + trouble["len"])
         self.gateways[number].signal("CONT")
 
-    def kill(self, begin, kill):
+    def kill_component(self, begin, kill):
         number = kill["gateway"]
-        yield from self.wait(begin + kill["at"])
+        yield from self.sleep_until(begin + kill["at"])
         if kill.get("what", "gateway") != "gateway":
-            yield from self.kill_other(kill)
+            yield from self.kill_other_component(kill)
             return
-        self.say(f"{kill['at'] / 1e6:5.1f} s  gateway {number} killed")
-        self.act("killed", gateway=number)
+        self.on_progress(f"{kill['at'] / 1e6:5.1f} s  gateway {number} killed")
+        self.record_act("killed", gateway=number)
         self.gateways[number].signal("KILL")
         yield Sleep(kill["back_after"])
-        self.say(f"{(kill['at'] + kill['back_after']) / 1e6:5.1f} s  gateway {number} started again")
+        self.on_progress(f"{(kill['at'] + kill['back_after']) / 1e6:5.1f} s  gateway {number} started again")
         self.start_gateway(number)
 
-    def kill_other(self, kill):
+    def kill_other_component(self, kill):
         what, place = kill["what"], self.plan["places"][kill["gateway"] % len(self.plan["places"])]["name"]
         if what == "instance":
             for pid, where, _ in self.instances_running():
                 if where == place:
-                    self.say(f"{kill['at'] / 1e6:5.1f} s  an instance of {place} killed")
-                    self.loop.kernel.kill(pid)
+                    self.on_progress(f"{kill['at'] / 1e6:5.1f} s  an instance of {place} killed")
+                    self.loop.kernel.kill_process(pid)
                     break
             return
         name = "desk" if what == "desk" else f"agent-{place}"
-        self.say(f"{kill['at'] / 1e6:5.1f} s  {name} killed")
-        self.act("killed", part=name)
+        self.on_progress(f"{kill['at'] / 1e6:5.1f} s  {name} killed")
+        self.record_act("killed", part=name)
         self.children[name].signal("KILL")
         yield Sleep(kill["back_after"])
-        self.say(f"{(kill['at'] + kill['back_after']) / 1e6:5.1f} s  {name} started again")
-        words = ["desk", self.sheet_path] if what == "desk" else ["agent", self.sheet_path, "--place", place]
+        self.on_progress(f"{(kill['at'] + kill['back_after']) / 1e6:5.1f} s  {name} started again")
+        words = (
+            ["desk", self.settings_path]
+            if what == "desk"
+            else ["agent", self.settings_path, "--place", place]
+        )
         self.spawn(name, *words)
--- a/cobaltpond/scenario/plan.py
+++ b/cobaltpond/scenario/plan.py
@@ -8,23 +8,23 @@
 
 import msgspec
 
-from cobaltpond.loop.random_source import seeded
-from cobaltpond.scenario.declarations import CALLS
-from cobaltpond.settings.limits import WORDS
-from cobaltpond.settings.reader import Reader
+from cobaltpond.loop.random_source import seeded_random
+from cobaltpond.scenario.declarations import SCENARIO_CALLS
+from cobaltpond.settings.limits import LIMIT_FUNCTIONS
+from cobaltpond.settings.reader import DeclarationReader
 
 
-def read_day(path: str, text: str, seed: int | None = None, more: dict | None = None) -> dict:
+def read_plan(path: str, text: str, seed: int | None = None, more: dict | None = None) -> dict:
     """The plan of a day script. `more`: calls beyond the day's own (name -> (part, MANY)); they stand in the
     plan under their names. Raises BadSheet."""
-    calls = Reader({**CALLS, **(more or {})}, WORDS).run(path, text)
+    calls = DeclarationReader({**SCENARIO_CALLS, **(more or {})}, LIMIT_FUNCTIONS).run(path, text)
 
     def one(name):
-        return calls[name][0] if calls[name] else CALLS[name][0]()
+        return calls[name][0] if calls[name] else SCENARIO_CALLS[name][0]()
 
     day, fleet, clients = one("day"), one("fleet"), one("clients")
     seed = day.seed if seed is None else seed
-    chance = seeded(seed)
+    chance = seeded_random(seed)
     zones, groups = fleet.zones, {g.name: g for g in calls["path_group"]}
     places = [
         {
--- a/cobaltpond/scenario/report.py
+++ b/cobaltpond/scenario/report.py
@@ -9,7 +9,7 @@
 WINDOW = 10_000_000
 
 
-def figures(result: dict) -> dict:
+def compute_figures(result: dict) -> dict:
     """Service (the share of benefit answered within target latency), its worst parts, G after the bench's
     manner as far as it can be had here, forwards a hit, latencies in milliseconds."""
     crowd, yard, plan = result["crowd"], result["yard"], result["plan"]
@@ -127,8 +127,8 @@
     return sorted(rows)
 
 
-def table(result: dict) -> str:
-    f, found, plan = figures(result), result["found"], result["plan"]
+def format_report(result: dict) -> str:
+    f, found, plan = compute_figures(result), result["found"], result["plan"]
     lines = [
         f"day {plan['name']}, seed {plan['seed']}: {len(plan['gateways'])} gateways, {len(plan['places'])} "
         f"instances, {len(plan['zone_names'])} zones, {plan['length'] / 1e6:.0f} s, {plan['rate']:.0f} hits/s"
--- a/cobaltpond/scenario/runner.py
+++ b/cobaltpond/scenario/runner.py
@@ -5,26 +5,26 @@
 import os
 import sys
 
-from cobaltpond.audit.check import check_all
-from cobaltpond.loop import Deadline, Sleep, TimedOut, Unreachable, free_run
-from cobaltpond.rpc import FAILED, call
+from cobaltpond.audit.check import check_rules
+from cobaltpond.loop import Deadline, DeadlineExceededError, Sleep, UnreachableError, reserve_ports
+from cobaltpond.rpc import CALL_ERRORS, call
 from cobaltpond.scenario.events import Events
 from cobaltpond.scenario.shutdown import Shutdown
 from cobaltpond.scenario.startup import Startup
-from cobaltpond.scenario.time_limits import CALL_TIME, READY, DayFailed
+from cobaltpond.scenario.time_limits import CALL_TIME, READY, ScenarioError
 
 
-class DayRun(Startup, Events, Shutdown):
+class ScenarioRun(Startup, Events, Shutdown):
     def __init__(self, loop, plan, folder, say, extra=None):
         """`extra`: gateway number -> more words for its command line (gateways broken on purpose, in
         tests)."""
-        self.loop, self.plan, self.folder, self.say, self.extra = loop, plan, folder, say, extra or {}
+        self.loop, self.plan, self.folder, self.on_progress, self.extra = loop, plan, folder, say, extra or {}
         self.python = sys.executable  # what builds of agents are started with
-        self.over = False  # from now on parts are ended, and are not to come back
+        self.is_ending = False  # from now on parts are ended, and are not to come back
         self.acts, self.children, self.gateways, self.statuses = [], {}, {}, []
         loop.kernel.make_folder(folder)
-        if loop.kernel.size(self.path("plan.json")) is not None:
-            raise DayFailed(f"{folder} holds another day's records")
+        if loop.kernel.file_size(self.path("plan.json")) is not None:
+            raise ScenarioError(f"{folder} holds another day's records")
 
     def path(self, name):
         return os.path.join(self.folder, name)
@@ -45,9 +45,9 @@
             8 * len(self.plan["places"]) + 2 * len(self.plan["gateways"]) + len(self.plan["zone_names"]) + 9
         )
         try:
-            self.lock, base = free_run(self.loop.kernel, need)
-        except Unreachable as trouble:
-            raise DayFailed(str(trouble)) from None
+            self.lock, base = reserve_ports(self.loop.kernel, need)
+        except UnreachableError as trouble:
+            raise ScenarioError(str(trouble)) from None
         names = iter(range(base + 8 * len(self.plan["places"]), base + need))
         ports = {
             "machines": base,
@@ -62,10 +62,10 @@
         ports["peers"] = ports["doors"] + len(self.plan["gateways"])
         return ports
 
-    def act(self, kind, **more):
+    def record_act(self, kind, **more):
         self.acts.append({"kind": kind, "at": self.loop.kernel.now(), **more})
 
-    def get(self, port, method, target, body=None):
+    def http_call(self, port, method, target, body=None):
         with Deadline(self.loop, CALL_TIME):
             status, text = yield from call(
                 self.loop,
@@ -77,20 +77,20 @@
             )
         return status, json.loads(text) if text[:1] in (b"{", b"[") else {}
 
-    def insist(self, method, target, body=None, at="desk"):
+    def call_until_answered(self, method, target, body=None, at="desk"):
         """As an operator does with a part that may be down: asks again until there is an answer, within a
         bound."""
         end = self.loop.now() + READY
         while True:
             try:
-                status, told = yield from self.get(self.port[at], method, target, body)
+                status, told = yield from self.http_call(self.port[at], method, target, body)
                 return told
-            except (*FAILED, TimedOut):
+            except (*CALL_ERRORS, DeadlineExceededError):
                 if self.loop.now() > end:
                     raise
             yield Sleep(100_000)
 
-    def until(self, what, ask, good):
+    def wait_until_ready(self, what, ask, good):
         """Asks again and again until the answer is good, within a bound."""
         end = self.loop.now() + READY
         while self.loop.now() < end:
@@ -98,38 +98,40 @@
                 status, body = yield from ask()
                 if status == 200 and good(body):
                     return body
-            except (*FAILED, TimedOut, ValueError):
+            except (*CALL_ERRORS, DeadlineExceededError, ValueError):
                 pass
             for name, child in self.children.items():
                 if child.ended() not in (None, 0, -9):
-                    raise DayFailed(f"{name} has ended with {child.ended()}: see {self.path(name + '.log')}")
+                    raise ScenarioError(
+                        f"{name} has ended with {child.ended()}: see {self.path(name + '.log')}"
+                    )
             yield Sleep(30_000)
-        raise DayFailed(f"{what} did not come up: see {self.folder}")
+        raise ScenarioError(f"{what} did not come up: see {self.folder}")
 
     def run(self):
         """Gives the day's whole result: a plain map."""
         plan, loop = self.plan, self.loop
         self.port = ports = self.ports()
         try:
-            yield from self.start(ports)
+            yield from self.start_components(ports)
             begin = loop.kernel.now() + 700_000
             crowds = self.start_crowds(ports, begin)
             for generator in self.script(begin):
                 loop.spawn(generator, "script")
-            yield from self.play(begin, crowds)
+            yield from self.wait_for_clients(begin, crowds)
             for number in range(len(plan["gateways"])):
                 # one that was killed near the end may be starting still
                 self.statuses.append(
                     (
-                        yield from self.until(
+                        yield from self.wait_until_ready(
                             f"gateway {number}",
-                            lambda n=number: self.get(ports["doors"] + n, "GET", "/-/status"),
+                            lambda n=number: self.http_call(ports["doors"] + n, "GET", "/-/status"),
                             lambda body: True,
                         )
                     )
                 )
-            yield from self.look_at_end()
-            self.over = True
+            yield from self.inspect_end()
+            self.is_ending = True
             yield from self.stop_all()
         finally:
             for child in self.children.values():
@@ -138,17 +140,19 @@
             self.end_instances()
         return self.result(begin)
 
-    def play(self, begin, crowds):
+    def wait_for_clients(self, begin, crowds):
         end = begin + self.plan["length"] + 40_000_000
         while any(c.ended() is None for c in crowds):
             if self.loop.kernel.now() > end:
-                raise DayFailed("the clients did not end")
+                raise ScenarioError("the clients did not end")
             for name, child in self.children.items():
                 if child.ended() not in (None, 0) and not any(
                     a["kind"] == "killed" and name in (a.get("part"), f"gateway-{a.get('gateway')}")
                     for a in self.acts
                 ):
-                    raise DayFailed(f"{name} has ended with {child.ended()}: see {self.path(name + '.log')}")
+                    raise ScenarioError(
+                        f"{name} has ended with {child.ended()}: see {self.path(name + '.log')}"
+                    )
             yield Sleep(50_000)
 
     def stop(self, name=""):
@@ -169,17 +173,17 @@
                 yard += self.records(name)
         yard.sort(key=lambda e: e["at"])
         runsheet = {
-            **self.sheet.runsheet(0),
+            **self.settings.policy_settings(0),
             "rules": {
-                "tip_time": self.sheet.rules.tip_time,
-                "overload_factor": self.sheet.rules.overload_factor,
-                "answer_slack": self.sheet.rules.answer_slack,
+                "tip_time": self.settings.rules.tip_time,
+                "overload_factor": self.settings.rules.overload_factor,
+                "answer_slack": self.settings.rules.answer_slack,
             },
         }
         self.write("acts.json", self.acts)
         self.write("statuses.json", self.statuses)
         return {
-            "found": check_all(crowd, yard, self.acts, runsheet),
+            "found": check_rules(crowd, yard, self.acts, runsheet),
             "crowd": crowd,
             "yard": yard,
             "begin": begin,
--- a/cobaltpond/scenario/settings_text.py
+++ b/cobaltpond/scenario/settings_text.py
@@ -3,13 +3,17 @@
 from cobaltpond.settings import sections as p
 
 
-def starlark(value) -> str:
+def starlark_literal(value) -> str:
     """A plain value as Starlark text."""
     if isinstance(value, list | tuple):
-        return "[" + ", ".join(map(starlark, value)) + "]"
+        return "[" + ", ".join(map(starlark_literal, value)) + "]"
     if isinstance(value, dict):
         return (
-            "{" + ", ".join(f"{starlark(k)}: {starlark(v)}" for k, v in value.items() if v is not None) + "}"
+            "{"
+            + ", ".join(
+                f"{starlark_literal(k)}: {starlark_literal(v)}" for k, v in value.items() if v is not None
+            )
+            + "}"
         )
     return (
         {True: "True", False: "False", None: "None"}[value]
@@ -18,23 +22,23 @@
     )
 
 
-def call(name: str, fields: dict) -> str:
-    return f"{name}({', '.join(f'{k} = {starlark(v)}' for k, v in fields.items() if v is not None)})"
+def starlark_call(name: str, fields: dict) -> str:
+    return f"{name}({', '.join(f'{k} = {starlark_literal(v)}' for k, v in fields.items() if v is not None)})"
 
 
-def sheet_text(plan: dict, zone: str, ports: dict, folder: str) -> str:
+def settings_text(plan: dict, zone: str, ports: dict, folder: str) -> str:
     """The sheet that the desk, and the gateways of one zone, are started with."""
-    known = set(p.PathGroup.__struct_fields__)
-    lines = [call("path_group", {k: v for k, v in g.items() if k in known}) for g in plan["groups"]]
+    known = set(p.PathGroupSettings.__struct_fields__)
+    lines = [starlark_call("path_group", {k: v for k, v in g.items() if k in known}) for g in plan["groups"]]
     lines += [
-        call("route", {"method": g["method"], "path": f"/{g['name']}", "group": g["name"]})
+        starlark_call("route", {"method": g["method"], "path": f"/{g['name']}", "group": g["name"]})
         for g in plan["groups"]
     ]
-    lines += [call("customer", {"name": c["name"], "share": c["share"]}) for c in plan["customers"]]
+    lines += [starlark_call("customer", {"name": c["name"], "share": c["share"]}) for c in plan["customers"]]
     for name in ("release", "rules", "allow", "reports", "prices", "door"):
-        lines.append(call(name, plan[name]))
+        lines.append(starlark_call(name, plan[name]))
     lines.append(
-        call(
+        starlark_call(
             "listing",
             {
                 "address": f"127.0.0.1:{ports['list']}",
@@ -45,7 +49,7 @@
     )
     desk = ports["relays"][zone] if zone else ports["desk"]
     lines.append(
-        call(
+        starlark_call(
             "desk",
             {
                 "address": f"127.0.0.1:{desk}",
@@ -56,7 +60,7 @@
     )
     if plan.get("agents"):
         lines.append(
-            call(
+            starlark_call(
                 "builds",
                 {
                     "sources": [f"127.0.0.1:{ports['builds']}"],
@@ -67,7 +71,7 @@
             )
         )
         lines += [
-            call(
+            starlark_call(
                 "host",
                 {
                     "place": place["name"],
@@ -83,7 +87,7 @@
     snapshots = back.pop("snapshots", False)
     for n, g in enumerate(plan["gateways"]):
         lines.append(
-            call(
+            starlark_call(
                 "gateway",
                 {
                     "number": n,
@@ -96,8 +100,8 @@
             )
         )
     if plan.get("members"):
-        lines.append(call("members", plan["members"]))
+        lines.append(starlark_call("members", plan["members"]))
     if back:
-        lines.append(call("recovery", back))
-    lines += [call("limit", limit) for limit in plan.get("limits", ())]
+        lines.append(starlark_call("recovery", back))
+    lines += [starlark_call("limit", limit) for limit in plan.get("limits", ())]
     return "\n".join(lines) + "\n"
