--- a/cobaltpond/scenario/shutdown.py
+++ b/cobaltpond/scenario/shutdown.py
@@ -1,22 +1,22 @@
 """Inspects the processes at the end of a day and stops them."""
 
 from cobaltpond.loop import Sleep
-from cobaltpond.scenario.time_limits import READY, DayFailed
+from cobaltpond.scenario.time_limits import READY, ScenarioError
 
 
 class Shutdown:
     """A part of `run.DayRun`, which has the state."""
 
-    def look_at_end(self):
+    def inspect_end(self):
         """What the desk says, and with agents: does exactly one instance of the build that is meant run in
         every place, and nothing else anywhere? Processes are looked for in the system, not in anybody's
         report."""
         self.final, end = None, self.loop.kernel.now() + READY
         while True:
-            self.desk_status = yield from self.insist("GET", "/v1/status")
+            self.desk_status = yield from self.call_until_answered("GET", "/v1/status")
             if not self.plan.get("agents"):
                 return
-            told = yield from self.insist("GET", "/v1/history")
+            told = yield from self.call_until_answered("GET", "/v1/history")
             meant, settled = self.desk_status["news"]["build"], self.desk_status["news"]["phase"] != "trial"
             if self.desk_status["news"]["phase"] in ("withdrawn", "going back"):
                 meant = self.desk_status["stable"]
@@ -42,30 +42,30 @@
     def stop_all(self):
         """Gateways first, in order; each has to end by itself with 0."""
         for number, child in self.gateways.items():
-            self.act("stopping", gateway=number)
+            self.record_act("stopping", gateway=number)
             child.signal("TERM")
         names = [f"gateway-{n}" for n in self.gateways]
-        yield from self.ended(names)
+        yield from self.wait_until_ended(names)
         for name in ("desk", "yard"):
             self.children[name].signal("TERM")
-        yield from self.ended(["desk", "yard"])
+        yield from self.wait_until_ended(["desk", "yard"])
         agents = [name for name in self.children if name.startswith("agent-")]
         for name in agents:
             self.children[name].signal("TERM")
-        yield from self.ended(agents)
+        yield from self.wait_until_ended(agents)
         self.end_instances()
 
     def end_instances(self):
         """Instances outlive their agents; the day's own are ended with it."""
         for pid, *_ in self.instances_running():
-            self.loop.kernel.kill(pid)
+            self.loop.kernel.kill_process(pid)
 
-    def ended(self, names):
+    def wait_until_ended(self, names):
         end = self.loop.kernel.now() + READY
         while any(self.children[n].ended() is None for n in names):
             if self.loop.kernel.now() > end:
-                raise DayFailed(f"{[n for n in names if self.children[n].ended() is None]} did not stop")
+                raise ScenarioError(f"{[n for n in names if self.children[n].ended() is None]} did not stop")
             yield Sleep(30_000)
         bad = {n: self.children[n].ended() for n in names if self.children[n].ended()}
         if bad:
-            raise DayFailed(f"did not end with 0: {bad}")
+            raise ScenarioError(f"did not end with 0: {bad}")
--- a/cobaltpond/scenario/startup.py
+++ b/cobaltpond/scenario/startup.py
@@ -1,15 +1,15 @@
 """Starts the processes of a day: stand-ins, desk, agents, gateways and clients."""
 
 from cobaltpond.loop import Sleep
-from cobaltpond.scenario.settings_text import sheet_text
-from cobaltpond.settings import read_sheet
+from cobaltpond.scenario.settings_text import settings_text
+from cobaltpond.settings import read_settings
 
 
 class Startup:
     """A part of `run.DayRun`, which has the state."""
 
     def start_gateway(self, number):
-        self.act("started", gateway=number)
+        self.record_act("started", gateway=number)
         zone = self.plan["gateways"][number]["zone"]
         self.gateways[number] = self.spawn(
             f"gateway-{number}",
@@ -22,11 +22,13 @@
 
     def gateway_ready(self, number):
         def ask():
-            return (yield from self.get(self.port["doors"] + number, "GET", "/-/status"))
+            return (yield from self.http_call(self.port["doors"] + number, "GET", "/-/status"))
 
-        yield from self.until(f"gateway {number}", ask, lambda b: b["desk"]["news"] and b["list"]["revision"])
+        yield from self.wait_until_ready(
+            f"gateway {number}", ask, lambda b: b["desk"]["news"] and b["list"]["revision"]
+        )
 
-    def start(self, ports):
+    def start_components(self, ports):
         plan = self.plan
         zones = {n: g["zone"] for n, g in enumerate(plan["gateways"])}
         if plan.get("agents"):
@@ -59,25 +61,27 @@
         }
         self.write("plan.json", plan)
         for zone in plan["zone_names"]:
-            self.write(f"sheet-{zone}.star", sheet_text(plan, zone, ports, self.folder))
-        self.sheet_path = self.write("sheet-desk.star", sheet_text(plan, "", ports, self.folder))
-        self.sheet = read_sheet(self.sheet_path, sheet_text(plan, "", ports, self.folder))
+            self.write(f"sheet-{zone}.star", settings_text(plan, zone, ports, self.folder))
+        self.settings_path = self.write("sheet-desk.star", settings_text(plan, "", ports, self.folder))
+        self.settings = read_settings(self.settings_path, settings_text(plan, "", ports, self.folder))
         if plan.get("agents"):
             yard["places"] = []
             self.spawn("builds", "standin", "builds", self.path("builds.json"), str(ports["builds"]))
         self.spawn("yard", "standin", "yard", self.write("yard.json", yard), self.path("yard.records"))
-        yield from self.until(
+        yield from self.wait_until_ready(
             "the yard",
-            lambda: self.get(ports["platform"], "GET", "/v1/machines"),
+            lambda: self.http_call(ports["platform"], "GET", "/v1/machines"),
             lambda b: len(b["machines"]) == len(yard["places"]),
         )
         # its list starts whole: instances that ran before the day
-        yield from self.get(ports["troubles"], "POST", "/v1/trouble", {"kind": "list_begins", "begins": True})
-        self.spawn("desk", "desk", self.sheet_path)
+        yield from self.http_call(
+            ports["troubles"], "POST", "/v1/trouble", {"kind": "list_begins", "begins": True}
+        )
+        self.spawn("desk", "desk", self.settings_path)
         if plan.get("agents"):
             yield from self.start_agents(ports)
-        yield from self.until(
-            "the desk", lambda: self.get(ports["desk"], "GET", "/v1/status"), lambda b: True
+        yield from self.wait_until_ready(
+            "the desk", lambda: self.http_call(ports["desk"], "GET", "/v1/status"), lambda b: True
         )
         for number in range(len(plan["gateways"])):
             self.start_gateway(number)
@@ -109,15 +113,15 @@
     def start_agents(self, ports):
         """All places up with the first build, and warm, before the day begins."""
         plan = self.plan
-        yield from self.until(
-            "the desk", lambda: self.get(ports["desk"], "GET", "/v1/status"), lambda b: True
+        yield from self.wait_until_ready(
+            "the desk", lambda: self.http_call(ports["desk"], "GET", "/v1/status"), lambda b: True
         )
         for place in plan["places"]:
-            self.spawn(f"agent-{place['name']}", "agent", self.sheet_path, "--place", place["name"])
-        yield from self.get(ports["desk"], "POST", "/v1/builds", {"build": plan["build"]})
-        yield from self.until(
+            self.spawn(f"agent-{place['name']}", "agent", self.settings_path, "--place", place["name"])
+        yield from self.http_call(ports["desk"], "POST", "/v1/builds", {"build": plan["build"]})
+        yield from self.wait_until_ready(
             "the fleet",
-            lambda: self.get(ports["desk"], "GET", "/v1/status"),
+            lambda: self.http_call(ports["desk"], "GET", "/v1/status"),
             lambda b: sum(m["state"] == "up" for m in b["machines"]) == len(plan["places"]),
         )
         yield Sleep(plan["kind"]["cold_time"])
--- a/cobaltpond/scenario/time_limits.py
+++ b/cobaltpond/scenario/time_limits.py
@@ -3,5 +3,5 @@
 READY, CALL_TIME = 15_000_000, 2_000_000  # microseconds
 
 
-class DayFailed(Exception):
+class ScenarioError(Exception):
     """The day could not be played to its end; the text says why."""
--- a/cobaltpond/settings/__init__.py
+++ b/cobaltpond/settings/__init__.py
@@ -1,6 +1,6 @@
 """The settings of a deployment: a Starlark file, read into checked, frozen values."""
 
-from cobaltpond.settings.deployment import Sheet
-from cobaltpond.settings.reader import BadSheet, read_sheet
+from cobaltpond.settings.deployment import DeploymentSettings
+from cobaltpond.settings.reader import SettingsError, read_settings
 
-__all__ = ["BadSheet", "Sheet", "read_sheet"]
+__all__ = ["SettingsError", "DeploymentSettings", "read_settings"]
--- a/cobaltpond/settings/deployment.py
+++ b/cobaltpond/settings/deployment.py
@@ -6,46 +6,46 @@
 from msgspec import Struct
 
 from cobaltpond.settings.sections import (
-    Allow,
-    Builds,
-    Customer,
-    DeskAddress,
-    Door,
-    GatewayPlace,
-    Host,
-    Instances,
-    Listing,
-    Membership,
-    PathGroup,
-    Prices,
-    Recovery,
-    Release,
-    Reports,
-    Route,
-    Rules,
+    BuildSettings,
+    CustomerSettings,
+    DeskSettings,
+    FrontendSettings,
+    GatewaySettings,
+    HostSettings,
+    InstanceListSettings,
+    InstanceSettings,
+    MembershipSettings,
+    PathGroupSettings,
+    PermissionSettings,
+    PriceSettings,
+    RecoverySettings,
+    ReleaseSettings,
+    ReportSettings,
+    RouteSettings,
+    RuleSettings,
 )
 
 
-class Sheet(Struct, frozen=True):
+class DeploymentSettings(Struct, frozen=True):
     """All of it. `runsheet(number)` is the plain map that the module gets."""
 
-    path_groups: tuple[PathGroup, ...]
-    routes: tuple[Route, ...]
-    customers: tuple[Customer, ...]
-    gateways: tuple[GatewayPlace, ...]
-    release: Release
-    rules: Rules
-    allow: Allow
-    reports: Reports
-    prices: Prices
-    door: Door
-    instances: Instances
-    listing: Listing
-    desk: DeskAddress
-    builds: Builds | None = None
-    hosts: tuple[Host, ...] = ()
-    members: Membership | None = None
-    recovery: Recovery | None = None
+    path_groups: tuple[PathGroupSettings, ...]
+    routes: tuple[RouteSettings, ...]
+    customers: tuple[CustomerSettings, ...]
+    gateways: tuple[GatewaySettings, ...]
+    release: ReleaseSettings
+    rules: RuleSettings
+    allow: PermissionSettings
+    reports: ReportSettings
+    prices: PriceSettings
+    door: FrontendSettings
+    instances: InstanceSettings
+    listing: InstanceListSettings
+    desk: DeskSettings
+    builds: BuildSettings | None = None
+    hosts: tuple[HostSettings, ...] = ()
+    members: MembershipSettings | None = None
+    recovery: RecoverySettings | None = None
     limits: tuple = ()  # of `settings.limits.Limit`
     tick: int = 1000
     over_share_benefit: float = 0.1
@@ -55,7 +55,7 @@
         alike = msgspec.structs.replace(
             self,
             gateways=tuple(
-                GatewayPlace(number=g.number, zone=g.zone, door="0.0.0.0:0") for g in self.gateways
+                GatewaySettings(number=g.number, zone=g.zone, door="0.0.0.0:0") for g in self.gateways
             ),
         )
         ordered = msgspec.structs.replace(
@@ -67,7 +67,7 @@
     def zones(self) -> list[str]:
         return list(dict.fromkeys(g.zone for g in self.gateways))
 
-    def runsheet(self, number: int) -> dict:
+    def policy_settings(self, number: int) -> dict:
         release, rules, allow = self.release, self.rules, self.allow
         groups = [
             {
--- a/cobaltpond/settings/limits.py
+++ b/cobaltpond/settings/limits.py
@@ -5,31 +5,31 @@
 import msgspec
 from msgspec import Meta
 
-from cobaltpond.settings.sections import Name, Part, Share
+from cobaltpond.settings.sections import Name, Section, Share
 
 Milli = Annotated[int, Meta(ge=1, description="a rate: per_second(...) or per_minute(...)")]
 MOST = 200  # limits of a sheet
 
 
-class Where(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class LimitScope(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     group: Name | None = None
     kind: Literal["repeatable", "tagged", "mutating"] | None = None
     customer: Name | None = None
 
 
-class Over(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class LimitAction(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     do: Literal["bounce", "count"] = "bounce"
     advice: bool = True
 
 
-class Limit(Part, kw_only=True):
+class LimitSettings(Section, kw_only=True):
     """`counts`: hits, first tries or repeats. `rate` or `share_of` and `most`. `scope`: of one gateway, or of
     all together. `within` another limit above this line, with `least` of its rate as a guarantee. `trial`:
     counted, bouncing nobody."""
 
     name: Name
     counts: Literal["hits", "tries", "repeats"] = "hits"
-    where: Where = Where()
+    where: LimitScope = LimitScope()
     by: Literal["nothing", "customer", "key"] = "nothing"
     rate: Milli | None = None
     burst: Annotated[int, Meta(ge=1, le=1_000_000)] = 1
@@ -38,11 +38,11 @@
     scope: Literal["gateway", "fleet"] = "gateway"
     within: str = ""
     least: Share = 0.0
-    over: Over = Over()
+    over: LimitAction = LimitAction()
     trial: bool = False
     keys: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000
 
-    def wrong(self, sheet):
+    def validation_error(self, sheet):
         known = {limit.name: limit for limit in sheet["limit"]}
         if len(known) >= MOST:
             return f"more than {MOST} limits"
@@ -69,9 +69,9 @@
                 "a limit of the fleet needs members(...) above this line: "
                 "its gateways have to know each other"
             )
-        return self.wrong_within(known, sheet) or self.wrong_beside(known)
+        return self.parent_error(known, sheet) or self.duplicate_error(known)
 
-    def wrong_within(self, known, sheet):
+    def parent_error(self, known, sheet):
         if not self.within:
             return "least is a part of another limit: say which one with within" if self.least else None
         parent = known.get(self.within)
@@ -105,7 +105,7 @@
                 return f"the guarantee is more than {self.name!r} itself allows: lower least or raise rate"
         return None
 
-    def wrong_beside(self, known):
+    def duplicate_error(self, known):
         """Another limit on the same thing: only the stricter one ever binds."""
         for other in known.values():
             same = (other.counts, other.where, other.by, other.scope, other.share_of) == (
@@ -132,7 +132,7 @@
         )
         return wider and self.counts in ("hits", other.counts) and self.by in ("nothing", other.by)
 
-    def plain(self, parents: dict) -> dict:
+    def limit_fields(self, parents: dict) -> dict:
         """The fields of `limits.rules.Limit`."""
         parent = parents.get(self.within)
         return {
@@ -156,14 +156,14 @@
         }
 
 
-def canonical(limits) -> bytes:
+def canonical_limits(limits) -> bytes:
     """The same for the same limits, in whatever order they stand: what the digest is of."""
     return msgspec.json.encode(
         sorted((msgspec.to_builtins(limit) for limit in limits), key=lambda row: row["name"]), order="sorted"
     )
 
 
-WORDS = {
+LIMIT_FUNCTIONS = {
     "per_second": lambda count: round(count * 1000),
     "per_minute": lambda count: round(count * 1000 / 60),
     "where": lambda **fields: fields,
--- a/cobaltpond/settings/reader.py
+++ b/cobaltpond/settings/reader.py
@@ -7,10 +7,10 @@
 import msgspec
 import starlark
 
-MANY, ONE, NEEDED = "many", "one", "needed"
+ANY_NUMBER, AT_MOST_ONE, EXACTLY_ONE = "many", "one", "needed"
 
 
-class BadSheet(Exception):
+class SettingsError(Exception):
     """The file is no valid sheet; the text says where and why."""
 
 
@@ -18,7 +18,7 @@
     return lambda amount: round(amount * factor)
 
 
-class Reader:
+class DeclarationReader:
     """Runs one file. `parts`: call name -> (record type, MANY | ONE | NEEDED)."""
 
     def __init__(self, parts: dict[str, tuple[type, str]], words: dict | None = None):
@@ -33,9 +33,9 @@
                 part = msgspec.convert(fields, kind)
             except msgspec.ValidationError as trouble:
                 raise ValueError(self.plain(name, str(trouble), fields)) from None
-            if how != MANY and self.calls[name]:
+            if how != ANY_NUMBER and self.calls[name]:
                 raise ValueError(f"{name}: only one such call")
-            if trouble := part.wrong(self.calls):
+            if trouble := part.validation_error(self.calls):
                 raise ValueError(f"{name}: {trouble}")
             self.calls[name].append(part)
 
@@ -69,10 +69,10 @@
                 starlark.Globals.extended_by([starlark.LibraryExtension.Print]),
             )
         except starlark.StarlarkError as trouble:
-            raise BadSheet(self.located(path, str(trouble))) from None
+            raise SettingsError(self.located(path, str(trouble))) from None
         for name, (_, how) in self.parts.items():
-            if how == NEEDED and not self.calls[name]:
-                raise BadSheet(f"{path}: no call of {name}(...): exactly one is needed")
+            if how == EXACTLY_ONE and not self.calls[name]:
+                raise SettingsError(f"{path}: no call of {name}(...): exactly one is needed")
         return self.calls
 
     @staticmethod
@@ -84,56 +84,56 @@
         return f"{path}:{spot[1] if spot else '?'}: {what}"
 
 
-def read_sheet(path: str, text: str):
+def read_settings(path: str, text: str):
     """A `Sheet` from the text of a file. Raises BadSheet."""
     from cobaltpond.settings import sections as p
-    from cobaltpond.settings.deployment import Sheet
-    from cobaltpond.settings.limits import WORDS, Limit
+    from cobaltpond.settings.deployment import DeploymentSettings
+    from cobaltpond.settings.limits import LIMIT_FUNCTIONS, LimitSettings
 
-    calls = Reader(
+    calls = DeclarationReader(
         {
-            "path_group": (p.PathGroup, MANY),
-            "route": (p.Route, MANY),
-            "customer": (p.Customer, MANY),
-            "gateway": (p.GatewayPlace, MANY),
-            "release": (p.Release, NEEDED),
-            "rules": (p.Rules, NEEDED),
-            "allow": (p.Allow, ONE),
-            "reports": (p.Reports, ONE),
-            "prices": (p.Prices, ONE),
-            "door": (p.Door, ONE),
-            "instances": (p.Instances, ONE),
-            "listing": (p.Listing, NEEDED),
-            "desk": (p.DeskAddress, NEEDED),
-            "builds": (p.Builds, ONE),
-            "host": (p.Host, MANY),
-            "members": (p.Membership, ONE),
-            "recovery": (p.Recovery, ONE),
-            "limit": (Limit, MANY),
+            "path_group": (p.PathGroupSettings, ANY_NUMBER),
+            "route": (p.RouteSettings, ANY_NUMBER),
+            "customer": (p.CustomerSettings, ANY_NUMBER),
+            "gateway": (p.GatewaySettings, ANY_NUMBER),
+            "release": (p.ReleaseSettings, EXACTLY_ONE),
+            "rules": (p.RuleSettings, EXACTLY_ONE),
+            "allow": (p.PermissionSettings, AT_MOST_ONE),
+            "reports": (p.ReportSettings, AT_MOST_ONE),
+            "prices": (p.PriceSettings, AT_MOST_ONE),
+            "door": (p.FrontendSettings, AT_MOST_ONE),
+            "instances": (p.InstanceSettings, AT_MOST_ONE),
+            "listing": (p.InstanceListSettings, EXACTLY_ONE),
+            "desk": (p.DeskSettings, EXACTLY_ONE),
+            "builds": (p.BuildSettings, AT_MOST_ONE),
+            "host": (p.HostSettings, ANY_NUMBER),
+            "members": (p.MembershipSettings, AT_MOST_ONE),
+            "recovery": (p.RecoverySettings, AT_MOST_ONE),
+            "limit": (LimitSettings, ANY_NUMBER),
         },
-        WORDS,
+        LIMIT_FUNCTIONS,
     ).run(path, text)
     if calls["host"] and not calls["builds"]:
-        raise BadSheet(f"{path}: host(...) needs a call of builds(...): where builds come from")
+        raise SettingsError(f"{path}: host(...) needs a call of builds(...): where builds come from")
     for name in ("path_group", "route", "gateway"):
         if not calls[name]:
-            raise BadSheet(f"{path}: no call of {name}(...): at least one is needed")
+            raise SettingsError(f"{path}: no call of {name}(...): at least one is needed")
 
     def one(name, kind):
         return calls[name][0] if calls[name] else kind()
 
-    return Sheet(
+    return DeploymentSettings(
         path_groups=tuple(calls["path_group"]),
         routes=tuple(calls["route"]),
         customers=tuple(calls["customer"]),
         gateways=tuple(calls["gateway"]),
         release=calls["release"][0],
         rules=calls["rules"][0],
-        allow=one("allow", p.Allow),
-        reports=one("reports", p.Reports),
-        prices=one("prices", p.Prices),
-        door=one("door", p.Door),
-        instances=one("instances", p.Instances),
+        allow=one("allow", p.PermissionSettings),
+        reports=one("reports", p.ReportSettings),
+        prices=one("prices", p.PriceSettings),
+        door=one("door", p.FrontendSettings),
+        instances=one("instances", p.InstanceSettings),
         listing=calls["listing"][0],
         desk=calls["desk"][0],
         builds=calls["builds"][0] if calls["builds"] else None,
--- a/cobaltpond/sim/campaign.py
+++ b/cobaltpond/sim/campaign.py
@@ -4,13 +4,13 @@
 import re
 from functools import partial
 
-from cobaltpond.decisions.records import State
-from cobaltpond.loop import in_workers
-from cobaltpond.sim.runner import Verdict, run_seed, run_text
+from cobaltpond.decisions.records import HitState
+from cobaltpond.loop import map_in_workers
+from cobaltpond.sim.runner import ScenarioVerdict, run_seed, run_text
 from cobaltpond.sim.scenarios import FAULTS
 
 STATES = (
-    *(f"hit {state}" for state in (State.TAKEN, State.HELD, State.OUT)),
+    *(f"hit {state}" for state in (HitState.TAKEN, HitState.HELD, HitState.OUT)),
     *(f"instance {state} {warmth}" for state in ("up", "draining") for warmth in ("cold", "warm")),
     *(f"release {phase}" for phase in ("trial", "going back", "released", "withdrawn")),
 )
@@ -18,19 +18,19 @@
 SPARE = ("fault(", "trouble(", "kill(", "offer(", "clients(", "reports(", "allow(", "registry(", "customer(")
 
 
-def brief(verdict: Verdict) -> Verdict:
+def without_records(verdict: ScenarioVerdict) -> ScenarioVerdict:
     """Without records and lines: what a worker sends back."""
     verdict.result, verdict.lines = {}, None
     return verdict
 
 
-def one_seed(size, lean, seed) -> Verdict:
-    return brief(run_seed(seed, size, lean))
+def one_seed(size, lean, seed) -> ScenarioVerdict:
+    return without_records(run_seed(seed, size, lean))
 
 
-def run_many(seeds, size="small", jobs=0, lean=None):
+def run_seeds(seeds, size="small", jobs=0, lean=None):
     """Verdicts in the order of the seeds."""
-    return in_workers(jobs, partial(one_seed, size, lean), seeds)
+    return map_in_workers(jobs, partial(one_seed, size, lean), seeds)
 
 
 class Coverage:
@@ -39,16 +39,16 @@
     def __init__(self, met=None):
         self.met = dict(met or {})
 
-    def add(self, verdict: Verdict) -> None:
+    def add(self, verdict: ScenarioVerdict) -> None:
         for pair, times in verdict.met.items():
             self.met[pair] = self.met.get(pair, 0) + times
 
-    def never(self) -> list:
+    def never_met(self) -> list:
         return [(kind, state) for kind in FAULTS for state in STATES if (kind, state) not in self.met]
 
-    def lean(self) -> dict:
+    def fault_weights(self) -> dict:
         """Weights for the next drawing: a kind counts for more the more states it has never met."""
-        return {kind: 1 + 3 * sum(k == kind for k, _ in self.never()) / len(STATES) for kind in FAULTS}
+        return {kind: 1 + 3 * sum(k == kind for k, _ in self.never_met()) / len(STATES) for kind in FAULTS}
 
     def dump(self) -> str:
         return json.dumps([[*pair, times] for pair, times in sorted(self.met.items())])
@@ -58,7 +58,7 @@
         return Coverage({(kind, state): times for kind, state, times in json.loads(text)})
 
 
-def sort_of(found: list) -> set:
+def breach_kinds(found: list) -> set:
     """The kinds of breach in a verdict: what stands before the first colon."""
     return {text.partition(":")[0] for text in found}
 
@@ -86,7 +86,7 @@
 def shrink(text: str, say=lambda line: None, most: int = MOST_RUNS, **more) -> str:
     """The smallest scenario found that breaks what this one breaks: fewest faults, shortest day, fewest
     gateways. `more` as for `run_text`. Raises ValueError where it breaks nothing."""
-    wrong, runs = sort_of(run_text(text, **more).found), 0
+    wrong, runs = breach_kinds(run_text(text, **more).found), 0
     if not wrong:
         raise ValueError("this scenario breaks nothing")
     lines, again = text.splitlines(), True
@@ -100,23 +100,23 @@
                 found = run_text("\n".join(fewer) + "\n", **more).found
             except Exception:  # a scenario that makes no sense is not a smaller one
                 continue
-            if wrong & sort_of(found):
+            if wrong & breach_kinds(found):
                 lines, again = fewer, True
                 say(f"{runs} runs: {len(lines)} lines")
                 break
     return "\n".join(lines) + "\n"
 
 
-def as_test(name: str, found: list, scenario: str) -> str:
+def regression_test(name: str, found: list, scenario: str) -> str:
     """A ready regression test."""
-    what = sorted(sort_of(found))
+    what = sorted(breach_kinds(found))
     return (
         f"def test_{name}():\n    \"\"\"Found by simulation: {', '.join(what)}.\"\"\"\n"
         f"    assert run_text(SCENARIO).found == []\n\n\nSCENARIO = '''\n{scenario}'''\n"
     )
 
 
-def explain(verdict: Verdict, hit: str = "", instance: str = "") -> list[str]:
+def explain(verdict: ScenarioVerdict, hit: str = "", instance: str = "") -> list[str]:
     """The time line of one hit (its name, or the client's op), or of one instance; seconds into the day."""
     result = verdict.result
     crowd, yard, begin = result["crowd"], result["yard"], result["begin"]
--- a/cobaltpond/sim/datagrams.py
+++ b/cobaltpond/sim/datagrams.py
@@ -39,17 +39,17 @@
             delay = network.delay(link)
             if network.chance.random() < link.shuffle:
                 delay += network.chance.randrange(1_000, 20_000)
-            network.world.after(delay, lambda: self.come(network, address, bytes(data)))
+            network.world.after(delay, lambda: self.arrive(network, address, bytes(data)))
         return True
 
-    def come(self, network, address, data) -> None:
+    def arrive(self, network, address, data) -> None:
         target = network.bound.get(address)
         if target is not None and len(target.inbox) < DATAGRAMS:
-            network.world.note("datagram", target.kernel.process.name, len(data))
+            network.world.record_event("datagram", target.kernel.process.name, len(data))
             if network.tap is not None:
                 network.tap("datagram", self.kernel.process.name, target.kernel.process.name, data, self)
             target.inbox.append((data, self.local))
-            target.edge()
+            target.mark_ready()
 
     def released(self) -> None:
         if self.kernel.network.bound.get(self.local) is self:
--- a/cobaltpond/sim/disk.py
+++ b/cobaltpond/sim/disk.py
@@ -31,7 +31,7 @@
     def parts(path: str) -> list:
         return [part for part in path.split("/") if part]
 
-    def find(self, path: str):
+    def lookup(self, path: str):
         """The file or folder, or None."""
         here = self.root
         for part in self.parts(path):
@@ -42,29 +42,29 @@
 
     def parent(self, path: str) -> tuple[Folder, str]:
         *above, name = self.parts(path)
-        folder = self.find("/".join(above))
+        folder = self.lookup("/".join(above))
         if not isinstance(folder, Folder):
             raise FileNotFoundError(errno.ENOENT, "No such file or directory", path)
         return folder, name
 
     def file(self, path: str) -> File:
-        found = self.find(path)
+        found = self.lookup(path)
         if not isinstance(found, File):
             raise FileNotFoundError(errno.ENOENT, "No such file or directory", path)
         return found
 
-    def struck(self, faults: dict, path: str) -> bool:
+    def is_faulty(self, faults: dict, path: str) -> bool:
         return any(
             count and ("/" + path.strip("/") + "/").startswith(folder.rstrip("/") + "/")
             for folder, count in faults.items()
         )
 
-    def room(self, path: str) -> None:
-        if self.struck(self.full, path):
+    def check_space(self, path: str) -> None:
+        if self.is_faulty(self.full, path):
             raise OSError(errno.ENOSPC, "No space left on device", path)
 
-    def sound(self, path: str) -> None:
-        if self.struck(self.failing, path):
+    def check_io(self, path: str) -> None:
+        if self.is_faulty(self.failing, path):
             raise OSError(errno.EIO, "Input/output error", path)
 
     # --- what programs do -----------------------------------------------------------------------------------
@@ -83,7 +83,7 @@
         self.writes += 1
         file.at = self.world.time
         try:
-            self.room(path)
+            self.check_space(path)
         except OSError:
             file.data[:] = data[: len(data) // 2]
             raise
@@ -92,7 +92,7 @@
             self.sync(path, file)
 
     def sync(self, path: str, file: File) -> None:
-        self.sound(path)
+        self.check_io(path)
         file.safe = bytes(file.data)
 
     def rename(self, path: str, to: str) -> None:
@@ -108,10 +108,10 @@
         self.writes += 1
 
     def sync_folder(self, path: str) -> None:
-        folder = self.find(path)
+        folder = self.lookup(path)
         if not isinstance(folder, Folder):
             raise FileNotFoundError(errno.ENOENT, "No such file or directory", path)
-        self.sound(path)
+        self.check_io(path)
         folder.safe = dict(folder.entries)
 
     def make_folder(self, path: str) -> None:
@@ -133,10 +133,10 @@
 
     def power_cut(self, path: str) -> None:
         """What lies under a folder is as its disk has it."""
-        found = self.find(path)
+        found = self.lookup(path)
         if found is not None:
             self.fall_back(found, set())
-        self.world.note("power cut", path)
+        self.world.record_event("power cut", path)
 
     def fall_back(self, node, seen: set) -> None:
         if id(node) in seen:
--- a/cobaltpond/sim/faults.py
+++ b/cobaltpond/sim/faults.py
@@ -1,6 +1,6 @@
 """Carries out the faults of a scenario, at their times or aimed at a moment, on the simulated machine."""
 
-from cobaltpond.sim.links import part_of
+from cobaltpond.sim.links import component_of
 from cobaltpond.sim.network import Stream
 
 LOOK = 250_000  # how often parts that a disk fault has ended are started again
@@ -21,7 +21,7 @@
         self.struck, self.back_at = 0, {}  # part -> when a kill of its own starts it again
         self.copies = {}  # folder -> [(when, name -> bytes)]
 
-    def begin(self, begin: int) -> None:
+    def start(self, begin: int) -> None:
         self.begun = begin
         self.over_at = begin
         for row in self.plan["fault"]:
@@ -32,7 +32,7 @@
         for on in {row["on"]: True for row in self.plan["fault"] if row["kind"] == "rolled_back"}:
             self.copy(self.journal(on))
 
-    def heard(self, what, number, at, value) -> None:
+    def on_wire_event(self, what, number, at, value) -> None:
         """Something that faults may be aimed at has happened at a gateway."""
         if not self.aimed:
             return
@@ -68,7 +68,7 @@
 
     def strike(self, row) -> None:
         self.struck += 1
-        self.world.note("fault", row["kind"], row["on"], row["to"])
+        self.world.record_event("fault", row["kind"], row["on"], row["to"])
         self.met(row["kind"], row["on"])
         self.over_at = max(self.over_at, self.world.time + row["length"])
         getattr(self, f"do_{row['kind']}")(row)
@@ -77,7 +77,7 @@
         self.world.after(row["length"], call)
 
     def processes(self, part: str) -> list:
-        return [p for p in self.world.alive() if part_of(p.name) == part]
+        return [p for p in self.world.alive() if component_of(p.name) == part]
 
     def links(self, row) -> list:
         return [
@@ -129,12 +129,12 @@
                 if (
                     isinstance(handle, Stream)
                     and handle.state == "open"
-                    and part_of(handle.there) == row["to"]
+                    and component_of(handle.peer_name) == row["to"]
                 ):
                     handle.flow.pieces.clear()
                     handle.flow.sink.flow.pieces.clear()
-                    handle.flow.sink.takes("reset", b"")
-                    handle.takes("reset", b"")
+                    handle.flow.sink.receive_piece("reset", b"")
+                    handle.receive_piece("reset", b"")
 
     def strike_dials(self, row, table) -> None:
         names = [p.name for p in self.processes(row["on"])]
@@ -162,15 +162,15 @@
     def do_drift(self, row) -> None:
         for process in self.processes(row["on"]):
             if process.name.startswith("gateway-"):
-                self.day.act("drifted", gateway=int(process.name[8:]), rate=row["size"])
+                self.day.record_act("drifted", gateway=int(process.name[8:]), rate=row["size"])
             process.kernel.drift(row["size"])
 
     def do_stall(self, row) -> None:
         for process in self.processes(row["on"]):
             if process.name.startswith("gateway-"):
-                self.day.act("stalled", gateway=int(process.name[8:]), len=row["length"])
+                self.day.record_act("stalled", gateway=int(process.name[8:]), len=row["length"])
             if process.name.startswith("solo-"):
-                self.day.act("frozen", part=part_of(process.name)[5:], len=row["length"])
+                self.day.record_act("frozen", part=component_of(process.name)[5:], len=row["length"])
             process.signal("STOP")
             self.later(row, lambda process=process: process.signal("CONT"))
 
@@ -188,12 +188,12 @@
             "back_after": row["length"],
         }
         self.back_at[row["on"]] = self.world.time + row["length"] + LOOK
-        self.day.loop.spawn(self.day.kill(self.begun, kill), "kill")
+        self.day.loop.spawn(self.day.kill_component(self.begun, kill), "kill")
 
     def do_restart(self, row) -> None:
         """As for a new version of the gateway: told to stop, and started again once it has."""
         for process in self.processes(row["on"]):
-            self.day.act("stopping", gateway=int(row["on"][8:]))
+            self.day.record_act("stopping", gateway=int(row["on"][8:]))
             process.signal("TERM")
             self.stand_by(row["on"], self.world.time + 8_000_000)
 
@@ -210,7 +210,7 @@
     def disk_fault(self, row, table) -> None:
         folder, part = self.folder(row["on"]), self.part(row["on"])
         table[folder] = table.get(folder, 0) + 1
-        self.day.act("killed", part=part)  # it may end over it, by design; see `stand_by`
+        self.day.record_act("killed", part=part)  # it may end over it, by design; see `stand_by`
         self.world.after(row["length"], lambda: table.update({folder: table[folder] - 1}))
         self.stand_by(part, self.world.time + row["length"] + 5_000_000)
 
@@ -225,8 +225,8 @@
         part = self.part(row["on"])
         number = int(part[8:]) if part.startswith("gateway-") else None
         if number is not None:
-            self.day.act("killed", gateway=number)
-        self.day.act("killed", part=part)
+            self.day.record_act("killed", gateway=number)
+        self.day.record_act("killed", part=part)
         for process in self.processes(part) + self.processes(f"solo-{row['on']}"):
             process.signal("KILL")
         self.disk.power_cut(self.folder(row["on"]))
@@ -239,7 +239,7 @@
 
     def copy(self, folder: str) -> None:
         """Again and again, as a backup is taken: what lies in a journal's folder."""
-        found = self.disk.find(folder)
+        found = self.disk.lookup(folder)
         if found is not None:
             files = {name: bytes(file.data) for name, file in found.entries.items() if name != "lock"}
             self.copies.setdefault(folder, []).append((self.world.time, files))
@@ -257,7 +257,7 @@
     def put_back(self, row, files: dict) -> None:
         """The part is killed, its journal replaced, and it is started again."""
         part, folder = self.part(row["on"]), self.journal(row["on"])
-        self.day.act("killed", part=part)
+        self.day.record_act("killed", part=part)
         for process in self.processes(part):
             process.signal("KILL")
         self.disk.remove(folder)
@@ -274,14 +274,14 @@
         def look():
             child = self.day.children.get(part)
             due = self.world.time >= max(since, self.back_at.get(part, 0))
-            if due and child is not None and child.ended() is not None and not self.day.over:
+            if due and child is not None and child.ended() is not None and not self.day.is_ending:
                 if part.startswith("gateway-"):
                     self.day.start_gateway(int(part[8:]))
                 else:
                     words = (
-                        ["desk", self.day.sheet_path]
+                        ["desk", self.day.settings_path]
                         if part == "desk"
-                        else ["agent", self.day.sheet_path, "--place", part.removeprefix("agent-")]
+                        else ["agent", self.day.settings_path, "--place", part.removeprefix("agent-")]
                     )
                     self.day.spawn(part, *words)
             if self.world.time < until:
--- a/cobaltpond/sim/kernel.py
+++ b/cobaltpond/sim/kernel.py
@@ -5,7 +5,7 @@
 import shlex
 import sys
 
-from cobaltpond.loop.errors import HandlesUsedUp, Refused, Unreachable
+from cobaltpond.loop.errors import HandlesExhaustedError, RefusedError, UnreachableError
 from cobaltpond.sim.datagrams import Datagrams
 from cobaltpond.sim.disk import File, Folder
 from cobaltpond.sim.network import Listener, Stream
@@ -21,7 +21,7 @@
     def __init__(self, machine, process: Process):
         self.machine, self.world, self.process = machine, machine.world, process
         self.network, self.disk = machine.network, machine.disk
-        self.handles, self.ready, self.signalled, self.signal_call = {}, {}, [], None
+        self.handles, self.ready, self.pending_signals, self.signal_handler = {}, {}, [], None
         self.files, self.locks, self.most = [], [], 1 << 30
         self.rate, self.here, self.there = 1.0, 0, 0  # its clock drifts from the world's: ahead by, since
         process.kernel = self
@@ -42,36 +42,36 @@
         """From now on its clock runs so much faster or slower."""
         self.here, self.there, self.rate = self.now() - self.world.time, self.world.time, rate
         self.process.due = None
-        self.process.poke()
+        self.process.schedule_turn()
 
-    def seed(self) -> int:
+    def random_seed(self) -> int:
         return self.process.chance.getrandbits(64)
 
     def poll(self, until):
         ready, self.ready = self.ready, {}
         told = [(handle, handle.readable(), handle.writable()) for handle in ready if not handle.closed]
-        while self.signalled:
-            self.signal_call(self.signalled.pop(0))
+        while self.pending_signals:
+            self.signal_handler(self.pending_signals.pop(0))
         return told
 
-    def drive(self, loop, main):
+    def run_loop(self, loop, main):
         return self.process.drive(loop, main)
 
-    def settle(self) -> None:
+    def freeze_memory(self) -> None:
         pass
 
     def on_signals(self, call) -> None:
-        self.signal_call = call
+        self.signal_handler = call
 
-    def wall(self) -> int:
+    def wall_clock(self) -> int:
         return WALL + self.world.time - self.world.begin
 
     # --- sockets --------------------------------------------------------------------------------------------
 
-    def enter(self, handle) -> None:
+    def register_handle(self, handle) -> None:
         self.handles[handle] = True
 
-    def leave(self, handle) -> None:
+    def unregister_handle(self, handle) -> None:
         self.handles.pop(handle, None)
         self.ready.pop(handle, None)
 
@@ -83,21 +83,21 @@
         if port == 0:
             port = self.network.free_port({a[1] for a in self.network.listeners})
         if (host, port) in self.network.listeners:
-            raise Unreachable(f"cannot listen at {host}:{port}: [Errno 98] Address already in use")
-        self.world.note("listen", self.process.name, port)
+            raise UnreachableError(f"cannot listen at {host}:{port}: [Errno 98] Address already in use")
+        self.world.record_event("listen", self.process.name, port)
         return Listener(self, (host, port), backlog)
 
     def dial(self, address) -> Stream:
         if self.used_up():
-            raise HandlesUsedUp("Too many open files")
+            raise HandlesExhaustedError("Too many open files")
         if self.process.code is not None:
-            raise Unreachable("the process has ended")
+            raise UnreachableError("the process has ended")
         stream = Stream(self)
-        self.world.note("dial", self.process.name, address[1])
+        self.world.record_event("dial", self.process.name, address[1])
         self.network.syn(stream, tuple(address))
         return stream
 
-    def datagrams(self, address) -> Datagrams:
+    def open_datagrams(self, address) -> Datagrams:
         host, port = address
         if port == 0:
             port = self.network.free_port({a[1] for a in self.network.bound})
@@ -107,53 +107,53 @@
 
     # --- processes ------------------------------------------------------------------------------------------
 
-    def spawn(self, argv, output, mark="") -> "Child":
+    def spawn(self, argv, output, mark="") -> "SimulatedChildProcess":
         words = self.script(argv) if argv[0] != sys.executable else argv
         name = os.path.basename(output).removesuffix(".log")
         if words[3:5] == ["standin", "solo"]:
             name = f"solo-{words[8]}"
         process = Process(self.world, name, words, mark, output)
         VirtualKernel(self.machine, process)
-        self.world.note("spawn", name, process.pid)
+        self.world.record_event("spawn", name, process.pid)
         self.world.after(
-            process.chance.randrange(START_LEAST, START_MOST), lambda: self.machine.begin(process)
+            process.chance.randrange(START_LEAST, START_MOST), lambda: self.machine.start_program(process)
         )
-        return Child(process)
+        return SimulatedChildProcess(process)
 
     def script(self, argv) -> list:
         """A program of ours that a shell script in the store starts, or ends at once: all that builds here
         are."""
-        file = self.disk.find(argv[0])
+        file = self.disk.lookup(argv[0])
         if not isinstance(file, File):
-            raise Unreachable(f"{argv[0]}: [Errno 2] No such file or directory")
+            raise UnreachableError(f"{argv[0]}: [Errno 2] No such file or directory")
         lines = bytes(file.data).decode("latin-1").splitlines()
         if not lines or lines[0] != "#!/bin/sh":
-            raise Unreachable(f"{argv[0]}: [Errno 8] Exec format error")
+            raise UnreachableError(f"{argv[0]}: [Errno 8] Exec format error")
         words = shlex.split(lines[1])
         given = {f"${n}": word for n, word in enumerate(argv)}
         return [given.get(word, word) for word in words[1:] if word] if words[0] == "exec" else words
 
-    def adopt(self, mark) -> "Adopted | None":
+    def adopt_process(self, mark) -> "SimulatedAdoptedProcess | None":
         for process in self.world.alive():
             if process.mark == mark and mark:
-                return Adopted(process)
+                return SimulatedAdoptedProcess(process)
         return None
 
-    def marked(self) -> list:
+    def marked_processes(self) -> list:
         return sorted((p.pid, p.mark) for p in self.world.alive() if p.mark)
 
     def command_lines(self) -> list:
         return [(p.pid, p.argv) for p in self.world.alive() if p is not self.process]
 
-    def kill(self, pid) -> None:
+    def kill_process(self, pid) -> None:
         process = self.world.processes.get(pid)
         if process is not None:
             process.signal("KILL")
 
-    def end(self, killed: bool) -> None:
+    def process_ended(self, killed: bool) -> None:
         """The process is gone: the system closes what it had open."""
         for file in self.files:
-            file.gone(killed)
+            file.process_ended(killed)
         for lock in self.locks:
             lock.close()
         for handle in list(self.handles):
@@ -163,12 +163,12 @@
 
     # --- files ----------------------------------------------------------------------------------------------
 
-    def dead(self) -> bool:
+    def is_ended(self) -> bool:
         """A task of a process that was killed, unwound: it has no effect any more."""
         return self.process.code is not None
 
     def read_file(self, path) -> bytes | None:
-        found = self.disk.find(path)
+        found = self.disk.lookup(path)
         return bytes(found.data) if isinstance(found, File) else None
 
     def replace_file(self, path, data, sync=True) -> None:
@@ -177,68 +177,68 @@
             self.write_file(aside, data)
             self.rename(aside, path)
             self.sync_folder(os.path.dirname(path))
-        elif not self.dead():
+        elif not self.is_ended():
             self.disk.write(aside, data, False)
             self.disk.rename(aside, path)
 
     def write_file(self, path, data, mode=0o644) -> None:
-        if not self.dead():
+        if not self.is_ended():
             self.disk.write(path, data, True)
 
     def rename(self, path, to) -> None:
-        if not self.dead():
+        if not self.is_ended():
             self.disk.rename(path, to)
 
     def sync_folder(self, path) -> None:
-        if not self.dead():
+        if not self.is_ended():
             self.disk.sync_folder(path)
 
     def make_folder(self, path) -> None:
-        if not self.dead():
+        if not self.is_ended():
             self.disk.make_folder(path)
 
     def list_folder(self, path) -> list[str]:
-        found = self.disk.find(path)
+        found = self.disk.lookup(path)
         return sorted(found.entries) if isinstance(found, Folder) else []
 
     def remove(self, path) -> None:
-        if not self.dead():
+        if not self.is_ended():
             self.disk.remove(path)
 
     def truncate(self, path, size) -> None:
-        if not self.dead():
+        if not self.is_ended():
             file = self.disk.file(path)
             del file.data[size:]
             file.data.extend(bytes(size - len(file.data)))
             self.disk.sync(path, file)
 
-    def size(self, path) -> int | None:
-        found = self.disk.find(path)
+    def file_size(self, path) -> int | None:
+        found = self.disk.lookup(path)
         return len(found.data) if isinstance(found, File) else 4096 if found is not None else None
 
-    def age(self, path) -> int:
+    def file_age(self, path) -> int:
         return max(0, self.world.time - self.disk.file(path).at)
 
     def touch(self, path) -> None:
-        if not self.dead():
+        if not self.is_ended():
             self.disk.file(path).at = self.world.time
 
     def free_space(self, path) -> int:
-        return 0 if self.disk.struck(self.disk.full, path) else self.disk.space
+        return 0 if self.disk.is_faulty(self.disk.full, path) else self.disk.space
 
-    def lock(self, path) -> "Lock":
+    def lock_file(self, path) -> "FileLock":
         file = self.disk.create(path)
         holder = self.machine.held.get(id(file))
         if holder is not None:
-            raise Refused(f"{path} is held by another process")
-        return Lock(self, file)
+            raise RefusedError(f"{path} is held by another process")
+        return FileLock(self, file)
 
-    def append_file(self, path) -> "Appending":
+    def append_file(self, path) -> "SimulatedAppendFile":
         self.disk.create(path)
-        return Appending(self, path)
+        return SimulatedAppendFile(self, path)
 
 
-class Lock:
+class FileLock:
     def __init__(self, kernel, file):
         self.held, self.file = kernel.machine.held, file
         self.held[id(file)] = self
@@ -249,7 +249,7 @@
             del self.held[id(self.file)]
 
 
-class Appending:
+class SimulatedAppendFile:
     """Written bytes wait in the process; a flush gives them to the system, a sync to the disk."""
 
     def __init__(self, kernel, path):
@@ -258,7 +258,7 @@
         kernel.files.append(self)
 
     def write(self, data: bytes) -> None:
-        if self.kernel.dead():
+        if self.kernel.is_ended():
             return
         self.waiting.append(data)
         self.size += len(data)
@@ -266,10 +266,10 @@
             self.flush()
 
     def flush(self) -> None:
-        if self.waiting and not self.kernel.dead():
+        if self.waiting and not self.kernel.is_ended():
             data = b"".join(self.waiting)
             try:
-                self.kernel.disk.room(self.path)
+                self.kernel.disk.check_space(self.path)
             except OSError:
                 self.file.data += data[: len(data) // 2]
                 raise
@@ -279,7 +279,7 @@
 
     def sync(self) -> None:
         self.flush()
-        if not self.kernel.dead():
+        if not self.kernel.is_ended():
             self.kernel.disk.sync(self.path, self.file)
 
     def close(self) -> None:
@@ -289,14 +289,14 @@
             if self in self.kernel.files:
                 self.kernel.files.remove(self)
 
-    def gone(self, killed: bool) -> None:
+    def process_ended(self, killed: bool) -> None:
         """What a process that ends by itself has written is flushed as its files are closed."""
         if not killed and self.waiting:
             self.file.data += b"".join(self.waiting)
         self.waiting, self.closed = [], True
 
 
-class Child:
+class SimulatedChildProcess:
     def __init__(self, process: Process):
         self.process, self.pid = process, process.pid
 
@@ -309,7 +309,7 @@
     signal_all = signal
 
 
-class Adopted:
+class SimulatedAdoptedProcess:
     def __init__(self, process: Process):
         self.process, self.pid, self.mark = process, process.pid, process.mark
 
--- a/cobaltpond/sim/links.py
+++ b/cobaltpond/sim/links.py
@@ -32,6 +32,6 @@
         return self.cuts > 0 or to in self.deaf
 
 
-def part_of(name: str) -> str:
+def component_of(name: str) -> str:
     """The part of a day that a process belongs to: its name without the number of its instance."""
     return name.partition(".")[0]
--- a/cobaltpond/sim/machine.py
+++ b/cobaltpond/sim/machine.py
@@ -8,16 +8,18 @@
 from cobaltpond.agent.main import run_agent
 from cobaltpond.desk.service import run_desk
 from cobaltpond.gateway.main import run_gateway
-from cobaltpond.settings import read_sheet
+from cobaltpond.settings import read_settings
 from cobaltpond.sim.disk import Disk
 from cobaltpond.sim.kernel import VirtualKernel
 from cobaltpond.sim.network import Network
 from cobaltpond.sim.world import Process, World
-from cobaltpond.standins.clients import run_crowd
-from cobaltpond.standins.instance_fleet import run_yard
-from cobaltpond.standins.single_instance import run_builds, run_solo
+from cobaltpond.standins.clients import run_clients
+from cobaltpond.standins.instance_fleet import run_instance_fleet
+from cobaltpond.standins.single_instance import run_build_server, run_single_instance
 
-read_once = lru_cache(maxsize=64)(read_sheet)  # a sheet is frozen: all that read the same text may share it
+read_settings_cached = lru_cache(maxsize=64)(
+    read_settings
+)  # a sheet is frozen: all that read the same text may share it
 
 
 class Log:
@@ -62,15 +64,15 @@
         process.log = Log(process, self)
         return VirtualKernel(self, process)
 
-    def begin(self, process: Process) -> None:
+    def start_program(self, process: Process) -> None:
         """The first lines of a program; an exception in them ends it, as it would end the interpreter."""
         if process.code is not None:
             return
         if process.frozen:  # stopped before it began: looked at again when it goes on
-            self.world.after(1_000, lambda: self.begin(process))
+            self.world.after(1_000, lambda: self.start_program(process))
             return
         process.log = Log(process, self)
-        self.world.note("begin", process.name, process.start)
+        self.world.record_event("begin", process.name, process.start)
         for call in self.started:
             call(process)
         try:
@@ -78,8 +80,8 @@
         except Exception as trouble:
             process.fail(trouble)
 
-    def sheet(self, kernel, path):
-        return read_once(path, (kernel.read_file(path) or b"").decode())
+    def read_settings(self, kernel, path):
+        return read_settings_cached(path, (kernel.read_file(path) or b"").decode())
 
     def plan(self, kernel, path):
         return json.loads(kernel.read_file(path) or b"null")
@@ -94,20 +96,20 @@
         what, *words = argv[3:]
         if what == "gateway":
             decisions = self.decisions(kernel.process) if self.decisions is not None else None
-            run_gateway(kernel, self.sheet(kernel, words[0]), int(words[2]), log, decisions)
+            run_gateway(kernel, self.read_settings(kernel, words[0]), int(words[2]), log, decisions)
         elif what == "desk":
-            run_desk(kernel, self.sheet(kernel, words[0]), log)
+            run_desk(kernel, self.read_settings(kernel, words[0]), log)
         elif what == "agent":
-            sheet = self.sheet(kernel, words[0])
+            sheet = self.read_settings(kernel, words[0])
             run_agent(kernel, sheet, next(h for h in sheet.hosts if h.place == words[2]), log)
         elif words[0] == "yard":
-            run_yard(kernel, self.plan(kernel, words[1]), words[2], log)
+            run_instance_fleet(kernel, self.plan(kernel, words[1]), words[2], log)
         elif words[0] == "crowd":
-            run_crowd(kernel, self.plan(kernel, words[1]), words[2], log)
+            run_clients(kernel, self.plan(kernel, words[1]), words[2], log)
         elif words[0] == "builds":
-            run_builds(kernel, self.plan(kernel, words[1]), int(words[2]), log)
+            run_build_server(kernel, self.plan(kernel, words[1]), int(words[2]), log)
         elif words[0] == "solo":
-            run_solo(
+            run_single_instance(
                 kernel, self.plan(kernel, words[1]), int(words[2]), int(words[3]), words[4], words[5], log
             )
         else:
--- a/cobaltpond/sim/member_cluster.py
+++ b/cobaltpond/sim/member_cluster.py
@@ -5,43 +5,43 @@
 left out.
 """
 
-from cobaltpond.decisions.records import Chance
+from cobaltpond.decisions.records import RandomSource
 from cobaltpond.gateway.peers import Peers
-from cobaltpond.loop import Sleep, run_part
+from cobaltpond.loop import Sleep, run_component
 from cobaltpond.members.service import Members
 from cobaltpond.members.states import ALIVE, FAILED
-from cobaltpond.members.view import Settings, View
+from cobaltpond.members.view import ProbeSettings, View
 from cobaltpond.sim.machine import Machine
 
 PORT = 20_000
 SECOND = 1_000_000
 
 
-class Only:
+class MemberProcess:
     """The main part of such a process. `said`: names and arguments of what the module would hear."""
 
     def __init__(self, loop, society, number, log):
-        self.loop, self.society, self.stop_asked, self.said = loop, society, False, []
+        self.loop, self.society, self.stop_asked, self.posted = loop, society, False, []
         self.peers = Peers(loop, society.addresses, society.addresses[number], number, self)
         self.members = Members(
             loop,
             society.zones,
             number,
-            society.settings,
+            society.probe_settings,
             self.peers,
-            self.post,
-            self.about,
+            self.post_event,
+            self.describe_self,
             log,
-            Chance(loop.kernel.seed()),
+            RandomSource(loop.kernel.random_seed()),
             0,
             society.view,
         )
 
-    def post(self, name, *arguments):
-        self.said.append((self.loop.now(), name, arguments))
-        del self.said[:-1000]
+    def post_event(self, name, *arguments):
+        self.posted.append((self.loop.now(), name, arguments))
+        del self.posted[:-1000]
 
-    def about(self):
+    def describe_self(self):
         return {"revision": 1, "out": 0, "admitted": 1.0, "flags": 1}
 
     def run(self):
@@ -57,7 +57,7 @@
         self.stop_asked = True
 
 
-class Society:
+class MemberCluster:
     """`count` members in `zones` zones; `view`: what each of them runs."""
 
     def __init__(
@@ -65,13 +65,13 @@
         count: int,
         seed=1,
         zones: int = 1,
-        settings: Settings | None = None,
+        settings: ProbeSettings | None = None,
         view=View,
         lines: bool = False,
     ):
-        self.machine, self.settings, self.view = (
+        self.machine, self.probe_settings, self.view = (
             Machine(f"society/{seed}", lines),
-            settings or Settings(),
+            settings or ProbeSettings(),
             view,
         )
         self.world, self.network = self.machine.world, self.machine.network
@@ -90,17 +90,17 @@
         kernel = self.machine.process(self.name(number), ["only", str(number)])
 
         def make(loop):
-            part = Only(loop, self, number, kernel.process.log)
+            part = MemberProcess(loop, self, number, kernel.process.log)
             self.watch(number, part)
             self.parts[number] = part
             return part
 
         self.processes[number] = kernel.process
-        run_part(kernel, make, kernel.process.log, self.name(number))
+        run_component(kernel, make, kernel.process.log, self.name(number))
 
-    def watch(self, number: int, part: Only) -> None:
+    def watch(self, number: int, part: MemberProcess) -> None:
         """Counts what it sends, and notes each change of its view."""
-        send, flush = part.peers.send_members, part.members.flush
+        send, flush = part.peers.send_membership, part.members.flush
 
         def counted(receiver, data):
             self.sent, self.bytes = self.sent + 1, self.bytes + len(data) + 6
@@ -111,7 +111,7 @@
                 self.changes.append((self.world.time, number, member.number, before, member.state))
             flush()
 
-        part.peers.send_members, part.members.flush = counted, noted
+        part.peers.send_membership, part.members.flush = counted, noted
 
     def start_all(self, within: int = SECOND) -> None:
         chance = self.world.chance("starts")
@@ -123,7 +123,7 @@
         self.world.after(duration, lambda: None)
         self.world.run(lambda: self.world.time >= end, end)
 
-    def until(self, what, bound: int) -> int:
+    def run_until(self, what, bound: int) -> int:
         """Runs until it is so; gives how long that took, in microseconds. Raises AssertionError past the
         bound."""
         begin = self.world.time
@@ -149,7 +149,7 @@
         for link in self.links(ones, others):
             link.cut(begins)
 
-    def lossy(self, lose: float = 0.0, repeat: float = 0.0, shuffle: float = 0.0, delay=None) -> None:
+    def set_loss(self, lose: float = 0.0, repeat: float = 0.0, shuffle: float = 0.0, delay=None) -> None:
         """All links."""
         for a in self.zones:
             for b in range(a):
@@ -157,7 +157,7 @@
                 link.lose, link.repeat, link.shuffle = lose, repeat, shuffle
                 link.delay = delay or link.delay
 
-    def slow(self, numbers, until: int, runs=(50_000, 150_000), stands=(SECOND, 4 * SECOND)) -> None:
+    def slow_down(self, numbers, until: int, runs=(50_000, 150_000), stands=(SECOND, 4 * SECOND)) -> None:
         """They stand still most of the time: about one part in twenty is theirs, in pieces."""
         chance = self.world.chance("slow")
 
@@ -181,7 +181,7 @@
     def state(self, at: int, number: int) -> str:
         return self.parts[at].members.view.members[number].state
 
-    def agree(self, state: str = ALIVE, numbers=None, eyes=None) -> bool:
+    def all_agree(self, state: str = ALIVE, numbers=None, eyes=None) -> bool:
         """Do all that live (or `eyes`) see these so?"""
         eyes = self.living() if eyes is None else eyes
         numbers = self.living() if numbers is None else numbers
@@ -189,7 +189,7 @@
             self.state(at, n) == state for at in eyes for n in numbers if at != n
         )
 
-    def declared(self, since: int = 0, eyes=None) -> list[tuple]:
+    def failure_reports(self, since: int = 0, eyes=None) -> list[tuple]:
         """Who was called failed, by whom, when."""
         return [
             (at, by, number)
@@ -197,7 +197,7 @@
             if state == FAILED and at >= since and (eyes is None or by in eyes)
         ]
 
-    def wrong(self, since: int = 0) -> list[int]:
+    def false_failure_times(self, since: int = 0) -> list[int]:
         """For how long each living one was held for failed by another living one, from `since` on,
         microseconds."""
         began, lengths, living = {}, [], self.living()
--- a/cobaltpond/sim/network.py
+++ b/cobaltpond/sim/network.py
@@ -9,8 +9,8 @@
 
 from collections import deque
 
-from cobaltpond.loop.errors import HandlesUsedUp, PeerLost, Refused, Unreachable
-from cobaltpond.sim.links import Link, part_of
+from cobaltpond.loop.errors import ConnectionLostError, HandlesExhaustedError, RefusedError, UnreachableError
+from cobaltpond.sim.links import Link, component_of
 
 BUFFER = 128 << 10  # bytes of one flow that may be on their way or unread
 SYN_AGAIN = (1_000_000, 3_000_000, 7_000_000, 15_000_000)  # after the first: RFC 6298, 2 and 5
@@ -31,7 +31,7 @@
     def link(self, one: str, other: str) -> Link:
         key = (one, other) if one < other else (other, one)
         if key not in self.links:
-            zones = self.zones.get(part_of(one)), self.zones.get(part_of(other))
+            zones = self.zones.get(component_of(one)), self.zones.get(component_of(other))
             self.links[key] = Link(self.far if None not in zones and zones[0] != zones[1] else self.near)
         return self.links[key]
 
@@ -52,26 +52,26 @@
         owner = self.listeners.get(address)
         there = owner.kernel.process.name if owner is not None else self.last_owner.get(address, "nobody")
         link = stream.link = self.link(stream.kernel.process.name, there)
-        stream.there = there
+        stream.peer_name = there
         self.world.after(self.delay(link), lambda: self.syn_there(stream, address, attempt))
 
     def syn_there(self, stream, address, attempt) -> None:
         if stream.closed or stream.state != "dialling":
             return
         listener = self.listeners.get(address)
-        lost = stream.link.blocked(stream.there) or self.silent.get(stream.there)
-        if lost or listener is not None and listener.full():
+        lost = stream.link.blocked(stream.peer_name) or self.silent.get(stream.peer_name)
+        if lost or listener is not None and listener.is_backlogged():
             self.syn_lost(stream, address, attempt)
             return
-        if listener is None or self.refusing.get(stream.there):
+        if listener is None or self.refusing.get(stream.peer_name):
             self.world.after(self.delay(stream.link), stream.refused)
             return
         other = Stream(listener.kernel)
-        other.state, other.there, other.link = "open", stream.kernel.process.name, stream.link
+        other.state, other.peer_name, other.link = "open", stream.kernel.process.name, stream.link
         other.local, other.entered = address, False
         stream.flow, other.flow = Flow(self, stream, other), Flow(self, other, stream)
         listener.arrived(other)
-        self.world.after(self.delay(stream.link), stream.through)
+        self.world.after(self.delay(stream.link), stream.connected_through)
 
     def syn_lost(self, stream, address, attempt) -> None:
         if attempt < len(SYN_AGAIN):
@@ -131,7 +131,7 @@
         if count > 1 and self.network.chance.random() < 0.5:
             count = self.network.chance.randrange(1, count + 1)
         for _ in range(count):
-            self.sink.takes(*self.pieces.popleft())
+            self.sink.receive_piece(*self.pieces.popleft())
         self.pump()
 
     def again(self) -> None:
@@ -145,24 +145,24 @@
     def __init__(self, kernel):
         self.kernel, self.reader, self.writer, self.closed = kernel, None, None, False
         self.local = ("127.0.0.1", 0)
-        kernel.enter(self)
+        kernel.register_handle(self)
 
-    def edge(self) -> None:
+    def mark_ready(self) -> None:
         """Something has become ready: the next poll tells all that is (epoll(7), edge-triggered)."""
         if not self.closed:
             self.kernel.ready[self] = True
-            self.kernel.process.poke()
+            self.kernel.process.schedule_turn()
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.kernel.leave(self)
+            self.kernel.unregister_handle(self)
             self.released()
             for task in (self.reader, self.writer):
                 if task is not None:
                     task.wake()
             self.reader = self.writer = None
-            self.kernel.process.poke()
+            self.kernel.process.schedule_turn()
 
     def address(self):
         return self.local
@@ -173,7 +173,7 @@
 
     def __init__(self, kernel):
         super().__init__(kernel)
-        self.state, self.there, self.link, self.flow = "dialling", "", None, None
+        self.state, self.peer_name, self.link, self.flow = "dialling", "", None, None
         self.inbox, self.unread, self.ended, self.trouble = deque(), 0, False, None
         self.finished = self.lost = False
         self.network = kernel.network
@@ -183,32 +183,32 @@
 
     def refused(self) -> None:
         if not self.closed and self.state == "dialling":
-            self.state, self.trouble = "failed", Refused("Connection refused")
-            self.edge()
+            self.state, self.trouble = "failed", RefusedError("Connection refused")
+            self.mark_ready()
 
     def no_answer(self) -> None:
         if not self.closed and self.state == "dialling":
-            self.state, self.trouble = "failed", Unreachable("Connection timed out")
-            self.edge()
+            self.state, self.trouble = "failed", UnreachableError("Connection timed out")
+            self.mark_ready()
 
-    def through(self) -> None:
+    def connected_through(self) -> None:
         if self.state == "dialling":
             self.state = "open"
             if self.closed:
                 self.flow.reset()
             else:
-                self.edge()
+                self.mark_ready()
 
-    def takes(self, kind: str, data: bytes) -> None:
+    def receive_piece(self, kind: str, data: bytes) -> None:
         """A piece that has come: data, the end, or a reset."""
-        self.kernel.world.note(kind, self.there, self.kernel.process.name, len(data))
+        self.kernel.world.record_event(kind, self.peer_name, self.kernel.process.name, len(data))
         if self.network.tap is not None:
-            self.network.tap(kind, self.there, self.kernel.process.name, data, self)
+            self.network.tap(kind, self.peer_name, self.kernel.process.name, data, self)
         if kind == "reset":
-            self.lost, self.ended, self.trouble = True, True, PeerLost("Connection reset by peer")
+            self.lost, self.ended, self.trouble = True, True, ConnectionLostError("Connection reset by peer")
             if self.state == "dialling":
                 self.state = "open"
-            self.edge()
+            self.mark_ready()
         elif self.closed:
             if kind == "data":  # nobody is there to read it: RFC 9293, 3.10.7.1
                 self.lost = True
@@ -219,7 +219,7 @@
             else:
                 self.inbox.append(data)
                 self.unread += len(data)
-            self.edge()
+            self.mark_ready()
 
     # --- what a program asks --------------------------------------------------------------------------------
 
@@ -237,12 +237,12 @@
     def connected(self) -> bool:
         trouble, self.trouble = self.trouble, None
         if trouble is not None:
-            raise Unreachable(str(trouble)) if isinstance(trouble, PeerLost) else trouble
+            raise UnreachableError(str(trouble)) if isinstance(trouble, ConnectionLostError) else trouble
         return self.state == "open"
 
     def recv(self, size: int) -> bytes | None:
         if self.closed:
-            raise PeerLost("closed here")
+            raise ConnectionLostError("closed here")
         if self.inbox:
             parts, got = [], 0
             while self.inbox and got < size:
@@ -253,19 +253,19 @@
                 parts.append(data)
                 got += len(data)
             self.unread -= got
-            self.took(got)
+            self.bytes_taken(got)
             data = b"".join(parts)
             if self.network.sniff is not None:
                 self.network.sniff("read", self, data)
             return data
         if self.trouble is not None:
             trouble, self.trouble = self.trouble, None
-            raise trouble if isinstance(trouble, PeerLost) else PeerLost(str(trouble))
+            raise trouble if isinstance(trouble, ConnectionLostError) else ConnectionLostError(str(trouble))
         if self.state == "failed":
-            raise PeerLost("Transport endpoint is not connected")
+            raise ConnectionLostError("Transport endpoint is not connected")
         return b"" if self.ended else None
 
-    def took(self, size: int) -> None:
+    def bytes_taken(self, size: int) -> None:
         """Room in the peer's flow again; it hears of it a delay later."""
         flow = self.peer_flow()
         if flow is None:
@@ -274,19 +274,19 @@
         flow.held -= size
         if full and flow.room() > 0:
             source = flow.source
-            self.kernel.world.after(self.network.delay(self.link), source.edge)
+            self.kernel.world.after(self.network.delay(self.link), source.mark_ready)
 
     def peer_flow(self):
         return self.flow.sink.flow if self.flow is not None else None
 
     def send(self, data) -> int | None:
         if self.closed:
-            raise PeerLost("closed here")
+            raise ConnectionLostError("closed here")
         if self.trouble is not None and self.state == "open":
             trouble, self.trouble = self.trouble, None
             raise trouble
         if self.lost or self.finished or self.state == "failed":
-            raise PeerLost("Broken pipe")
+            raise ConnectionLostError("Broken pipe")
         if self.state != "open":
             return None
         room = self.flow.room()
@@ -329,12 +329,12 @@
         kernel.network.listeners[address] = self
         kernel.network.last_owner[address] = kernel.process.name
 
-    def full(self) -> bool:
+    def is_backlogged(self) -> bool:
         return len(self.queue) > self.backlog  # the queue holds one more than asked for, as Linux has it
 
     def arrived(self, stream: Stream) -> None:
         self.queue.append(stream)
-        self.edge()
+        self.mark_ready()
 
     def readable(self) -> bool:
         return bool(self.queue)
@@ -348,12 +348,12 @@
         if not self.queue:
             return None
         if self.kernel.used_up():
-            raise HandlesUsedUp("Too many open files")
+            raise HandlesExhaustedError("Too many open files")
         stream = self.queue.popleft()
         stream.entered = True
-        self.kernel.enter(stream)
+        self.kernel.register_handle(stream)
         if stream.readable() or stream.writable():
-            stream.edge()
+            stream.mark_ready()
         return stream
 
     def released(self) -> None:
--- a/cobaltpond/sim/runner.py
+++ b/cobaltpond/sim/runner.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass, field
 
-from cobaltpond.audit.check import check_all
-from cobaltpond.loop import run_part
-from cobaltpond.scenario.runner import DayRun
-from cobaltpond.scenario.time_limits import DayFailed
+from cobaltpond.audit.check import check_rules
+from cobaltpond.loop import run_component
+from cobaltpond.scenario.runner import ScenarioRun
+from cobaltpond.scenario.time_limits import ScenarioError
 from cobaltpond.sim.faults import Faults
 from cobaltpond.sim.machine import Machine
-from cobaltpond.sim.scenarios import DISK, draw, read_scenario
-from cobaltpond.sim.wire_observer import Truth
-from cobaltpond.sim.world import Stuck
-from cobaltpond.wal import Broken
+from cobaltpond.sim.scenarios import DISK, draw_scenario, read_fault_scenario
+from cobaltpond.sim.wire_observer import WireObserver
+from cobaltpond.sim.world import SimulationStuckError
+from cobaltpond.wal import JournalError
 
 FOLDER = "/day"
 OVER = 150_000_000  # beyond its length a day must end within this
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Verdict:
+class ScenarioVerdict:
     """What became of a scenario. `found`: every breach, as text; empty: none. `service` by benefit."""
 
     seed: object
@@ -40,7 +40,7 @@
     lines: list | None = None
 
 
-class Simulated:
+class SimulatedScenario:
     """A machine with one scenario on it."""
 
     def __init__(self, plan: dict, keep_lines=False, decisions=None, watch=None):
@@ -49,7 +49,7 @@
         world.watch = watch
         self.machine.decisions = decisions
         disks = any(row["kind"] in DISK for row in plan["fault"])
-        self.machine.expected = (DayFailed, Broken, OSError) if disks else (DayFailed,)
+        self.machine.expected = (ScenarioError, JournalError, OSError) if disks else (ScenarioError,)
         for n, gateway in enumerate(plan["gateways"]):
             self.machine.network.zones[f"gateway-{n}"] = gateway["zone"]
         for place in plan["places"]:
@@ -58,22 +58,22 @@
         self.said = []
 
     def make(self, loop):
-        self.day = DayRun(loop, self.plan, FOLDER, self.said.append)
+        self.day = ScenarioRun(loop, self.plan, FOLDER, self.said.append)
         self.day.python = "python3"  # the same bytes wherever this is played
-        self.faults = Faults(self.machine, self.day, self.plan, self.meet)
-        self.truth = Truth(self.world, self.faults.heard)
-        self.machine.network.sniff = self.truth.sniff
+        self.faults = Faults(self.machine, self.day, self.plan, self.record_coverage)
+        self.wire_observer = WireObserver(self.world, self.faults.on_wire_event)
+        self.machine.network.sniff = self.wire_observer.sniff
         script = self.day.script
 
         def begun(begin):
             self.begin = begin
-            self.faults.begin(begin)
+            self.faults.start(begin)
             return script(begin)
 
         self.day.script = begun
         return self.day
 
-    def meet(self, kind, part) -> None:
+    def record_coverage(self, kind, part) -> None:
         """Which states a fault has met: hits of the gateways, the release, the parts."""
         for process in self.world.alive():
             if process.main is None or not process.name.startswith("gateway-"):
@@ -89,25 +89,25 @@
             for instance in getattr(getattr(decisions, "fleet", None), "by_id", {}).values():
                 cold = "cold" if instance.warmth(process.kernel.now()) < 1 else "warm"
                 self.count(kind, f"instance {instance.state} {cold}")
-            heard = gateway.news.last if gateway is not None else None
+            heard = gateway.desk_client.last if gateway is not None else None
             if heard:
                 self.count(kind, f"release {heard[2]}")
 
     def count(self, kind, state) -> None:
         self.met[kind, state] = self.met.get((kind, state), 0) + 1
 
-    def run(self) -> Verdict:
+    def run(self) -> ScenarioVerdict:
         world, process, found = self.world, self.kernel.process, []
-        run_part(self.kernel, self.make, process.log, "day")
+        run_component(self.kernel, self.make, process.log, "day")
         try:
             world.run(lambda: process.code is not None, world.begin + self.plan["length"] + OVER)
-        except Stuck as trouble:
+        except SimulationStuckError as trouble:
             found.append(f"liveness: {trouble}")
         finally:
             # what is left of them goes now, not in the midst of another run
             for left in world.alive():
                 left.exit(-9)
-        verdict = Verdict(
+        verdict = ScenarioVerdict(
             self.plan["seed"],
             found,
             world.digest.hexdigest(),
@@ -124,9 +124,9 @@
             self.judge(verdict, process.result)
         return verdict
 
-    def judge(self, verdict: Verdict, result: dict) -> None:
-        yard, crowd = self.truth.corrected(result["yard"]), result["crowd"]
-        rules = check_all(crowd, yard, self.day.acts, self.sheet_map(), EPS)
+    def judge(self, verdict: ScenarioVerdict, result: dict) -> None:
+        yard, crowd = self.wire_observer.corrected(result["yard"]), result["crowd"]
+        rules = check_rules(crowd, yard, self.day.acts, self.rule_settings(), EPS)
         verdict.checked = sum(rules.checked.values())
         verdict.found += [f"{rule}: {text}" for rule, rows in rules.broken.items() for text in rows]
         answers = [e for e in crowd if e["kind"] == "answer"]
@@ -219,7 +219,7 @@
         """What the desk said to gateways, over all its starts: one state at each mark, and no build that went
         back is on trial or released at a later one."""
         states, gone = {}, {}
-        for _, number, news in self.truth.news:
+        for _, number, news in self.wire_observer.news:
             if "mark" in news:
                 mark, state = tuple(news["mark"]), (news["build"], news["stage"], news["phase"])
                 if states.setdefault(mark, state) != state:
@@ -242,14 +242,14 @@
             self.faults.over_at,
             *(self.begin + t["at"] + t["len"] for t in self.plan["troubles"]),
             *(e["at"] + e["cold_time"] for e in yard if e["kind"] == "up" and not e["warm"]),
-            *(at for at, _, news in self.truth.news if news["age_us"] < 100_000),
+            *(at for at, _, news in self.wire_observer.news if news["age_us"] < 100_000),
         ]
         return max(ends)
 
-    def sheet_map(self) -> dict:
-        sheet = self.day.sheet
+    def rule_settings(self) -> dict:
+        sheet = self.day.settings
         return {
-            **sheet.runsheet(0),
+            **sheet.policy_settings(0),
             "rules": {
                 "tip_time": sheet.rules.tip_time,
                 "overload_factor": sheet.rules.overload_factor,
@@ -258,10 +258,10 @@
         }
 
 
-def run_text(text: str, path: str = "scenario", seed=None, **more) -> Verdict:
-    return Simulated(read_scenario(path, text, seed), **more).run()
+def run_text(text: str, path: str = "scenario", seed=None, **more) -> ScenarioVerdict:
+    return SimulatedScenario(read_fault_scenario(path, text, seed), **more).run()
 
 
-def run_seed(seed: int, size: str = "small", lean: dict | None = None, **more) -> Verdict:
+def run_seed(seed: int, size: str = "small", lean: dict | None = None, **more) -> ScenarioVerdict:
     """Draws, plays and judges a scenario."""
-    return run_text(draw(seed, size, lean), f"seed {seed}", **more)
+    return run_text(draw_scenario(seed, size, lean), f"seed {seed}", **more)
--- a/cobaltpond/sim/scenarios.py
+++ b/cobaltpond/sim/scenarios.py
@@ -5,11 +5,11 @@
 
 from msgspec import Meta
 
-from cobaltpond.loop.random_source import seeded
-from cobaltpond.scenario.plan import read_day
-from cobaltpond.scenario.settings_text import call
+from cobaltpond.loop.random_source import seeded_random
+from cobaltpond.scenario.plan import read_plan
+from cobaltpond.scenario.settings_text import starlark_call
 from cobaltpond.settings import sections as p
-from cobaltpond.settings.reader import MANY
+from cobaltpond.settings.reader import ANY_NUMBER
 
 NET = ("cut", "reset", "refuse", "silent", "slow", "datagrams")
 PROCESS = ("kill", "restart", "stall", "drift", "handles")
@@ -20,15 +20,15 @@
 AIMS = ("", "drain", "window", "vote", "stage", "back")
 
 
-class Fault(p.Part, kw_only=True):
+class Fault(p.Section, kw_only=True):
     """`on` and `to`: parts of the day (gateway-0, desk, yard, agent-place-00, solo-place-00). With `aim` it
     strikes `offset` microseconds from the first such moment of the gateway `by` (else `on`) after `at`: the
     end of a drain's grace, the end of a tagged hit's repeat window, the end of a vote's wait, the turn in
     which it hears of another stage, or that a build goes back."""
 
     kind: Literal[*FAULTS, "one_way", *STATE]
-    at: p.Span
-    length: p.Span = 1_000_000
+    at: p.Duration
+    length: p.Duration = 1_000_000
     on: p.Name
     to: str = ""
     size: Annotated[float, Meta(ge=0)] = 1.0
@@ -36,7 +36,7 @@
     by: str = ""
     offset: int = 0
 
-    def wrong(self, sheet):
+    def validation_error(self, sheet):
         if self.kind in ("cut", "reset", "slow", "datagrams", "one_way") and not self.to:
             return f"{self.kind} needs `to`: a link has two ends"
         if self.aim and not (self.by or self.on).startswith("gateway-"):
@@ -45,7 +45,7 @@
             return "only gateways are restarted in order"
 
 
-MORE = {"fault": (Fault, MANY)}
+FAULT_CALLS = {"fault": (Fault, ANY_NUMBER)}
 SIZES = {
     # length s, hits a second, gateways, instances
     "small": (18, 24.0, 2, 6),
@@ -56,20 +56,20 @@
 }
 
 
-def read_scenario(path: str, text: str, seed: int | None = None) -> dict:
-    return read_day(path, text, seed, MORE)
+def read_fault_scenario(path: str, text: str, seed: int | None = None) -> dict:
+    return read_plan(path, text, seed, FAULT_CALLS)
 
 
-def draw(seed: int, size: str = "small", lean: dict | None = None) -> str:
+def draw_scenario(seed: int, size: str = "small", lean: dict | None = None) -> str:
     """The text of a scenario. `lean`: kind of fault -> weight; the seed and it decide everything."""
     length, rate, gateways, instances = SIZES[size]
-    chance, lines = seeded(f"scenario/{seed}"), [f"# drawn from seed {seed}, size {size}"]
+    chance, lines = seeded_random(f"scenario/{seed}"), [f"# drawn from seed {seed}, size {size}"]
     agents, quiet = chance.random() < 0.3 and size != "large", 6_000_000
     last = length * 1_000_000 - quiet  # the end stays quiet: it must have come back by then
     zones = ["north", "south"] if chance.random() < 0.8 else ["north", "south", "east"]
 
     def say(name, /, **fields):
-        lines.append(call(name, fields))
+        lines.append(starlark_call(name, fields))
 
     say("day", length=length * 1_000_000, rate=rate * chance.uniform(0.8, 1.2), seed=seed)
     say(
--- a/cobaltpond/sim/transcript.py
+++ b/cobaltpond/sim/transcript.py
@@ -19,17 +19,17 @@
 KINDS = {
     wire.PING: "ping",
     wire.ACK: "ack",
-    wire.ASK: "ask for",
+    wire.INDIRECT_PING: "ask for",
     wire.NACK: "nack",
     wire.LEAVE: "leave",
     wire.TRIAL_ASK: "what of the trial?",
-    wire.TRIAL_TOLD: "of the trial",
+    wire.TRIAL_REPLY: "of the trial",
     wire.WARM_ASK: "what of instances?",
-    wire.WARM_TOLD: "of instances",
+    wire.WARM_REPLY: "of instances",
     wire.LEASE_ASK: "lend me",
-    wire.LEASE_TOLD: "lent",
+    wire.LEASE_REPLY: "lent",
 }
-LIMITS = http1.Limits(head=64 << 10, body=1 << 30)
+LIMITS = http1.MessageLimits(head=64 << 10, body=1 << 30)
 SHOWN = (
     "cobaltpond-hit",
     "cobaltpond-forward",
@@ -42,7 +42,7 @@
 )
 
 
-class Half:
+class MessageDecoder:
     """One direction of a stream: bytes to messages."""
 
     def __init__(self):
@@ -68,7 +68,7 @@
                     self.body += value
                 elif not self.streamed(self.head):
                     out.append(self.first(self.head) + (f" {text(self.body)}" if self.body else ""))
-        except http1.BadMessage as trouble:
+        except http1.HttpMessageError as trouble:
             out.append(f"no sense: {trouble}")
         return out
 
@@ -106,7 +106,7 @@
     if magic != b"cm":
         return f"sample ({len(body)} bytes)"
     try:
-        kind, sequence, _, fields = wire.opened(sender, receiver, body)
+        kind, sequence, _, fields = wire.decode_datagram(sender, receiver, body)
         facts, rows = wire.facts_of(fields), wire.rows_of(fields)
         flags = [
             name
@@ -141,7 +141,7 @@
             for place, digest, amount, _, _ in wire.leases_of(fields)
         ]
         return "; ".join(parts)
-    except wire.Odd as why:
+    except wire.DatagramError as why:
         return f"odd: {why}"
 
 
@@ -151,15 +151,15 @@
     def __init__(self, machine, leave_out=lambda sender, receiver, what: False):
         self.world, self.lines, self.halves, self.leave_out = machine.world, [], {}, leave_out
         self.polled, self.answers = {}, {}  # (who asks, whom) -> call; the last answer to it
-        machine.network.tap = self.heard
+        machine.network.tap = self.on_data
 
-    def heard(self, how: str, sender: str, receiver: str, data: bytes, handle) -> None:
+    def on_data(self, how: str, sender: str, receiver: str, data: bytes, handle) -> None:
         if sender.partition(".")[0] in LOOKS or receiver.partition(".")[0] in LOOKS:
             return
         if how == "datagram":
             said = [datagram(int(sender.rpartition("-")[2]), int(receiver.rpartition("-")[2]), data)]
         elif how == "data":
-            said = self.halves.setdefault((handle, sender), Half()).feed(data)
+            said = self.halves.setdefault((handle, sender), MessageDecoder()).feed(data)
         elif how == "reset":
             said = ["(reset)"]
         else:
--- a/cobaltpond/sim/wire_observer.py
+++ b/cobaltpond/sim/wire_observer.py
@@ -16,13 +16,13 @@
 LINE = re.compile(rb'^\{.*"(?:revision|news)":.*\}$')
 
 
-class Truth:
+class WireObserver:
     """`sent`: (hit, forward) -> when its first byte went out. `lists`: (gateway, revision, base) -> times at
     which it read that. `news`: (at, gateway, news). `heard`: called with (what, gateway, at, value) as it
     happens."""
 
     def __init__(self, world, heard):
-        self.world, self.heard, self.tails = world, heard, {}
+        self.world, self.on_event, self.tails = world, heard, {}
         self.sent, self.lists, self.news = {}, {}, []
 
     def sniff(self, what: str, stream: Stream, data: bytes) -> None:
@@ -36,10 +36,10 @@
                 forward = NUMBER.search(data)
                 mark = hit[1].decode(), int(forward[1]) if forward else 0
                 self.sent.setdefault(mark, self.world.time)
-                self.heard("forward", number, self.world.time, data)
+                self.on_event("forward", number, self.world.time, data)
             elif VOTE.match(data):
-                self.heard("vote", number, self.world.time, data)
-        elif stream.there == "desk" or stream.there == "yard":
+                self.on_event("vote", number, self.world.time, data)
+        elif stream.peer_name == "desk" or stream.peer_name == "yard":
             self.read(number, stream, data)
 
     def read(self, number, stream, data) -> None:
@@ -53,10 +53,10 @@
             told, now = json.loads(line), self.world.time
             if "revision" in told:
                 self.lists.setdefault((number, told["revision"], told["base"]), []).append(now)
-                self.heard("list", number, now, told)
+                self.on_event("list", number, now, told)
             elif isinstance(told.get("news"), dict):
                 self.news.append((now, number, told["news"]))
-                self.heard("news", number, now, told["news"])
+                self.on_event("news", number, now, told["news"])
 
     # --- in place of the records' own times -----------------------------------------------------------------
 
--- a/cobaltpond/sim/world.py
+++ b/cobaltpond/sim/world.py
@@ -10,13 +10,13 @@
 import heapq
 from itertools import count
 
-from cobaltpond.loop.random_source import seeded
+from cobaltpond.loop.random_source import seeded_random
 
 TURN_LEAST, TURN_MOST = 20, 120  # microseconds of work that a turn of a loop takes
 CLOSING_TURNS = 1000
 
 
-class Stuck(Exception):
+class SimulationStuckError(Exception):
     """The world cannot go on: no event is due, or too many for one moment."""
 
 
@@ -32,7 +32,7 @@
         self.troubles = []  # what no part may do: an exception nobody caught, a leak
 
     def chance(self, use: str):
-        return seeded(f"{self.seed}/{use}")
+        return seeded_random(f"{self.seed}/{use}")
 
     def at(self, when: int, call) -> None:
         heapq.heappush(self.heap, (max(when, self.time), next(self.number), call))
@@ -40,7 +40,7 @@
     def after(self, delay: int, call) -> None:
         self.at(self.time + delay, call)
 
-    def note(self, *what) -> None:
+    def record_event(self, *what) -> None:
         """One event for the digest, and for whoever watches."""
         self.events += 1
         self.digest.update(f"{self.time}{what}".encode())
@@ -49,7 +49,7 @@
 
     def step(self) -> None:
         if not self.heap:
-            raise Stuck("nothing is due")
+            raise SimulationStuckError("nothing is due")
         when, _, call = heapq.heappop(self.heap)
         self.time = when
         call()
@@ -58,7 +58,7 @@
         """Steps until `over()` or the time. Raises Stuck."""
         while not over():
             if self.time > until:
-                raise Stuck(f"not over after {until - self.begin} us")
+                raise SimulationStuckError(f"not over after {until - self.begin} us")
             self.step()
 
     def alive(self) -> list:
@@ -83,16 +83,16 @@
     def drive(self, loop, main) -> None:
         self.loop, self.main = loop, main
         main.watched = True
-        self.poke()
+        self.schedule_turn()
 
     def wanted(self) -> int | None:
         """When its loop has something to do, on the world's clock."""
-        if self.kernel.ready or self.kernel.signalled or self.closing:
+        if self.kernel.ready or self.kernel.pending_signals or self.closing:
             return self.world.time
         at = self.loop.next_turn()
         return None if at is None else self.kernel.world_time(at)
 
-    def poke(self) -> None:
+    def schedule_turn(self) -> None:
         """Something about it may have changed: see that its next turn comes in time."""
         if self.code is not None or self.loop is None or self.frozen:
             return
@@ -128,12 +128,12 @@
                     f"{self.name}: tasks do not end: {[t.name for t in self.loop.tasks][:5]}"
                 )
         if self.closing and (not self.loop.tasks or self.closing > CLOSING_TURNS):
-            if self.main.trouble is not None:
-                self.fail(self.main.trouble)
+            if self.main.error is not None:
+                self.fail(self.main.error)
             else:
                 self.exit(0)
             return
-        self.poke()
+        self.schedule_turn()
 
     def fail(self, trouble: Exception) -> None:
         """A traceback and exit code 1."""
@@ -148,8 +148,8 @@
         if self.code is not None:
             return
         self.code = code
-        self.world.note("exit", self.name, code)
-        self.kernel.end(killed=code < 0)
+        self.world.record_event("exit", self.name, code)
+        self.kernel.process_ended(killed=code < 0)
         if self.loop is not None:
             for task in list(self.loop.tasks):
                 try:
@@ -161,7 +161,7 @@
     def signal(self, name: str) -> None:
         if self.code is not None:
             return
-        self.world.note("signal", self.name, name)
+        self.world.record_event("signal", self.name, name)
         if name == "KILL":
             self.exit(-9)
         elif name == "STOP":
@@ -169,9 +169,9 @@
         elif name == "CONT":
             if self.frozen:
                 self.frozen, self.due = False, None
-                self.poke()
-        elif self.kernel.signal_call is None:
+                self.schedule_turn()
+        elif self.kernel.signal_handler is None:
             self.exit({"TERM": -15, "INT": -2, "HUP": -1}[name])
         else:
-            self.kernel.signalled.append(name)
-            self.poke()
+            self.kernel.pending_signals.append(name)
+            self.schedule_turn()
--- a/cobaltpond/standins/build_server.py
+++ b/cobaltpond/standins/build_server.py
@@ -1,8 +1,15 @@
 """A build server of chunks and manifests, with ranges, that can be told to misbehave; and a maker of
 builds."""
 
-from cobaltpond.builds.manifest import Earlier, File, Manifest, cut, digest, write_manifest
-from cobaltpond.loop import PeerLost, Sleep, serve
+from cobaltpond.builds.manifest import (
+    BuildFile,
+    EarlierBuild,
+    Manifest,
+    content_digest,
+    split_chunks,
+    write_manifest,
+)
+from cobaltpond.loop import ConnectionLostError, Sleep, serve
 from cobaltpond.wire import http1
 
 
@@ -10,10 +17,10 @@
     """`files`: path -> bytes. Gives (signed manifest, digest -> chunk)."""
     rows, chunks = [], {}
     for path, data in files.items():
-        pieces = cut(data, chunk)
-        chunks.update((digest(piece), piece) for piece in pieces)
+        pieces = split_chunks(data, chunk)
+        chunks.update((content_digest(piece), piece) for piece in pieces)
         mode = 0o755 if path == next(iter(files)) else 0o644
-        rows.append(File(path, len(data), [digest(piece) for piece in pieces], mode))
+        rows.append(BuildFile(path, len(data), [content_digest(piece) for piece in pieces], mode))
     manifest = Manifest(
         build,
         made,
@@ -22,7 +29,7 @@
         rows,
         entry or [next(iter(files))],
         health,
-        Earlier(*earlier) if earlier else None,
+        EarlierBuild(*earlier) if earlier else None,
     )
     return write_manifest(manifest, signers), chunks
 
@@ -32,7 +39,7 @@
     lie (a length that is not so), slow, redirect, junk, status, none."""
 
     def __init__(self, loop, listener):
-        self.loop, self.manifests, self.chunks, self.ways = loop, {}, {}, {}
+        self.loop, self.manifests, self.chunks, self.faults = loop, {}, {}, {}
         self.sent, self.asked, self.listener = 0, [], listener
         self.address = listener.address()
         self.task = loop.spawn(serve(loop, listener, self.serve, 64, "builds"), "builds")
@@ -41,9 +48,9 @@
         self.manifests[build] = signed
         self.chunks.update(chunks)
 
-    def way(self, path):
+    def next_fault(self, path):
         for name in (path, "*"):
-            rows = self.ways.get(name)
+            rows = self.faults.get(name)
             if rows:
                 what, left = rows[0]
                 if left == 1:
@@ -58,7 +65,7 @@
         return self.chunks.get(name) if kind == "chunks" else self.manifests.get(int(name))
 
     def serve(self, connection):
-        parser = http1.RequestParser(http1.Limits())
+        parser = http1.RequestParser(http1.MessageLimits())
         while True:
             data = yield from connection.read()
             if not data:
@@ -71,7 +78,7 @@
     def answer(self, connection, head):
         path = head.target.decode()
         self.asked.append(path)
-        body, way = self.body(path), self.way(path)
+        body, way = self.body(path), self.next_fault(path)
         what, _, size = (way or "").partition(" ")
         if body is None or what == "status":
             yield from connection.write(http1.response(404 if body is None else 500, [], b"", False))
@@ -96,11 +103,11 @@
             part = part[: int(size)]
         self.sent += len(part)
         try:
-            yield from connection.write(http1.bare(206 if start else 200, fields, False))
+            yield from connection.write(http1.response_head(206 if start else 200, fields, False))
             if what == "slow":
                 for byte in part:
                     yield Sleep(20_000)
                     yield from connection.write(bytes([byte]))
             yield from connection.write(part)
-        except PeerLost:
+        except ConnectionLostError:
             pass
--- a/cobaltpond/standins/clients.py
+++ b/cobaltpond/standins/clients.py
@@ -9,32 +9,32 @@
 from collections import deque
 
 from cobaltpond.loop import (
+    ConnectionLostError,
     Deadline,
-    HandlesUsedUp,
-    PeerLost,
-    Refused,
+    DeadlineExceededError,
+    HandlesExhaustedError,
+    RefusedError,
     Sleep,
-    TimedOut,
-    Unreachable,
+    UnreachableError,
     dial,
-    run_part,
+    run_component,
 )
-from cobaltpond.loop.random_source import seeded
-from cobaltpond.rpc import FAILED, call
-from cobaltpond.standins.record import Record
+from cobaltpond.loop.random_source import seeded_random
+from cobaltpond.rpc import CALL_ERRORS, call
+from cobaltpond.standins.record import RecordWriter
 from cobaltpond.wire import http1
 
-LIMITS = http1.Limits(body=64 << 20)
+LIMITS = http1.MessageLimits(body=64 << 20)
 LEAST_LEFT = 200_000  # a try with less time than this is not begun
 
 
-class Crowd:
+class ClientLoad:
     """`plan`: seed, number (of this process), rate, length, gateways, groups, customers, keys, clients,
     troubles, begin (when the day began, on the common clock)."""
 
     def __init__(self, loop, plan, path):
-        self.loop, self.plan, self.record = loop, plan, Record(loop, path)
-        self.chance = seeded(plan["seed"] * 1000 + plan["number"])
+        self.loop, self.plan, self.record = loop, plan, RecordWriter(loop, path)
+        self.chance = seeded_random(plan["seed"] * 1000 + plan["number"])
         self.idle, self.serial, self.open, self.stop_asked = {}, 0, 0, False
         self.weights = [g["weight"] for g in plan["gateways"]]
         keys = plan.get("keys") or 0
@@ -77,13 +77,13 @@
                 yield Sleep(wait)
             self.late = max(self.late, self.loop.kernel.now() - plan["begin"] - at)
             self.open += 1
-            self.loop.spawn(self.hit(customers[customer]["name"], at), "hit")
+            self.loop.spawn(self.run_hit(customers[customer]["name"], at), "hit")
         end = self.loop.now() + 15_000_000
         while self.open and self.loop.now() < end:
             yield Sleep(20_000)
         self.record("end", open=self.open, late=self.late)
 
-    def hit(self, customer, at):
+    def run_hit(self, customer, at):
         try:
             yield from self.tries(customer, at)
         finally:
@@ -151,7 +151,7 @@
             give_up = None
             if self.active("give_up") and chance.random() < max(t["size"] for t in self.active("give_up")):
                 give_up = int(this * chance.uniform(0.1, 0.6))
-            outcome, advice = yield from self.once(op, number, group, home, fields, this, give_up)
+            outcome, advice = yield from self.try_once(op, number, group, home, fields, this, give_up)
             if outcome in ("delivered", "gave up"):
                 break
             again = (
@@ -168,7 +168,7 @@
                 home = (home + 1) % len(self.weights)  # its gateway is gone: the next one
             yield Sleep(int(wait * chance.uniform(0.8, 1.2)))
 
-    def once(self, op, number, group, home, fields, left, give_up):
+    def try_once(self, op, number, group, home, fields, left, give_up):
         """One try. (delivered | bounced | errored | late | lost | not sent | gave up, advice in
         microseconds)."""
         gateway = self.plan["gateways"][home]
@@ -217,11 +217,11 @@
                 if head.keep_alive:
                     self.idle.setdefault(home, deque()).append(connection)
                     connection = None
-        except TimedOut:
+        except DeadlineExceededError:
             seen = "gave up" if give_up else "late" if wrote else "not sent"
-        except (Refused, Unreachable, HandlesUsedUp):
+        except (RefusedError, UnreachableError, HandlesExhaustedError):
             seen = "not sent"
-        except (PeerLost, http1.BadMessage):
+        except (ConnectionLostError, http1.HttpMessageError):
             seen = "lost" if wrote else "not sent"
         finally:
             if connection is not None:
@@ -241,7 +241,7 @@
                     return connection, True
                 if stray:
                     self.record("stray", gateway=home, bytes=len(stray))
-            except PeerLost:
+            except ConnectionLostError:
                 pass
             connection.close()
         host, port = gateway["door"].split(":")
@@ -266,12 +266,12 @@
                     json.dumps(body).encode(),
                     500_000,
                 )
-        except (*FAILED, TimedOut):
+        except (*CALL_ERRORS, DeadlineExceededError):
             pass
 
     def stop(self, name=""):
         self.stop_asked = True
 
 
-def run_crowd(kernel, plan, path, log):
-    run_part(kernel, lambda loop: Crowd(loop, plan, path), log, "crowd")
+def run_clients(kernel, plan, path, log):
+    run_component(kernel, lambda loop: ClientLoad(loop, plan, path), log, "crowd")
--- a/cobaltpond/standins/host_cluster.py
+++ b/cobaltpond/standins/host_cluster.py
@@ -7,12 +7,12 @@
 
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from cobaltpond.builds.manifest import Key, Ring
-from cobaltpond.loop import Deadline, Sleep, TimedOut, free_run
-from cobaltpond.loop.random_source import seeded
-from cobaltpond.rpc import FAILED, call, json_answer, service
+from cobaltpond.builds.manifest import KeyRing, SigningKey
+from cobaltpond.loop import Deadline, DeadlineExceededError, Sleep, reserve_ports
+from cobaltpond.loop.random_source import seeded_random
+from cobaltpond.rpc import CALL_ERRORS, call, json_response, serve_rpc
 from cobaltpond.standins.build_server import BuildServer, make_build
-from cobaltpond.standins.instance_list import Listing
+from cobaltpond.standins.instance_list import InstanceListServer
 
 SECOND = 1_000_000
 # an instance that answers its health check; how it misbehaves is a word in a file beside it
@@ -56,7 +56,7 @@
 """
 
 
-class Town:
+class HostCluster:
     """`record`: what happened at the registry: (time, instance, build, state, start)."""
 
     def __init__(self, loop, folder, hosts=6, layout="beside", servers=2, gateways=1):
@@ -70,17 +70,17 @@
         kernel.make_folder(self.folder)
         self.key = Ed25519PrivateKey.from_private_bytes(b"k" * 32)
         self.servers = [BuildServer(loop, kernel.listen(("127.0.0.1", 0), 64)) for _ in range(servers)]
-        self.listed, self.record = {}, []
-        self.lock, base = free_run(kernel, 8 * hosts + 1 + gateways)
+        self.listed, self.registry_log = {}, []
+        self.lock, base = reserve_ports(kernel, 8 * hosts + 1 + gateways)
         self.ports = list(range(base, base + 8 * hosts + 1 + gateways))
-        self.list = Listing(loop, lambda kind, **more: None, seeded(1), 200_000, 50_000)
-        loop.spawn(self.list.push(), "list-push")
+        self.list = InstanceListServer(loop, lambda kind, **more: None, seeded_random(1), 200_000, 50_000)
+        loop.spawn(self.list.push_updates(), "list-push")
         listener = kernel.listen(("127.0.0.1", 0), 256)
-        loop.spawn(service(loop, listener, self.registry, "registry"), "registry")
+        loop.spawn(serve_rpc(loop, listener, self.registry, "registry"), "registry")
         self.desk = ("127.0.0.1", self.ports[-1])
         self.doors = [("127.0.0.1", self.ports[-2 - n]) for n in range(gateways)]
         public = base64.b64encode(self.key.public_key().public_bytes_raw()).decode()
-        ring = Ring(1, [Key("town", public, 0, 1 << 40)])
+        ring = KeyRing(1, [SigningKey("town", public, 0, 1 << 40)])
         import msgspec
 
         kernel.replace_file(f"{self.folder}/keys.json", msgspec.json.encode(ring), sync=False)
@@ -99,28 +99,28 @@
             )
         for n, (_, port) in enumerate(self.doors):
             text += f'gateway(number = {n}, zone = "a", door = "127.0.0.1:{port}")\n'
-        self.sheet = f"{self.folder}/town.star"
-        kernel.replace_file(self.sheet, text.encode(), sync=False)
+        self.settings_path = f"{self.folder}/town.star"
+        kernel.replace_file(self.settings_path, text.encode(), sync=False)
 
     def registry(self, request):
         if request.method == "GET":
             return self.list.handle(request)
-        row = request.json()
+        row = request.json_object()
         shown = {k: v for k, v in row.items() if k != "age_us"}
-        self.list.change([{**shown, "up_at": self.loop.now() - row["age_us"]}])
-        self.record.append((self.loop.now(), row["id"], row["build"], row["state"], row["start"]))
+        self.list.publish([{**shown, "up_at": self.loop.now() - row["age_us"]}])
+        self.registry_log.append((self.loop.now(), row["id"], row["build"], row["state"], row["start"]))
         if row["state"] == "gone":
             if self.listed.get(row["id"], {}).get("start") == row["start"]:
                 del self.listed[row["id"]]
         else:
             self.listed[row["id"]] = row
-        return json_answer(200, {})
+        return json_response(200, {})
 
-    def add_build(self, number, flaw="good", size=200_000, key=None, salt=b""):
+    def publish_build(self, number, flaw="good", size=200_000, key=None, salt=b""):
         """`key`: another one than the town's signs it, under the same id or, where it is a pair, its own."""
         body = (salt or b"%d" % number) * (size // max(1, len(salt or b"%d" % number)))
         id, key = key if isinstance(key, tuple) else ("town", key or self.key)
-        now = self.loop.kernel.wall() // SECOND
+        now = self.loop.kernel.wall_clock() // SECOND
         signed, chunks = make_build(
             number,
             {"serve": (SERVE % sys.executable).encode(), "flaw": flaw.encode(), "data": body},
@@ -135,14 +135,16 @@
         return signed, chunks
 
     def start(self, name):
-        words = ["desk", self.sheet] if name == "desk" else ["agent", self.sheet, "--place", name]
+        words = (
+            ["desk", self.settings_path] if name == "desk" else ["agent", self.settings_path, "--place", name]
+        )
         if name.startswith("gateway-"):
-            words = ["gateway", self.sheet, "--number", name.partition("-")[2]]
+            words = ["gateway", self.settings_path, "--number", name.partition("-")[2]]
         self.children[name] = self.loop.kernel.spawn(
             [sys.executable, "-m", "cobaltpond", *words], f"{self.folder}/{name}.log"
         )
 
-    def kill(self, name):
+    def kill_process(self, name):
         self.children[name].signal("KILL")
         self.children[name].process.wait()
 
@@ -150,28 +152,30 @@
         for name in ("desk", *self.places):
             self.start(name)
 
-    def ask(self, method, target, body=None):
+    def call_desk(self, method, target, body=None):
         data = body if isinstance(body, bytes) else json.dumps(body).encode() if body is not None else b""
         with Deadline(self.loop, SECOND):
             status, text = yield from call(self.loop, self.desk, method, target, data, SECOND)
         return status, json.loads(text)
 
-    def insist(self, method, target, body=None, bound=15 * SECOND, good=lambda status, answer: status < 300):
+    def call_until_answered(
+        self, method, target, body=None, bound=15 * SECOND, good=lambda status, answer: status < 300
+    ):
         """Asks until it is answered well; for a desk that may be down."""
         end, last = self.loop.now() + bound, None
         while self.loop.now() < end:
             try:
-                last = yield from self.ask(method, target, body)
+                last = yield from self.call_desk(method, target, body)
                 if good(*last):
                     return last[1]
-            except (*FAILED, TimedOut, ValueError) as trouble:
+            except (*CALL_ERRORS, DeadlineExceededError, ValueError) as trouble:
                 last = trouble
             yield Sleep(20_000)
         raise TimeoutError(f"{method} {target}: {last}")
 
-    def vote(self, build, stage, verdict):
+    def cast_vote(self, build, stage, verdict):
         return (
-            yield from self.insist(
+            yield from self.call_until_answered(
                 "POST",
                 "/v1/votes",
                 {"gateway": 0, "build": build, "stage": stage, "verdict": verdict},
@@ -179,27 +183,29 @@
             )
         )
 
-    def until(self, what, bound=20 * SECOND):
+    def wait_until(self, what, bound=20 * SECOND):
         end = self.loop.now() + bound
         while self.loop.now() < end:
             if what():
                 return self.loop.now()
             yield Sleep(10_000)
-        raise TimeoutError(f"not within {bound} us: running {self.running()}, listed {self.up()}")
+        raise TimeoutError(
+            f"not within {bound} us: running {self.running_builds()}, listed {self.listed_up()}"
+        )
 
-    def push(self, build, bound=20 * SECOND):
+    def promote(self, build, bound=20 * SECOND):
         """Votes it on, stage by stage, until it is released."""
         end = self.loop.now() + bound
         while self.loop.now() < end:
-            status = yield from self.insist("GET", "/v1/status")
+            status = yield from self.call_until_answered("GET", "/v1/status")
             news = status["news"]
             if (news["build"], news["phase"]) == (build, "released"):
                 return
-            yield from self.vote(build, news["stage"], "on")
+            yield from self.cast_vote(build, news["stage"], "on")
             yield Sleep(30_000)
         raise TimeoutError(f"build {build} was not released: {status}")
 
-    def up(self):
+    def listed_up(self):
         """What the registry shows: (place, build) of all that are up."""
         return sorted(
             (row["id"].partition(".")[0], row["build"])
@@ -207,7 +213,7 @@
             if row["state"] == "up"
         )
 
-    def running(self):
+    def running_builds(self):
         """What runs in truth: (place, build) of every process that was started out of a host's store."""
         found = []
         for _, words in self.loop.kernel.command_lines():
@@ -217,10 +223,10 @@
                     found.append((parts[0], int(parts[3])))
         return sorted(found)
 
-    def exactly(self, build):
+    def runs_only(self, build):
         """Is this build, and nothing else, running and listed in every place?"""
         whole = sorted((place, build) for place in self.places)
-        return self.running() == whole and self.up() == whole
+        return self.running_builds() == whole and self.listed_up() == whole
 
     def close(self):
         self.lock.close()
@@ -228,4 +234,4 @@
             child.signal("KILL")
         for pid, words in self.loop.kernel.command_lines():
             if any(word.startswith(f"{self.folder}/") for word in words):
-                self.loop.kernel.kill(pid)
+                self.loop.kernel.kill_process(pid)
--- a/cobaltpond/standins/instance.py
+++ b/cobaltpond/standins/instance.py
@@ -1,14 +1,14 @@
 """A stand-in instance on its socket: HTTP/1.1, load reports, drops of repeats, and ways to misbehave."""
 
-from cobaltpond.loop import Connection, HandlesUsedUp, PeerLost, Readable, Sleep
+from cobaltpond.loop import Connection, ConnectionLostError, HandlesExhaustedError, Readable, Sleep
 from cobaltpond.standins.instance_model import Job
 from cobaltpond.wire import http1, orca
 
-LIMITS = http1.Limits(body=64 << 20)
+LIMITS = http1.MessageLimits(body=64 << 20)
 CHEAP = 0.1  # share of its work that a known repeat costs
 
 
-class Marks:
+class IdempotencyKeys:
     """What a group of instances remembers of tagged hits: mark -> (first arrival, effect done)."""
 
     def __init__(self):
@@ -28,7 +28,7 @@
     """`yard` gives loop, record, chance, groups of marks and the troubles that go beyond one instance."""
 
     def __init__(self, yard, id, place, zone, cell, machine, listener):
-        self.yard, self.loop, self.id, self.place, self.zone, self.cell = (
+        self.owner, self.loop, self.id, self.place, self.zone, self.cell = (
             yard,
             yard.loop,
             id,
@@ -38,7 +38,7 @@
         )
         self.machine, self.listener, self.start = machine, listener, machine.started
         self.silent, self.most, self.shake, self.lie = False, 100_000, 0, 1.0
-        self.connections, self.timer, self.over = {}, None, False
+        self.connections, self.timer, self.is_ended = {}, None, False
         self.shown, self.coming, self.shown_at = {}, {}, -(1 << 60)
         self.task = self.loop.spawn(self.accept(), f"{id}-accept")
 
@@ -52,7 +52,7 @@
                     continue
                 try:
                     handle = self.listener.accept()
-                except HandlesUsedUp:
+                except HandlesExhaustedError:
                     handle = None
                     yield Sleep(50_000)
                 if handle is None:
@@ -66,15 +66,15 @@
         finally:
             self.listener.close()
 
-    def end(self):
+    def stop_process(self):
         """The process ends: every connection is reset."""
-        self.over = True
+        self.is_ended = True
         self.task.cancel()
         for connection in list(self.connections):
             connection.abort()
 
     def blocked(self, zone) -> bool:
-        return self.silent or self.yard.zone_cut(zone, self.zone)
+        return self.silent or self.owner.zone_cut(zone, self.zone)
 
     def serve(self, connection, since):
         """`since`: nothing of this connection can have come before; 0 where that is not known."""
@@ -91,7 +91,7 @@
                     since = self.loop.polled_before
                 read_at = self.loop.kernel.now()
                 if self.blocked(zone):
-                    while self.blocked(zone) and not self.over:
+                    while self.blocked(zone) and not self.is_ended:
                         yield Sleep(10_000)
                     since = 0
                     if connection.read_now() is not None:
@@ -103,7 +103,7 @@
                         head, body = value, 0
                         zone = (head.get(b"cobaltpond-from") or b"").decode().partition("/")[0]
                         if self.blocked(zone):
-                            while self.blocked(zone) and not self.over:
+                            while self.blocked(zone) and not self.is_ended:
                                 yield Sleep(10_000)
                             since = 0
                             if connection.read_now() is not None:
@@ -113,28 +113,28 @@
                     elif head.target.startswith(b"/-/"):
                         connection.write_now(http1.response(200, [self.report()], b"ok\n"))
                     else:
-                        self.take(connection, head, job, zone, since)
+                        self.start_job(connection, head, job, zone, since)
                 since = read_at
-        except (PeerLost, http1.BadMessage):
+        except (ConnectionLostError, http1.HttpMessageError):
             pass
         finally:
             if job[0] is not None:
                 self.machine.advance(self.loop.now())
             if job[0] is not None:  # its work may just have ended
                 self.machine.cancel(job[0])
-                self.yard.record("left", instance=self.id, **job[0].about | {"from": read_at})
-                self.plan()
+                self.owner.record("left", instance=self.id, **job[0].about | {"from": read_at})
+                self.schedule()
             self.connections.pop(connection, None)
             connection.close()
 
     # --- hits -----------------------------------------------------------------------------------------------
 
     def note(self, kind, job, **more):
-        self.yard.record(
+        self.owner.record(
             kind, instance=self.id, start=self.start, build=self.machine.build, **job.about, **more
         )
 
-    def take(self, connection, head, slot, zone, since):
+    def start_job(self, connection, head, slot, zone, since):
         def text(name):
             value = head.get(name)
             return value.decode("latin-1") if value is not None else None
@@ -163,21 +163,21 @@
         )
         if head.get(b"standin-bad"):
             job.bad = "bad request"
-        marks = self.yard.marks_of(self, about["group"])
-        if mark is not None and marks.repeat(now, mark, self.yard.window(about["group"])):
+        marks = self.owner.marks_of(self, about["group"])
+        if mark is not None and marks.repeat(now, mark, self.owner.window(about["group"])):
             job.work, job.bad = work * CHEAP, "repeat"
         job.done = lambda how: self.answer(connection, head, job, slot, marks, how, zone)
         accepted = self.machine.arrive(now, job)
         self.note("arrive", job, work=int(work), mark=mark, warm=round(self.machine.warmth(now), 3))
         if self.machine.fallen:
-            self.yard.fell(self)
+            self.owner.fell(self)
             return
         if not accepted:
             self.note("refused", job)
             connection.write_now(http1.response(429, [self.report(), (b"cobaltpond-not-run", b"full")], b""))
             return
         slot[0] = job
-        self.plan()
+        self.schedule()
 
     def answer(self, connection, head, job, slot, marks, how, zone):
         if slot[0] is job:
@@ -185,13 +185,13 @@
         if job.bad == "bad request" and how == "ok":
             how = "error"
         effect = job.about["type"] != "repeatable" and how != "dropped"
-        if effect and (how != "error" or self.yard.chance.random() < 0.5):
+        if effect and (how != "error" or self.owner.chance.random() < 0.5):
             if job.mark is None:
                 self.note("effect", job)
             elif job.bad != "repeat" and job.mark not in marks.done:
                 marks.done.add(job.mark)
                 self.note("effect", job)
-        self.yard.count(self.machine.build, job.group, how, self.loop.now())
+        self.owner.count(self.machine.build, job.group, how, self.loop.now())
         self.note("end", job, how=how)
         if connection.closed:
             return
@@ -210,23 +210,23 @@
             return
         try:
             sent = connection.write_now(data)
-        except PeerLost:
+        except ConnectionLostError:
             return
         if sent < len(data):
             self.loop.spawn(self.rest(connection, data[sent:]), "long-answer")
 
     def later(self, connection, data, zone):
-        while self.blocked(zone) and not self.over:
+        while self.blocked(zone) and not self.is_ended:
             yield Sleep(10_000)
         yield from self.rest(connection, data)
 
     def rest(self, connection, data):
         try:
             yield from connection.write(data)
-        except PeerLost:
+        except ConnectionLostError:
             pass
 
-    def plan(self):
+    def schedule(self):
         """One timer, for the next hit that ends."""
         if self.timer is not None:
             self.timer.cancel()
@@ -235,14 +235,14 @@
 
     def on_timer(self):
         self.timer = None
-        if not self.over:
+        if not self.is_ended:
             self.machine.advance(self.loop.now())
-            self.plan()
+            self.schedule()
 
     def report(self):
         """Refreshed now and then, a period late, a little noisy; a lying one says it has less to do than it
         has."""
-        yard = self.yard
+        yard = self.owner
         if self.loop.now() - self.shown_at > yard.report_period:
             self.shown_at = self.loop.now()
             noise = 1 + yard.chance.uniform(-0.1, 0.1)
@@ -254,4 +254,4 @@
                     if name in yard.report_names
                 },
             )
-        return orca.HEADER, orca.write(self.shown)
+        return orca.HEADER, orca.format_load_report(self.shown)
--- a/cobaltpond/standins/instance_fleet.py
+++ b/cobaltpond/standins/instance_fleet.py
@@ -2,30 +2,32 @@
 the relays to the release desk, and the troubles of a day, all in one process and told what to do over
 HTTP."""
 
-from cobaltpond.loop import Sleep, run_part
-from cobaltpond.loop.random_source import seeded
-from cobaltpond.rpc import Refusal, json_answer, service
-from cobaltpond.standins.instance import Instance, Marks
-from cobaltpond.standins.instance_list import Listing
-from cobaltpond.standins.instance_model import Flaw, Kind, Machine
-from cobaltpond.standins.record import Record
+from cobaltpond.loop import Sleep, run_component
+from cobaltpond.loop.random_source import seeded_random
+from cobaltpond.rpc import RpcError, json_response, serve_rpc
+from cobaltpond.standins.instance import IdempotencyKeys, Instance
+from cobaltpond.standins.instance_list import InstanceListServer
+from cobaltpond.standins.instance_model import BuildFlaw, InstanceModel, InstanceProfile
+from cobaltpond.standins.record import RecordWriter
 from cobaltpond.standins.relay import Relay
 
 DRAINED = 8
 
 
-class Yard:
+class InstanceFleet:
     """`plan`: a plain map (see `days.py`): seed, places [(name, zone, cell, speed)], kind, build, groups,
     rules, list, report, boot, ports, flaws {build: {how, strength, group, speed}}."""
 
     def __init__(self, loop, plan, path):
-        self.loop, self.plan, self.record = loop, plan, Record(loop, path)
-        self.chance = seeded(plan["seed"])
+        self.loop, self.plan, self.record = loop, plan, RecordWriter(loop, path)
+        self.chance = seeded_random(plan["seed"])
         self.report_period, self.report_names = plan["report"]["period"], plan["report"]["names"]
         self.places = {p["name"]: p for p in plan["places"]}
         self.instances, self.booting, self.marks, self.cuts = {}, {}, {}, set()
         self.serial, self.tallies, self.silent = {}, {}, {}
-        self.listing = Listing(loop, self.record, self.chance, plan["list"]["notice"], plan["list"]["spread"])
+        self.listing = InstanceListServer(
+            loop, self.record, self.chance, plan["list"]["notice"], plan["list"]["spread"]
+        )
         self.listing.cut = lambda number: self.zone_cut(plan["zones"][number], plan["home"])
         self.relays, self.shared, self.stop_asked = {}, [1.0], False
 
@@ -40,7 +42,7 @@
     def marks_of(self, instance, group):
         scope = self.plan["groups"].get(group, {}).get("scope", "all")
         name = {"all": "all", "zone": instance.zone, "cell": (instance.zone, instance.cell)}[scope]
-        return self.marks.setdefault((group, name), Marks())
+        return self.marks.setdefault((group, name), IdempotencyKeys())
 
     def count(self, build, group, how, now):
         flaw = self.plan["flaws"].get(str(build), {})
@@ -61,14 +63,14 @@
         id = f"{spot['id']}-{number % DRAINED}"
         port = self.plan["ports"] + list(self.places).index(place) * DRAINED + number % DRAINED
         self.booting[id] = (place, build)
-        self.loop.spawn(self.up(id, place, build, port, warm), "boot")
+        self.loop.spawn(self.start_instance(id, place, build, port, warm), "boot")
         return id
 
     def machine(self, spot, build, warm):
         kind, flaw = dict(self.plan["kind"]), self.plan["flaws"].get(str(build), {})
         kind["speed"] = spot["speed"] * flaw.get("speed", 1.0)
-        machine = Machine(
-            Kind(**kind),
+        machine = InstanceModel(
+            InstanceProfile(**kind),
             build,
             self.loop.now(),
             self.chance,
@@ -77,11 +79,11 @@
             self.plan["rules"]["tip_time"],
         )
         if flaw.get("how"):
-            machine.flaw = Flaw(flaw["how"], flaw["strength"], flaw.get("group", ""), self.chance)
+            machine.flaw = BuildFlaw(flaw["how"], flaw["strength"], flaw.get("group", ""), self.chance)
         machine.shared = self.shared
         return machine
 
-    def up(self, id, place, build, port, warm):
+    def start_instance(self, id, place, build, port, warm):
         spot = self.places[place]
         if not warm:
             yield Sleep(self.plan["boot"])
@@ -112,7 +114,7 @@
             return  # told when the list begins
         yield Sleep(self.plan["list"]["add"])
         if self.instances.get(id) is instance and instance.state == "up":
-            self.listing.change([self.row(instance)])
+            self.listing.publish([self.row(instance)])
 
     def row(self, instance, state=None):
         return {
@@ -130,26 +132,26 @@
         if instance.state == "up":
             instance.state = "draining"
             self.record("drain", instance=instance.id, start=instance.start)
-            self.listing.change([self.row(instance)])
+            self.listing.publish([self.row(instance)])
 
-    def end(self, instance):
+    def end_instance(self, instance):
         self.instances.pop(instance.id, None)
         self.record("stop", instance=instance.id, start=instance.start)
-        instance.end()
-        self.listing.change([self.row(instance, "gone")])
+        instance.stop_process()
+        self.listing.publish([self.row(instance, "gone")])
 
     def fell(self, instance):
         """A cold instance was sent too much: its process ends and stays down."""
-        if not instance.over:
+        if not instance.is_ended:
             self.record("fell", instance=instance.id, start=instance.start)
-            instance.end()
+            instance.stop_process()
             self.loop.spawn(self.seen_gone(instance), "fell")
 
     def seen_gone(self, instance):
         yield Sleep(self.plan["list"]["silent"])
         if self.instances.get(instance.id) is instance:
             del self.instances[instance.id]
-            self.listing.change([self.row(instance, "gone")])
+            self.listing.publish([self.row(instance, "gone")])
 
     def machines(self):
         rows = [
@@ -170,65 +172,65 @@
     def handle_platform(self, request):
         parts = request.path.strip("/").split("/")
         if parts[:2] != ["v1", "machines"]:
-            raise Refusal(404, "no such call")
+            raise RpcError(404, "no such call")
         if request.method == "GET":
-            return json_answer(200, self.machines())
+            return json_response(200, self.machines())
         if len(parts) == 2:
-            body = request.json()
+            body = request.json_object()
             if body["place"] not in self.places:
-                raise Refusal(404, "no such place")
-            return json_answer(201, {"id": self.boot(body["place"], body["build"])})
+                raise RpcError(404, "no such place")
+            return json_response(201, {"id": self.boot(body["place"], body["build"])})
         id, what = parts[2], parts[3]
         if what == "stop" and self.booting.pop(id, None):
-            return json_answer(200, {})
+            return json_response(200, {})
         if id not in self.instances:
-            raise Refusal(404, "no such machine")
-        (self.drain if what == "drain" else self.end)(self.instances[id])
-        return json_answer(200, {})
+            raise RpcError(404, "no such machine")
+        (self.drain if what == "drain" else self.end_instance)(self.instances[id])
+        return json_response(200, {})
 
     # --- troubles -------------------------------------------------------------------------------------------
 
-    def on(self, trouble):
+    def affected_instances(self, trouble):
         """The instances at the places that a trouble strikes."""
         struck = {name for n, name in enumerate(self.places) if n in trouble["on"]}
         return [i for i in self.instances.values() if i.place in struck]
 
     def handle_trouble(self, request):
-        trouble = request.json()
+        trouble = request.json_object()
         kind, begins = trouble["kind"], trouble["begins"]
         self.record("trouble", what=kind, begins=begins)
         act = getattr(self, f"do_{kind}", None)
         if act is None:
-            raise Refusal(404, f"no trouble {kind!r} here")
+            raise RpcError(404, f"no trouble {kind!r} here")
         act(trouble, begins)
-        return json_answer(200, {})
+        return json_response(200, {})
 
     def do_list_begins(self, trouble, begins):
         """All that run are listed at once, and everybody knows: the day begins with a list that is whole."""
-        self.listing.change([self.row(i) for i in self.instances.values()])
+        self.listing.publish([self.row(i) for i in self.instances.values()])
         self.listing.heard = dict.fromkeys(range(len(self.plan["zones"])), self.listing.revision)
 
     def do_slow(self, trouble, begins):
-        for instance in self.on(trouble):
+        for instance in self.affected_instances(trouble):
             instance.machine.advance(self.loop.now())
             instance.machine.slow = trouble["size"] if begins else 1.0
-            instance.plan()
+            instance.schedule()
 
     def do_shared_slow(self, trouble, begins):
         self.do_slow({**trouble, "on": range(len(self.places))}, begins)
 
     def do_neighbour(self, trouble, begins):
-        for instance in self.on(trouble):
+        for instance in self.affected_instances(trouble):
             instance.machine.advance(self.loop.now())
             instance.machine.taken = trouble["size"] if begins else 0.0
-            instance.plan()
+            instance.schedule()
 
     def do_fast_errors(self, trouble, begins):
-        for instance in self.on(trouble):
+        for instance in self.affected_instances(trouble):
             instance.machine.errors = trouble["size"] if begins else 0.0
 
     def do_false_reports(self, trouble, begins):
-        for instance in self.on(trouble):
+        for instance in self.affected_instances(trouble):
             instance.lie = 0.1 if begins else 1.0
 
     def do_conn_squeeze(self, trouble, begins):
@@ -242,7 +244,7 @@
     def do_vanish(self, trouble, begins):
         """Silent, without a word; back later as a new start, cold, under the same id."""
         if begins:
-            self.silent[trouble["name"]] = struck = self.on(trouble)
+            self.silent[trouble["name"]] = struck = self.affected_instances(trouble)
             for instance in struck:
                 instance.silent = True
                 self.loop.spawn(self.seen_silent(instance), "vanish")
@@ -251,20 +253,20 @@
         for instance in self.silent.pop(trouble["name"], []):
             if self.instances.get(instance.id) is instance or instance.state == "up":
                 self.instances.pop(instance.id, None)
-                instance.end()
-                self.loop.spawn(self.back(instance), "back")
+                instance.stop_process()
+                self.loop.spawn(self.restart_later(instance), "back")
 
     def seen_silent(self, instance):
         yield Sleep(self.plan["list"]["silent"])
         if instance.silent and self.instances.get(instance.id) is instance:
-            self.listing.change([self.row(instance, "gone")])
+            self.listing.publish([self.row(instance, "gone")])
             instance.unlisted = True
 
-    def back(self, old):
+    def restart_later(self, old):
         yield Sleep(50_000)  # until its old listener is closed
         host, port = old.address.split(":")
         self.booting[old.id] = (old.place, old.machine.build)
-        yield from self.up(old.id, old.place, old.machine.build, int(port), False)
+        yield from self.start_instance(old.id, old.place, old.machine.build, int(port), False)
 
     def do_zone_cut(self, trouble, begins):
         zone = self.plan["zone_names"][trouble["which"] % len(self.plan["zone_names"])]
@@ -294,13 +296,13 @@
             ("troubles", self.handle_trouble),
         ):
             listener = kernel.listen(("127.0.0.1", plan["services"][name]), 256)
-            self.loop.spawn(service(self.loop, listener, handler, name), name)
+            self.loop.spawn(serve_rpc(self.loop, listener, handler, name), name)
         for zone, port in plan["services"]["relays"].items():
             listener = kernel.listen(("127.0.0.1", port), 256)
             self.relays[zone] = Relay(
                 self.loop, listener, ("127.0.0.1", plan["services"]["desk"]), self.chance, self.record
             )
-        self.loop.spawn(self.listing.push(), "list-push")
+        self.loop.spawn(self.listing.push_updates(), "list-push")
         while not self.stop_asked:
             yield Sleep(20_000)
 
@@ -308,5 +310,5 @@
         self.stop_asked = True
 
 
-def run_yard(kernel, plan, path, log):
-    run_part(kernel, lambda loop: Yard(loop, plan, path), log, "yard")
+def run_instance_fleet(kernel, plan, path, log):
+    run_component(kernel, lambda loop: InstanceFleet(loop, plan, path), log, "yard")
--- a/cobaltpond/standins/instance_model.py
+++ b/cobaltpond/standins/instance_model.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Kind:
+class InstanceProfile:
     """What a machine is made of."""
 
     cores: int = 2
@@ -42,8 +42,10 @@
     error_rate: float = 0.0
 
 
-class Machine:
-    def __init__(self, kind: Kind, build: int, now: int, chance, warm: bool, factor: float, tip_time: int):
+class InstanceModel:
+    def __init__(
+        self, kind: InstanceProfile, build: int, now: int, chance, warm: bool, factor: float, tip_time: int
+    ):
         """`chance`: a random.Random; `factor` and `tip_time`: the rule on cold instances."""
         self.kind, self.build, self.started, self.chance = kind, build, now, chance
         self.warm_from = now - (kind.cold_time if warm else 0)
@@ -160,7 +162,7 @@
         }
 
 
-class Flaw:
+class BuildFlaw:
     """What is wrong with a bad build, in one of the bench's forms; `strength` 0 to 1."""
 
     def __init__(self, how: str, strength: float, group: str, chance):
--- a/cobaltpond/standins/record.py
+++ b/cobaltpond/standins/record.py
@@ -7,7 +7,7 @@
 import json
 
 
-class Record:
+class RecordWriter:
     def __init__(self, loop, path: str):
         self.loop, self.file = loop, loop.kernel.append_file(path)
         loop.after_turn.append(self.flush)
--- a/cobaltpond/standins/relay.py
+++ b/cobaltpond/standins/relay.py
@@ -6,7 +6,16 @@
 import re
 from collections import deque
 
-from cobaltpond.loop import HandlesUsedUp, PeerLost, Refused, Sleep, TimedOut, Unreachable, dial, serve
+from cobaltpond.loop import (
+    ConnectionLostError,
+    DeadlineExceededError,
+    HandlesExhaustedError,
+    RefusedError,
+    Sleep,
+    UnreachableError,
+    dial,
+    serve,
+)
 from cobaltpond.wire import http1
 
 
@@ -18,9 +27,9 @@
     def __init__(self, loop, listener, target, chance, record):
         self.loop, self.target, self.chance, self.record = loop, target, chance, record
         self.mode, self.late = "pass", 0
-        self.task = loop.spawn(serve(loop, listener, self.carry, 512, "relay"), "relay")
+        self.task = loop.spawn(serve(loop, listener, self.relay_connection, 512, "relay"), "relay")
 
-    def carry(self, connection):
+    def relay_connection(self, connection):
         fate = None
         if self.mode == "errors":
             yield from connection.read()
@@ -30,10 +39,10 @@
             fate = self.chance.choice(("lose what is asked", "lose the answer"))
         try:
             beyond = yield from dial(self.loop, self.target, 1_000_000)
-        except (Refused, Unreachable, HandlesUsedUp, TimedOut):
+        except (RefusedError, UnreachableError, HandlesExhaustedError, DeadlineExceededError):
             return
         who = [None]
-        back = self.loop.spawn(self.back(beyond, connection, fate, who), "relay-back")
+        back = self.loop.spawn(self.relay_answers(beyond, connection, fate, who), "relay-back")
         try:
             while True:
                 data = yield from connection.read()
@@ -49,7 +58,7 @@
             back.cancel()
             beyond.close()
 
-    def back(self, source, sink, fate, who):
+    def relay_answers(self, source, sink, fate, who):
         held = deque()
         try:
             while True:
@@ -68,7 +77,7 @@
                     yield from sink.write(data)
                     for news in re.findall(rb'"news":(\{[^}]*\})', data):
                         self.record("news", gateway=who[0], **json.loads(news))
-        except PeerLost:
+        except ConnectionLostError:
             pass
         finally:
             sink.handle.finish()
--- a/cobaltpond/standins/single_instance.py
+++ b/cobaltpond/standins/single_instance.py
@@ -7,13 +7,13 @@
 import msgspec
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from cobaltpond.builds.manifest import Key, Ring
-from cobaltpond.loop import Sleep, run_part
-from cobaltpond.loop.random_source import seeded
+from cobaltpond.builds.manifest import KeyRing, SigningKey
+from cobaltpond.loop import Sleep, run_component
+from cobaltpond.loop.random_source import seeded_random
 from cobaltpond.standins.build_server import BuildServer, make_build
-from cobaltpond.standins.instance import Instance, Marks
-from cobaltpond.standins.instance_model import Flaw, Kind, Machine
-from cobaltpond.standins.record import Record
+from cobaltpond.standins.instance import IdempotencyKeys, Instance
+from cobaltpond.standins.instance_model import BuildFlaw, InstanceModel, InstanceProfile
+from cobaltpond.standins.record import RecordWriter
 
 CRASH_AFTER = 1_500_000  # a build that crashes has served for so long
 SERVE = """#!/bin/sh
@@ -21,22 +21,22 @@
 """
 
 
-class Solo:
+class SingleInstance:
     """Stands where a yard does, for one instance."""
 
     def __init__(self, loop, plan, build, port, name, mark):
         self.loop, self.plan, self.stop_asked = loop, plan, False
-        self.record = Record(loop, os.path.join(plan["folder"], f"{name}-{mark}.solo"))
-        self.chance, self.marks = seeded(f"{plan['seed']}-{mark}"), {}
+        self.record = RecordWriter(loop, os.path.join(plan["folder"], f"{name}-{mark}.solo"))
+        self.chance, self.marks = seeded_random(f"{plan['seed']}-{mark}"), {}
         self.report_period, self.report_names = plan["report"]["period"], plan["report"]["names"]
         place, flaw = plan["places"][name.partition(".")[0]], plan["flaws"].get(str(build), {})
-        kind = Kind(**{**plan["kind"], "speed": place["speed"] * flaw.get("speed", 1.0)})
-        machine = Machine(
+        kind = InstanceProfile(**{**plan["kind"], "speed": place["speed"] * flaw.get("speed", 1.0)})
+        machine = InstanceModel(
             kind, build, loop.now(), self.chance, False, plan["rules"]["factor"], plan["rules"]["tip_time"]
         )
         self.how, self.crash_at = flaw.get("how"), loop.now() + CRASH_AFTER
         if flaw.get("how"):
-            machine.flaw = Flaw(flaw["how"], flaw["strength"], flaw.get("group", ""), self.chance)
+            machine.flaw = BuildFlaw(flaw["how"], flaw["strength"], flaw.get("group", ""), self.chance)
         self.instance = Instance(
             self,
             name,
@@ -70,7 +70,7 @@
         return 0
 
     def marks_of(self, instance, group):
-        return self.marks.setdefault(group, Marks())
+        return self.marks.setdefault(group, IdempotencyKeys())
 
     def count(self, build, group, how, now):
         pass
@@ -83,7 +83,7 @@
         while not self.stop_asked:
             yield Sleep(20_000)
             if self.how == "crash" and self.loop.now() > self.crash_at:
-                self.instance.end()
+                self.instance.stop_process()
                 break
         self.record("stop", instance=self.instance.id, start=self.instance.start)
         self.record.flush()
@@ -92,19 +92,19 @@
         self.stop_asked = self.how != "stubborn"
 
 
-def run_solo(kernel, plan, build, port, name, mark, log):
-    run_part(kernel, lambda loop: Solo(loop, plan, build, port, name, mark), log, "solo")
+def run_single_instance(kernel, plan, build, port, name, mark, log):
+    run_component(kernel, lambda loop: SingleInstance(loop, plan, build, port, name, mark), log, "solo")
 
 
-class Builds:
+class BuildStandin:
     """Serves the builds of a day, and writes the key ring that vouches for them."""
 
     def __init__(self, loop, plan, port):
-        self.loop, self.stop_asked, now = loop, False, loop.kernel.wall() // 1_000_000
+        self.loop, self.stop_asked, now = loop, False, loop.kernel.wall_clock() // 1_000_000
         key = Ed25519PrivateKey.generate()
         stranger = Ed25519PrivateKey.generate()
         public = base64.b64encode(key.public_key().public_bytes_raw()).decode()
-        ring = Ring(1, [Key("day", public, 0, 1 << 40)])
+        ring = KeyRing(1, [SigningKey("day", public, 0, 1 << 40)])
         loop.kernel.replace_file(plan["keys"], msgspec.json.encode(ring), sync=False)
         self.server = BuildServer(loop, loop.kernel.listen(("127.0.0.1", port), 128))
         for build in plan["builds"]:
@@ -127,7 +127,7 @@
             self.server.add(build, signed, chunks)
             if how in ("cut", "corrupt"):
                 way = "junk" if how == "corrupt" else "cut 0"
-                self.server.ways.update((f"/chunks/{name}", [(way, 1 << 30)]) for name in chunks)
+                self.server.faults.update((f"/chunks/{name}", [(way, 1 << 30)]) for name in chunks)
 
     def run(self):
         while not self.stop_asked:
@@ -137,5 +137,5 @@
         self.stop_asked = True
 
 
-def run_builds(kernel, plan, port, log):
-    run_part(kernel, lambda loop: Builds(loop, plan, port), log, "builds")
+def run_build_server(kernel, plan, port, log):
+    run_component(kernel, lambda loop: BuildStandin(loop, plan, port), log, "builds")
--- a/cobaltpond/wal/__init__.py
+++ b/cobaltpond/wal/__init__.py
@@ -1,6 +1,6 @@
 """What must survive a crash: an append-only journal with checksummed records, snapshots, and explicit
 syncs."""
 
-from cobaltpond.wal.journal import Broken, Journal
+from cobaltpond.wal.journal import Journal, JournalError
 
-__all__ = ["Broken", "Journal"]
+__all__ = ["JournalError", "Journal"]
--- a/cobaltpond/wal/journal.py
+++ b/cobaltpond/wal/journal.py
@@ -16,16 +16,18 @@
 import google_crc32c
 
 
-class Broken(Exception):
+class JournalError(Exception):
     """A write or sync failed; only a new start, which reads what is there, can go on."""
 
+    outer_name = "Broken"
 
-def framed(number: int, value) -> bytes:
+
+def encode_record(number: int, value) -> bytes:
     body = b"%d %s" % (number, json.dumps(value, separators=(",", ":")).encode())
     return b"%08x %s\n" % (google_crc32c.value(body), body)
 
 
-def unframed(line: bytes, number: int):
+def decode_record(line: bytes, number: int):
     """The value of a record. Raises ValueError on one that is torn or out of turn."""
     mark, _, body = line.partition(b" ")
     if int(mark, 16) != google_crc32c.value(body):
@@ -43,12 +45,12 @@
     def __init__(self, kernel, folder: str, most: int = 1 << 20):
         self.kernel, self.folder, self.most = kernel, folder, most
         kernel.make_folder(folder)
-        self.held = kernel.lock(self.path("lock"))
-        self.state, self.records, self.cut, self.broken = None, [], None, None
+        self.lock = kernel.lock_file(self.path("lock"))
+        self.snapshot_state, self.records, self.truncation, self.broken = None, [], None, None
         try:
             self.recover()
         except BaseException:
-            self.held.close()
+            self.lock.close()
             raise
 
     def path(self, name: str) -> str:
@@ -63,7 +65,7 @@
         self.number = 0
         for number in snaps:
             try:
-                self.state = unframed(
+                self.snapshot_state = decode_record(
                     self.kernel.read_file(self.path(f"snap-{number}")).rstrip(b"\n"), number
                 )
                 self.number = number
@@ -77,9 +79,9 @@
             try:
                 if end < 0:
                     raise ValueError("no end")
-                self.records.append(unframed(data[offset:end], len(self.records)))
+                self.records.append(decode_record(data[offset:end], len(self.records)))
             except ValueError as trouble:
-                self.cut = name, offset, len(data) - offset, str(trouble)
+                self.truncation = name, offset, len(data) - offset, str(trouble)
                 self.kernel.truncate(name, offset)
                 break
             offset = end + 1
@@ -89,16 +91,16 @@
 
     def guarded(self, call):
         if self.broken:
-            raise Broken(self.broken)
+            raise JournalError(self.broken)
         try:
             return call()
         except OSError as trouble:
             self.broken = f"{self.folder}: {trouble}"
-            raise Broken(self.broken) from trouble
+            raise JournalError(self.broken) from trouble
 
     def append(self, value) -> None:
         """Takes a record in; it counts once `sync` has returned. Raises Broken."""
-        data = framed(self.count, value)
+        data = encode_record(self.count, value)
         self.guarded(lambda: self.file.write(data))
         self.count += 1
         self.bytes += len(data)
@@ -108,7 +110,7 @@
         self.guarded(self.file.sync)
 
     @property
-    def long(self) -> bool:
+    def needs_snapshot(self) -> bool:
         return self.bytes > self.most
 
     def snapshot(self, state) -> None:
@@ -117,7 +119,7 @@
 
         def write():
             number = self.number + 1
-            self.kernel.replace_file(self.path(f"snap-{number}"), framed(number, state))
+            self.kernel.replace_file(self.path(f"snap-{number}"), encode_record(number, state))
             self.file.close()
             old, self.number = self.number, number
             self.file = self.kernel.append_file(self.path(f"log-{number}"))
@@ -130,4 +132,4 @@
 
     def close(self) -> None:
         self.file.close()
-        self.held.close()
+        self.lock.close()
--- a/cobaltpond/wire/http1.py
+++ b/cobaltpond/wire/http1.py
@@ -45,7 +45,7 @@
 PIECE = 1 << 16
 
 
-class BadMessage(Exception):
+class HttpMessageError(Exception):
     """The peer's bytes are no acceptable message; `status` is what a server answers before it closes."""
 
     def __init__(self, status: int, text: str):
@@ -53,12 +53,12 @@
         self.status = status
 
 
-class Cut(BadMessage):
+class TruncatedMessageError(HttpMessageError):
     """The peer closed before its message was whole."""
 
 
 @dataclass(slots=True)
-class Head:
+class MessageHead:
     """Start line and fields, in the order they came, names in lower case."""
 
     method: str = ""
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class MessageLimits:
     """Bytes and counts that a peer may make us keep."""
 
     head: int = 16 << 10
@@ -89,26 +89,26 @@
 class _Parser:
     """Events are (kind, value): ("head", Head), ("body", bytes), ("end", None)."""
 
-    def __init__(self, limits: Limits):
+    def __init__(self, limits: MessageLimits):
         self.limits, self.events = limits, []
         self.head, self.in_head, self.head_bytes, self.body_bytes = None, True, 0, 0
         self.trailers, self.wrong, self.begun = False, None, False
 
     def on_message_begin(self):
-        self.head, self.in_head, self.body_bytes = Head(), True, 0
+        self.head, self.in_head, self.body_bytes = MessageHead(), True, 0
         self.trailers, self.begun = False, True
 
     def on_header(self, name, value):
         if self.trailers or self.head is None:
             return  # RFC 9110, 6.5.1: trailers may be dropped
         if len(self.head.fields) >= self.limits.fields:
-            raise BadMessage(431, f"more than {self.limits.fields} fields")
+            raise HttpMessageError(431, f"more than {self.limits.fields} fields")
         self.head.fields.append((name.lower(), value))
 
     def on_body(self, body):
         self.body_bytes += len(body)
         if self.body_bytes > self.limits.body:
-            raise BadMessage(413, f"a body of more than {self.limits.body} bytes")
+            raise HttpMessageError(413, f"a body of more than {self.limits.body} bytes")
         self.events.append(("body", body))
 
     def on_message_complete(self):
@@ -123,24 +123,26 @@
                 if self.in_head:  # a head may not run past its limit unseen
                     room = self.limits.head - self.head_bytes
                     if room <= 0:
-                        raise BadMessage(431, f"a head of more than {self.limits.head} bytes")
+                        raise HttpMessageError(431, f"a head of more than {self.limits.head} bytes")
                     piece = data[:room]
                     self.head_bytes += len(piece)
                 data = data[len(piece) :]
                 self.parser.feed_data(piece)
         except httptools.HttpParserUpgrade:
-            raise BadMessage(501, "no upgrades and no CONNECT here") from None
+            raise HttpMessageError(501, "no upgrades and no CONNECT here") from None
         except httptools.HttpParserCallbackError as trouble:
             wrong = trouble.__context__
-            raise (wrong if isinstance(wrong, BadMessage) else BadMessage(400, str(trouble))) from None
+            raise (
+                wrong if isinstance(wrong, HttpMessageError) else HttpMessageError(400, str(trouble))
+            ) from None
         except httptools.HttpParserError as trouble:
-            raise BadMessage(400, str(trouble)) from None
+            raise HttpMessageError(400, str(trouble)) from None
         events, self.events = self.events, []
         return events
 
 
 class RequestParser(_Parser):
-    def __init__(self, limits: Limits):
+    def __init__(self, limits: MessageLimits):
         super().__init__(limits)
         self.parser, self.url = httptools.HttpRequestParser(self), b""
 
@@ -151,29 +153,29 @@
     def on_url(self, url):
         self.url += url
         if len(self.url) > self.limits.target:
-            raise BadMessage(414, f"a target of more than {self.limits.target} bytes")
+            raise HttpMessageError(414, f"a target of more than {self.limits.target} bytes")
 
     def on_headers_complete(self):
         head, self.in_head, self.trailers = self.head, False, True
         head.method, head.target = self.parser.get_method().decode(), self.url
         head.version, head.keep_alive = self.parser.get_http_version(), self.parser.should_keep_alive()
         if head.version not in ("1.0", "1.1"):
-            raise BadMessage(505, f"HTTP/{head.version}")
+            raise HttpMessageError(505, f"HTTP/{head.version}")
         if not head.target.startswith(b"/"):
-            raise BadMessage(400, "the target is no path")
+            raise HttpMessageError(400, "the target is no path")
         hosts = head.all(b"host")
         if len(hosts) > 1 or not hosts and head.version == "1.1":
-            raise BadMessage(400, f"{len(hosts)} Host fields")  # RFC 9112, 3.2
+            raise HttpMessageError(400, f"{len(hosts)} Host fields")  # RFC 9112, 3.2
         length = head.get(b"content-length")
         if length is not None and int(length) > self.limits.body:
-            raise BadMessage(413, f"a body of more than {self.limits.body} bytes")
+            raise HttpMessageError(413, f"a body of more than {self.limits.body} bytes")
         self.events.append(("head", head))
 
 
 class ResponseParser(_Parser):
     """`closed` tells it of the peer's end of file, which may end a body without a length."""
 
-    def __init__(self, limits: Limits, no_body: bool = False):
+    def __init__(self, limits: MessageLimits, no_body: bool = False):
         super().__init__(limits)
         self.parser, self.no_body, self.until_close = httptools.HttpResponseParser(self), no_body, False
 
@@ -205,10 +207,10 @@
         if self.begun and not self.in_head and self.until_close:
             self.begun = False
             return [("end", None)]
-        raise Cut(502, "the answer was cut" if self.begun else "no answer")
+        raise TruncatedMessageError(502, "the answer was cut" if self.begun else "no answer")
 
 
-def start(method: str, target: bytes, fields: list) -> bytes:
+def request_head(method: str, target: bytes, fields: list) -> bytes:
     """A request's head as it is given: the caller has put in how long its body is."""
     lines = [
         method.encode() + b" " + target + b" HTTP/1.1",
@@ -232,11 +234,11 @@
 def response(status: int, fields: list, body: bytes | None = b"", keep: bool = True) -> bytes:
     """An answer with a length; `body` None: the caller sends a chunked body after it."""
     if body is None:
-        return bare(status, fields, keep, chunked=True)
-    return bare(status, [*fields, (b"content-length", b"%d" % len(body))], keep) + body
+        return response_head(status, fields, keep, chunked=True)
+    return response_head(status, [*fields, (b"content-length", b"%d" % len(body))], keep) + body
 
 
-def bare(status: int, fields: list, keep: bool = True, chunked: bool = False) -> bytes:
+def response_head(status: int, fields: list, keep: bool = True, chunked: bool = False) -> bytes:
     """The head of an answer as it is given: the caller has put in how long its body is."""
     lines = [b"HTTP/1.1 %d %s" % (status, REASONS.get(status, "Status").encode())]
     lines += [name + b": " + value for name, value in fields]
@@ -244,12 +246,12 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """One chunk of a chunked body; b"" ends it (RFC 9112, 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def passed_on(fields: list, also: frozenset | set = frozenset()) -> list:
+def end_to_end_fields(fields: list, also: frozenset | set = frozenset()) -> list:
     """Fields without those of this one connection (RFC 9110, 7.6.1) and without `also`."""
     named = {
         name.strip().lower()
--- a/cobaltpond/wire/orca.py
+++ b/cobaltpond/wire/orca.py
@@ -7,7 +7,7 @@
 MOST = 32
 
 
-def read(value: bytes | None) -> dict[str, float]:
+def parse_load_report(value: bytes | None) -> dict[str, float]:
     """Name to value; unknown forms and odd numbers give nothing: a report is a hint, never a reason to fail.
 
     `TEXT cpu_utilization=0.3, named_metrics.inflight=4` or `JSON {"named_metrics": {"inflight": 4}}`.
@@ -39,7 +39,7 @@
     return report
 
 
-def write(report: dict[str, float]) -> bytes:
+def format_load_report(report: dict[str, float]) -> bytes:
     other = {short: long for long, short in NAMES.items()}
     pairs = [f"{other.get(name, 'named_metrics.' + name)}={number:g}" for name, number in report.items()]
     return ("TEXT " + ", ".join(pairs)).encode()
--- a/cobaltpond/wire/statement.py
+++ b/cobaltpond/wire/statement.py
@@ -19,11 +19,11 @@
 PLAIN_NAME = re.compile(r"[A-Za-z0-9_.-]*")  # of a tenant that the settings don't name
 
 
-class NoStatement(Exception):
+class StatementError(Exception):
     """Nothing an instance should see."""
 
 
-class Statement:
+class PlatformStatement:
     """`id`, `ref` and `key` (None without one) as sent, `group` and `customer` in text, `left` in
     microseconds, `again`: marked as a client's repeat; `tag`: how its answer must end."""
 
@@ -32,13 +32,13 @@
     def __init__(self, text: bytes):
         found = STATEMENT.fullmatch(text)
         if found is None:
-            raise NoStatement("no statement of the two that are taken here")
+            raise StatementError("no statement of the two that are taken here")
         selected, inserted, self.id, group, customer, left, self.key, again = found.groups()
         self.ref, self.tag = selected or inserted, SELECTED if selected else INSERTED
         try:
             self.group, self.customer = group.decode(), customer.decode()
         except UnicodeDecodeError:
-            raise NoStatement("a name that is no text") from None
+            raise StatementError("a name that is no text") from None
         self.left, self.again = int(left) * 1000, again is not None
         self.head, self.tail = text[: found.start(6)], text[found.end(6) :]
 
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -1,6 +1,6 @@
 """Gateways broken on purpose, one a rule; the day starts them with `--decisions broken:NAME`."""
 
-from cobaltpond.decisions.records import FOREVER, State
+from cobaltpond.decisions.records import FOREVER, HitState
 from cobaltpond.decisions.rules import Gateway
 
 
@@ -8,7 +8,7 @@
     """Every fortieth hit is never answered, and the host's guard against that is off."""
 
     def __init__(self, host, *rest):
-        host.too_late = lambda hit: None
+        host.answer_overdue = lambda hit: None
         super().__init__(host, *rest)
 
     def on_hit(self, now, id, *rest):
@@ -23,10 +23,10 @@
         return None if len(hit.forwards) < 3 and now + 2 * self.tick < hit.deadline else "broken"
 
     def watch_silent(self, now):
-        for hit in [h for h in self.hits.values() if h.state == State.OUT]:
+        for hit in [h for h in self.hits.values() if h.state == HitState.OUT]:
             if now - hit.forwards[-1].sent > 100_000 and not hit.forwards[-1].dropped:
                 hit.forwards[-1].dropped = True
-                self.host.cancel(hit.id, len(hit.forwards) - 1)
+                self.host.cancel_forward(hit.id, len(hit.forwards) - 1)
         self.wake_by(now + 20_000, now)
 
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -5,7 +5,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from hypothesis import settings
 
-from cobaltpond.builds.manifest import Key, Ring
+from cobaltpond.builds.manifest import KeyRing, SigningKey
 from cobaltpond.standins.build_server import make_build
 
 KEYS = {
@@ -16,10 +16,12 @@
 
 
 def key(name, since=0, until=1000):
-    return Key(name, base64.b64encode(KEYS[name].public_key().public_bytes_raw()).decode(), since, until)
+    return SigningKey(
+        name, base64.b64encode(KEYS[name].public_key().public_bytes_raw()).decode(), since, until
+    )
 
 
-RING = Ring(1, [key("one"), key("old", 0, 100)])
+RING = KeyRing(1, [key("one"), key("old", 0, 100)])
 FILES = {"serve": b"#!/bin/sh\n" * 900, "lib/a.bin": bytes(range(256)) * 64, "empty": b""}
 
 
--- a/tests/conform.py
+++ b/tests/conform.py
@@ -2,14 +2,14 @@
 
 from cobaltpond.loop import (
     Connection,
+    ConnectionLostError,
     Deadline,
     EpollKernel,
-    HandlesUsedUp,
+    HandlesExhaustedError,
     Loop,
-    PeerLost,
     Readable,
-    Refused,
-    Unreachable,
+    RefusedError,
+    UnreachableError,
     dial,
 )
 from cobaltpond.sim.machine import Machine
@@ -31,7 +31,7 @@
     kernel = machine.process("case", ["case"])
     kernel.make_folder("/case")
     loop = Loop(kernel)
-    kernel.drive(loop, loop.spawn(case(loop, "/case"), "case"))
+    kernel.run_loop(loop, loop.spawn(case(loop, "/case"), "case"))
     machine.world.run(lambda: kernel.process.code is not None, machine.world.begin + 60_000_000)
     if kernel.process.code:
         raise kernel.process.failure
@@ -59,7 +59,7 @@
     """What a call gives, or the name of what it raises."""
     try:
         return call()
-    except (PeerLost, Refused, Unreachable, HandlesUsedUp, OSError) as trouble:
+    except (ConnectionLostError, RefusedError, UnreachableError, HandlesExhaustedError, OSError) as trouble:
         return type(trouble).__name__
 
 
--- a/tests/conform_files.py
+++ b/tests/conform_files.py
@@ -12,9 +12,9 @@
 def a_file_that_is_not_there(kernel, folder):
     return (
         kernel.read_file(f"{folder}/no"),
-        kernel.size(f"{folder}/no"),
+        kernel.file_size(f"{folder}/no"),
         kernel.list_folder(f"{folder}/no"),
-        told(lambda: kernel.age(f"{folder}/no")),
+        told(lambda: kernel.file_age(f"{folder}/no")),
         told(lambda: kernel.truncate(f"{folder}/no", 1)),
         told(lambda: kernel.rename(f"{folder}/no", f"{folder}/x")),
         kernel.remove(f"{folder}/no"),
@@ -36,8 +36,8 @@
         kernel.list_folder(f"{folder}/a"),
         kernel.read_file(f"{folder}/a/z"),
         kernel.read_file(f"{folder}/a/y"),
-        kernel.size(f"{folder}/a/y"),
-        kernel.age(f"{folder}/a/y") < 5_000_000,
+        kernel.file_size(f"{folder}/a/y"),
+        kernel.file_age(f"{folder}/a/y") < 5_000_000,
         kernel.free_space(folder) > 0,
     )
 
@@ -90,15 +90,15 @@
     file = kernel.append_file(f"{folder}/log")
     for _ in range(40):
         file.write(bytes(10_000))
-    return kernel.size(f"{folder}/log") > 0
+    return kernel.file_size(f"{folder}/log") > 0
 
 
 @file_case
 def a_lock_is_held_by_one(kernel, folder):
-    held = kernel.lock(f"{folder}/lock")
-    second = told(lambda: kernel.lock(f"{folder}/lock"))
+    held = kernel.lock_file(f"{folder}/lock")
+    second = told(lambda: kernel.lock_file(f"{folder}/lock"))
     held.close()
-    return second, told(lambda: kernel.lock(f"{folder}/lock").close())
+    return second, told(lambda: kernel.lock_file(f"{folder}/lock").close())
 
 
 @file_case
@@ -107,7 +107,7 @@
     return (
         told(lambda: kernel.spawn([f"{folder}/none"], f"{folder}/out")),
         told(lambda: kernel.spawn([f"{folder}/data"], f"{folder}/out")),
-        kernel.adopt("nobody carries this"),
+        kernel.adopt_process("nobody carries this"),
     )
 
 
@@ -119,7 +119,7 @@
         while child.ended() is None:
             yield Sleep(5 * MS)
     child.signal("KILL")  # nobody is hit by a signal to who is gone
-    return child.ended(), loop.kernel.adopt("a-mark-of-its-own")
+    return child.ended(), loop.kernel.adopt_process("a-mark-of-its-own")
 
 
 @case
@@ -136,7 +136,7 @@
         "another-mark",
     )
     yield Sleep(5 * MS)
-    found = loop.kernel.adopt("another-mark")
+    found = loop.kernel.adopt_process("another-mark")
     child.signal("STOP")
     yield Sleep(5 * MS)
     stopped = child.ended()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,7 +2,7 @@
 
 import random
 
-from cobaltpond.decisions.records import Chance
+from cobaltpond.decisions.records import RandomSource
 from cobaltpond.decisions.rules import Gateway
 
 MS = 1000
@@ -68,7 +68,7 @@
     def __getattr__(self, name):
         def call(*arguments):
             self.calls.append((self.now, name, arguments))
-            if name == "forward":
+            if name == "send_forward":
                 numbers = [n for h, n, *_ in self.open + self.ended if h == arguments[0]]
                 self.open.append((arguments[0], len(numbers), self.now, arguments[1], arguments[2]))
 
@@ -104,14 +104,16 @@
         self.host.open.remove(forward)
         self.host.ended.append(forward)
         hit, number, sent, _, _ = forward
-        closed = ending == "ok" and not any(a[0] == hit for _, _, a in self.host.named("bounce", "error"))
+        closed = ending == "ok" and not any(
+            a[0] == hit for _, _, a in self.host.named("reject_hit", "fail_hit")
+        )
         took = self.host.now - sent
         self.gateway.on_outcome(self.host.now, hit, number, ending, took, closed, report or {})
 
     def probes(self, loads):
         """Answers the probes sent now; `loads`: instance -> hits it reports, or None for no answer."""
         for at, name, (id, *_) in list(self.host.calls):
-            if name == "probe" and at == self.host.now and loads(id) is not None:
+            if name == "probe_instance" and at == self.host.now and loads(id) is not None:
                 self.gateway.on_probed(at, id, "ok", MS, {"inflight": loads(id)})
 
     def run(self, until, step=25 * MS):
@@ -122,7 +124,7 @@
                 if self.host.now >= forward[2] + forward[4]:
                     self.end(forward, "timeout")
             self.gateway.on_wake(self.host.now, 0)
-            for now, _, cancelled in self.host.named("cancel"):
+            for now, _, cancelled in self.host.named("cancel_forward"):
                 for forward in [f for f in self.host.open if f[:2] == cancelled and now == self.host.now]:
                     self.end(forward, "cancelled")
 
@@ -153,8 +155,8 @@
         return [entry[1:] for entry in places[id] if entry[0] <= now][-1]
 
     for id, (at, group, left, outcomes) in asked.items():
-        forwards = [(now, a) for now, _, a in host.named("forward") if a[0] == id]
-        answers = [(now, name) for now, name, a in host.named("bounce", "error") if a[0] == id]
+        forwards = [(now, a) for now, _, a in host.named("send_forward") if a[0] == id]
+        answers = [(now, name) for now, name, a in host.named("reject_hit", "fail_hit") if a[0] == id]
         answers += [(now, "delivered") for _, ending, now in outcomes if ending == "ok" and not answers]
         if len(answers) != 1 or answers[0][0] > at + left + 20 * MS:
             bad.append(("lost", id))
@@ -187,10 +189,10 @@
                     bad.append(("outside its scope", id))
         ran = [e for _, e, _ in outcomes if e not in ("full", "unreachable", "moot")]
         harmful = group["kind"] == "mutating" or group["kind"] == "tagged" and scopes[group["name"]] != "all"
-        if answers and answers[0][1] == "bounce" and ran and harmful:
+        if answers and answers[0][1] == "reject_hit" and ran and harmful:
             bad.append(("harmful bounce", id))
     state, cap, fresh, sent = {}, {1: None}, {}, {}
-    events = [(now, 1, name, a) for now, name, a in host.named("forward")]
+    events = [(now, 1, name, a) for now, name, a in host.named("send_forward")]
     events += [(now, 0, what, value) for now, what, value in told]
     events += [(at, 0, "taken", id) for id, (at, *_) in asked.items()]
     taken = []
@@ -205,7 +207,7 @@
             cap[build] = new
         elif what == "taken":
             taken.append((now, asked[value][1]["name"]))
-        elif what == "forward":
+        elif what == "send_forward":
             listed, since = state[value[1]]
             if listed["state"] != "up" and now > since + sheet_["drain_grace"]:
                 bad.append(("drain", value))
@@ -229,7 +231,7 @@
     """Hits whose key the newest build had answered, sent to an earlier one while it was on trial or
     released."""
     bad, builds, news, answered = [], {}, (1, "released"), {}
-    events = [(now, 1, name, a) for now, name, a in host.named("forward")]
+    events = [(now, 1, name, a) for now, name, a in host.named("send_forward")]
     events += [(at, 0, what, value) for at, what, value in told if what in ("list", "news")]
     events += [
         (at, 2, "ok", (id, number))
@@ -294,10 +296,10 @@
             asked[forward[0]][3].append((forward[1], ending, now))
             bench.end(forward, ending, {"inflight": dice.randrange(5)})
         for at, name, arguments in bench.host.calls[-40:]:
-            if name == "probe" and at >= now - 10 * MS and dice.random() < 0.5:
+            if name == "probe_instance" and at >= now - 10 * MS and dice.random() < 0.5:
                 report = {"inflight": dice.randrange(5)}
                 bench.gateway.on_probed(now, *arguments, dice.choice(["ok", "ok", "timeout"]), 5 * MS, report)
-            for forward in [f for f in bench.host.open if name == "cancel" and f[:2] == arguments]:
+            for forward in [f for f in bench.host.open if name == "cancel_forward" and f[:2] == arguments]:
                 asked[forward[0]][3].append((forward[1], "cancelled", now))
                 bench.end(forward, "cancelled")
         bench.host.now += 5 * MS
@@ -320,9 +322,11 @@
     """A build on trial with every instance warm but the clock of its stage just begun."""
     bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), **{"stage_caps": [1.0, 1.0], **changes})
     bench.serve(until * MS, took, groups=("look", "hold"), fails=fails)
-    return [(now, verdict) for now, _, (_, _, verdict) in bench.host.named("vote")], bench
+    return [(now, verdict) for now, _, (_, _, verdict) in bench.host.named("cast_vote")], bench
 
 
 def steady(bad=100):
-    dice = Chance(3)
-    return lambda id: (60 + dice.below(80) if id[0] == "i" else bad * (60 + dice.below(80)) / 100) * MS
+    dice = RandomSource(3)
+    return (
+        lambda id: (60 + dice.randbelow(80) if id[0] == "i" else bad * (60 + dice.randbelow(80)) / 100) * MS
+    )
--- a/tests/pgcrossings.py
+++ b/tests/pgcrossings.py
@@ -29,7 +29,7 @@
 
 
 def error(text):
-    return pg.error("XX000", "no") + pg.READY
+    return pg.error_response("XX000", "no") + pg.READY_FOR_QUERY
 
 
 def answering_then(reply, then, before=False):
--- a/tests/pgworld.py
+++ b/tests/pgworld.py
@@ -6,10 +6,10 @@
 
 from world import SECOND, Around, Log
 
-from cobaltpond.edge.config import config_of
+from cobaltpond.edge.config import parse_config
 from cobaltpond.edge.main import Edge
-from cobaltpond.loop import EpollKernel, Loop, Sleep, dial, free_run, serve
-from cobaltpond.rpc import Refusal, Stream, json_answer, service
+from cobaltpond.loop import EpollKernel, Loop, Sleep, dial, reserve_ports, serve
+from cobaltpond.rpc import ResponseStream, RpcError, json_response, serve_rpc
 from cobaltpond.sim.machine import Machine
 from cobaltpond.wire import pg
 
@@ -91,7 +91,7 @@
 
 
 def good(text: bytes) -> bytes:
-    return row(b"fine", tag_of(text)) + pg.READY
+    return row(b"fine", tag_of(text)) + pg.READY_FOR_QUERY
 
 
 def exchanging(on_query, before_welcome=None):
@@ -99,13 +99,13 @@
     `world.got`, and `before_welcome(world)` one for each startup."""
 
     def script(world, connection):
-        asked = pg.Asked()
+        asked = pg.ClientMessageParser()
         while data := (yield from connection.read()):
             for kind, value in asked.feed(data):
                 if kind == "startup":
                     if before_welcome is not None:
                         yield from before_welcome(world)
-                    yield from connection.write(pg.welcome())
+                    yield from connection.write(pg.startup_response())
                 elif kind == "query":
                     world.got.append(value)
                     yield from on_query(world, connection, value)
@@ -134,7 +134,8 @@
 
     def send(self, *queries, start=False):
         yield from self.connection.write(
-            (pg.startup("web", "orders") if start else b"") + b"".join(pg.query(q) for q in queries)
+            (pg.startup_message("web", "orders") if start else b"")
+            + b"".join(pg.query_message(q) for q in queries)
         )
 
     def messages(self):
@@ -183,7 +184,7 @@
         self.machine = Machine(1) if self.virtual else None
         kernel = self.machine.process("case", ["case"]) if self.virtual else EpollKernel()
         self.loop = Loop(kernel, lambda task, trouble: self.deaths.append((task.name, trouble)))
-        self.lock, base = free_run(self.loop.kernel, 7)
+        self.lock, base = reserve_ports(self.loop.kernel, 7)
         self.door = ("127.0.0.1", base)
         self.answers, self.discovery_says = {}, None  # what stands in for an answer
         self.news = news or {"Revision": 1, "Wave": 0, "State": "stable", "MaxShare": 1.0, "AgeMs": 0}
@@ -209,7 +210,7 @@
             listener = self.loop.kernel.listen(("127.0.0.1", base + offset), 64)
             handler = self.on_discovery if offset % 2 else self.on_desk
             self.loop.spawn(
-                service(self.loop, listener, self.at(handler, offset), f"at-{offset}"), f"at-{offset}"
+                serve_rpc(self.loop, listener, self.at(handler, offset), f"at-{offset}"), f"at-{offset}"
             )
         self.base, self.path = base, str(tmp / "config.json") if tmp else "none"
         self.told = {
@@ -223,7 +224,7 @@
             "settings": {**SETTINGS, **(settings or {})},
         }
         if here:  # else it is started by the test, as a process
-            self.edge = Edge(self.loop, self.path, config_of(self.told), self.log)
+            self.edge = Edge(self.loop, self.path, parse_config(self.told), self.log)
             self.main = self.loop.spawn(self.edge.run(), "gateway")
 
     def scripted(self, script):
@@ -260,42 +261,42 @@
 
     def on_discovery(self, request):
         if self.discovery_says is not None:
-            raise Refusal(500, self.discovery_says)
+            raise RpcError(500, self.discovery_says)
         if "after" not in request.query:
-            return json_answer(200, {"seq": self.seq, "whole": True, "hosts": self.hosts})
+            return json_response(200, {"seq": self.seq, "whole": True, "hosts": self.hosts})
         return self.watch(int(request.query["after"]), self.loop.now() + int(request.query["wait_ms"]) * 1000)
 
     def watch(self, after, end):
         while self.seq <= after and self.loop.now() < end and self.discovery_says is None:
             yield Sleep(2_000)
         hosts = [host for seq, host in self.changes if seq > after]
-        return json_answer(200, {"seq": self.seq, "whole": False, "hosts": hosts})
+        return json_response(200, {"seq": self.seq, "whole": False, "hosts": hosts})
 
     def on_desk(self, request):
         if request.path.endswith("ballots"):
             self.votes.append(json.loads(request.body))
-            return json_answer(200, self.news)
-        feed = Stream()
-        feed.put({"type": "ROLLOUT", "object": self.news})
+            return json_response(200, self.news)
+        feed = ResponseStream()
+        feed.send_object({"type": "ROLLOUT", "object": self.news})
         self.feeds.append(feed)
         return feed
 
     def say(self, **changes):
         self.news = {**self.news, **changes}
-        self.feeds[-1].put({"type": "ROLLOUT", "object": self.news})
+        self.feeds[-1].send_object({"type": "ROLLOUT", "object": self.news})
 
     def finish(self, task):
         if not self.virtual:
             return self.loop.run(task)
         kernel, world = self.loop.kernel, self.machine.world
-        kernel.drive(self.loop, task)
+        kernel.run_loop(self.loop, task)
         world.run(lambda: kernel.process.code is not None, world.begin + 60 * SECOND)
         if kernel.process.code:
             raise kernel.process.failure
         return kernel.process.result
 
     def opened(self):
-        return self.edge.door.listener is not None
+        return self.edge.frontend.listener is not None
 
     def connect(self):
         return Client((yield from dial(self.loop, self.door, SECOND)))
@@ -312,4 +313,4 @@
         return got
 
     def seen(self):
-        return {k: v for k, v in self.edge.forwards.seen.items() if v}
+        return {k: v for k, v in self.edge.forwards.observations.items() if v}
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -12,9 +12,18 @@
 
 from world import requests
 
-from cobaltpond.loop import Deadline, EpollKernel, Loop, Readable, Sleep, TimedOut, free_run, serve
-from cobaltpond.loop.random_source import seeded
-from cobaltpond.rpc import FAILED, Stream, call, json_answer, service
+from cobaltpond.loop import (
+    Deadline,
+    DeadlineExceededError,
+    EpollKernel,
+    Loop,
+    Readable,
+    Sleep,
+    reserve_ports,
+    serve,
+)
+from cobaltpond.loop.random_source import seeded_random
+from cobaltpond.rpc import CALL_ERRORS, ResponseStream, call, json_response, serve_rpc
 from cobaltpond.wire import http1
 
 MS, SECOND = 1000, 1_000_000
@@ -38,7 +47,7 @@
 
     def __init__(self, seed):
         self.cut, self.lose, self.repeat, self.late = False, 0.0, 0.0, (0, 0)
-        self.chance, self.passed, self.dropped = seeded(seed), 0, 0
+        self.chance, self.passed, self.dropped = seeded_random(seed), 0, 0
 
     def deliveries(self):
         """After how many microseconds a datagram comes out, once for each time that it does."""
@@ -67,7 +76,7 @@
         pairs = [(a, b) for a in range(count) for b in range(count) if a != b]
         self.links = {pair: Link(f"{seed}/{pair}") for pair in pairs}
         for _ in range(50):  # a run is free of listeners; datagrams are another matter
-            self.lock, base = free_run(self.loop.kernel, 4 * count + count * count + 8)
+            self.lock, base = reserve_ports(self.loop.kernel, 4 * count + count * count + 8)
             at = iter(range(base, base + 4 * count + count * count + 8))
             self.doors, self.binds, self.lists, self.desks = (
                 [next(at) for _ in range(count)] for _ in range(4)
@@ -78,9 +87,9 @@
             )  # where one believes the other to be
             try:
                 for bind in self.binds:  # the gateways' own, tried and left to them
-                    self.loop.kernel.datagrams(("127.0.0.1", bind)).close()
+                    self.loop.kernel.open_datagrams(("127.0.0.1", bind)).close()
                 for pair, port in self.ports.items():
-                    self.sockets[pair] = self.loop.kernel.datagrams(("127.0.0.1", port))
+                    self.sockets[pair] = self.loop.kernel.open_datagrams(("127.0.0.1", port))
                 break
             except OSError:
                 self.close()
@@ -101,7 +110,7 @@
             ):
                 listener = self.loop.kernel.listen(("127.0.0.1", port), 64)
                 self.loop.spawn(
-                    service(
+                    serve_rpc(
                         self.loop,
                         listener,
                         lambda request, n=n, handler=handler: handler(n, request),
@@ -182,9 +191,9 @@
         whole = {"epoch": self.epoch, "revision": self.revision, "base": None, "rows": self.rows}
         self.asked.append((self.loop.kernel.now(), "list", n))
         if "watch" not in request.query:
-            return json_answer(200, whole)
-        stream = self.streams[n]["list"] = Stream()
-        stream.put(whole)
+            return json_response(200, whole)
+        stream = self.streams[n]["list"] = ResponseStream()
+        stream.send_object(whole)
         return stream
 
     def tell_list(self, row, to):
@@ -192,18 +201,18 @@
         self.rows = [r if r["id"] != row["id"] else row for r in self.rows]
         self.revision += 1
         for n in to:
-            self.streams[n]["list"].put(
+            self.streams[n]["list"].send_object(
                 {"epoch": self.epoch, "revision": self.revision, "base": self.revision - 1, "rows": [row]}
             )
 
     def on_desk(self, n, request):
         if request.path == "/v1/votes":
-            self.votes.append((n, request.json()))
-            return json_answer(200, {"news": self.told(n)})
+            self.votes.append((n, request.json_object()))
+            return json_response(200, {"news": self.told(n)})
         self.asked.append((self.loop.kernel.now(), "desk", n))
         self.seen[n] = json.loads(request.query.get("seen") or "null")
-        stream = self.streams[n]["desk"] = Stream()
-        stream.put({"news": self.told(n)})
+        stream = self.streams[n]["desk"] = ResponseStream()
+        stream.send_object({"news": self.told(n)})
         return stream
 
     def told(self, n):
@@ -214,7 +223,7 @@
         for n in to:
             self.news[n] = news
             if "desk" in self.streams[n]:
-                self.streams[n]["desk"].put({"news": self.told(n)})
+                self.streams[n]["desk"].send_object({"news": self.told(n)})
 
     def beat(self):
         """The desk says its news again and again; not to those that it has forgotten."""
@@ -222,11 +231,11 @@
             yield Sleep(500 * MS)
             for n in range(self.count):
                 if "desk" in self.streams[n] and n not in self.deaf_desk:
-                    self.streams[n]["desk"].put({"news": self.told(n)})
+                    self.streams[n]["desk"].send_object({"news": self.told(n)})
 
     # --- the processes --------------------------------------------------------------------------------------
 
-    def sheet(self, n):
+    def settings_path(self, n):
         path = os.path.join(self.folder, f"sheet-{n}.star")
         lines = [SHEET % {"list": self.lists[n], "desk": self.desks[n]}]
         for m in range(self.count):
@@ -247,7 +256,7 @@
     def start(self, *numbers):
         for n in numbers:
             self.children[n] = self.loop.kernel.spawn(
-                [sys.executable, "-m", "cobaltpond", "gateway", self.sheet(n), "--number", str(n)],
+                [sys.executable, "-m", "cobaltpond", "gateway", self.settings_path(n), "--number", str(n)],
                 os.path.join(self.folder, f"gateway-{n}.log"),
             )
 
@@ -263,7 +272,7 @@
         try:
             with Deadline(self.loop, 4 * SECOND):
                 return (yield from call(self.loop, ("127.0.0.1", self.doors[n]), method, path, b"", SECOND))
-        except (*FAILED, TimedOut):
+        except (*CALL_ERRORS, DeadlineExceededError):
             return None, b""
 
     def status(self, n):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cobaltpond.audit.check import check_all
+from cobaltpond.audit.check import check_rules
 from cobaltpond.audit.findings import RULES
 
 S = 1_000_000
@@ -136,7 +136,7 @@
             )
 
     def broken(self, **sheet):
-        found = check_all(self.crowd, self.yard, self.acts, {**SHEET, **sheet})
+        found = check_rules(self.crowd, self.yard, self.acts, {**SHEET, **sheet})
         return [rule for rule in RULES if found.broken[rule]]
 
 
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -9,25 +9,25 @@
 from hypothesis import strategies as st
 
 from cobaltpond.builds.manifest import (
-    Downgraded,
-    Expired,
-    KeyOutOfTime,
-    Malformed,
-    Oversized,
-    Ring,
-    Truncated,
-    Unfit,
-    UnknownKey,
-    Unsigned,
-    WrongBuild,
-    WronglySigned,
-    next_ring,
+    BadSignatureError,
+    DowngradeError,
+    ExpiredError,
+    KeyRing,
+    KeyValidityError,
+    MalformedError,
+    ManifestError,
+    OversizedError,
+    TruncatedError,
+    UnknownKeyError,
+    UnsignedError,
+    WrongBuildError,
     read_manifest,
+    read_next_ring,
     write_ring,
 )
-from cobaltpond.builds.store import Full, Rotten, Store, WrongDigest
-from cobaltpond.loop import EpollKernel, Refused
-from cobaltpond.wal import Broken, Journal
+from cobaltpond.builds.store import CorruptChunkError, DigestMismatchError, Store, StoreFullError
+from cobaltpond.loop import EpollKernel, RefusedError
+from cobaltpond.wal import Journal, JournalError
 
 
 def changed(data, old, new):
@@ -38,30 +38,30 @@
 @pytest.mark.parametrize(
     "data, error, more",
     [
-        (GOOD, Oversized, {"most_size": 1000}),
-        (b"x" * (9 << 20), Oversized, {}),
-        (changed(GOOD, b"-1 ", b"-1 9999"), Oversized, {}),
-        (GOOD[:15], Truncated, {}),
-        (GOOD[:300], Truncated, {}),
-        (GOOD[:-10], Truncated, {}),
-        (GOOD[: GOOD.index(b"sig ")], Unsigned, {}),
-        (changed(GOOD, b"sig one", b"sig who"), UnknownKey, {}),
-        (build(signers=("old",))[0], KeyOutOfTime, {}),
-        (changed(GOOD, b'"build":42', b'"build":43'), WronglySigned, {}),
-        (GOOD[:-60] + b"A" * 59 + b"\n", WronglySigned, {}),
-        (GOOD, Expired, {"now": 950}),
-        (GOOD, Downgraded, {"least": 43}),
-        (GOOD, WrongBuild, {"ordered": 41}),
-        (b"hello\nworld\n", Malformed, {}),
-        (changed(GOOD, b"sig one", b"sog one"), Malformed, {}),
-        (build(files={"../up": b"x"})[0], Malformed, {}),
-        (build(files={"a": b"x", "a/b": b"y"})[0], Malformed, {}),
-        (build(entry=["nope"])[0], Malformed, {}),
-        (build(earlier=(42, "0" * 64))[0], Malformed, {}),
+        (GOOD, OversizedError, {"most_size": 1000}),
+        (b"x" * (9 << 20), OversizedError, {}),
+        (changed(GOOD, b"-1 ", b"-1 9999"), OversizedError, {}),
+        (GOOD[:15], TruncatedError, {}),
+        (GOOD[:300], TruncatedError, {}),
+        (GOOD[:-10], TruncatedError, {}),
+        (GOOD[: GOOD.index(b"sig ")], UnsignedError, {}),
+        (changed(GOOD, b"sig one", b"sig who"), UnknownKeyError, {}),
+        (build(signers=("old",))[0], KeyValidityError, {}),
+        (changed(GOOD, b'"build":42', b'"build":43'), BadSignatureError, {}),
+        (GOOD[:-60] + b"A" * 59 + b"\n", BadSignatureError, {}),
+        (GOOD, ExpiredError, {"now": 950}),
+        (GOOD, DowngradeError, {"least": 43}),
+        (GOOD, WrongBuildError, {"ordered": 41}),
+        (b"hello\nworld\n", MalformedError, {}),
+        (changed(GOOD, b"sig one", b"sog one"), MalformedError, {}),
+        (build(files={"../up": b"x"})[0], MalformedError, {}),
+        (build(files={"a": b"x", "a/b": b"y"})[0], MalformedError, {}),
+        (build(entry=["nope"])[0], MalformedError, {}),
+        (build(earlier=(42, "0" * 64))[0], MalformedError, {}),
     ],
 )
 def test_each_unfit_manifest_has_its_own_error(data, error, more):
-    with pytest.raises(Unfit) as trouble:
+    with pytest.raises(ManifestError) as trouble:
         read_manifest(data, RING, **{"now": 500, **more})
     assert type(trouble.value) is error, trouble.value
 
@@ -77,24 +77,24 @@
     data = GOOD[:at] + bytes([byte]) + GOOD[at + 1 :]
     try:
         read_manifest(data, RING, 500)
-    except Unfit:
+    except ManifestError:
         return
     # the last bits of base64 may be anything (RFC 4648, 3.5): the body is the same then
     assert data[: data.index(b"sig ")] == GOOD[: GOOD.index(b"sig ")]
 
 
 def test_keys_are_rotated_by_keys_that_are_trusted():
-    new = Ring(2, [key("two", 0, 5000)])
-    assert next_ring(RING, write_ring(new, {"one": KEYS["one"]}), 500) == new
+    new = KeyRing(2, [key("two", 0, 5000)])
+    assert read_next_ring(RING, write_ring(new, {"one": KEYS["one"]}), 500) == new
     for ring, signer, now, error in (
-        (new, "two", 500, UnknownKey),
-        (new, "old", 500, KeyOutOfTime),
-        (Ring(1, new.keys), "one", 500, Downgraded),
-        (Ring(3, []), "one", 500, KeyOutOfTime),
+        (new, "two", 500, UnknownKeyError),
+        (new, "old", 500, KeyValidityError),
+        (KeyRing(1, new.keys), "one", 500, DowngradeError),
+        (KeyRing(3, []), "one", 500, KeyValidityError),
     ):
         with pytest.raises(error):
-            next_ring(RING, write_ring(ring, {signer: KEYS[signer]}), now)
-    with pytest.raises(UnknownKey):
+            read_next_ring(RING, write_ring(ring, {signer: KEYS[signer]}), now)
+    with pytest.raises(UnknownKeyError):
         read_manifest(GOOD, new, 500)
 
 
@@ -177,7 +177,7 @@
         store = Store(kernel, folder)
         try:
             for name, data in chunks.items():
-                store.put(name, data)
+                store.put_chunk(name, data)
                 log.append(name)
             store.assemble(manifest, signed)
             log.append("built")
@@ -191,9 +191,9 @@
         if "built" not in log:
             assert set(log) <= set(store.chunks)
         for name in store.chunks:
-            assert store.read(name) == chunks[name]
+            assert store.read_chunk(name) == chunks[name]
         if store.builds():
-            assert store.sound(manifest) and store.manifest(42) == signed
+            assert store.is_intact(manifest) and store.manifest(42) == signed
         left = [n for _, _, names in os.walk(folder) for n in names if n.endswith(".new")]
         assert not left
         store.close()
@@ -213,11 +213,11 @@
                     journal.sync()
                 log.append(n)
         finally:
-            journal.held.close()
+            journal.lock.close()
 
     def check(kernel, folder, log, whole):
         journal = Journal(kernel, folder)
-        start = journal.state["upto"] + 1 if journal.state else 0
+        start = journal.snapshot_state["upto"] + 1 if journal.snapshot_state else 0
         got = [*range(start), *journal.records]
         assert got[: len(log)] == log and len(got) <= len(log) + 1, (got, log)
         journal.append("more")
@@ -245,13 +245,13 @@
     again = Journal(EpollKernel(), folder)
     whole = data[:at].count(b"\n")
     assert [r["n"] for r in again.records] == list(range(len(again.records))) and len(again.records) >= whole
-    assert again.cut is None or again.cut[1] <= at
+    assert again.truncation is None or again.truncation[1] <= at
     again.close()
 
 
 def test_two_owners_and_a_sync_that_fails(tmp_path):
     journal = Journal(EpollKernel(), str(tmp_path))
-    with pytest.raises(Refused):
+    with pytest.raises(RefusedError):
         Journal(EpollKernel(), str(tmp_path))
 
     def fails():
@@ -259,9 +259,9 @@
 
     journal.append(1)
     journal.file.sync = fails
-    with pytest.raises(Broken):
+    with pytest.raises(JournalError):
         journal.sync()
-    with pytest.raises(Broken):
+    with pytest.raises(JournalError):
         journal.append(2)
 
 
@@ -269,21 +269,21 @@
     signed, chunks = build()
     store, manifest = Store(EpollKernel(), str(tmp_path), most=40_000), read_manifest(signed, RING, 500)
     name = next(iter(chunks))
-    with pytest.raises(WrongDigest):
-        store.put(name, b"other")
+    with pytest.raises(DigestMismatchError):
+        store.put_chunk(name, b"other")
     for each, data in chunks.items():
-        store.put(each, data)
+        store.put_chunk(each, data)
     with open(store.chunk_path(name), "r+b") as file:
         file.write(b"!")
-    with pytest.raises(Rotten):
+    with pytest.raises(CorruptChunkError):
         store.assemble(manifest, signed)
-    assert name in store.missing(manifest) and store.builds() == []
-    with pytest.raises(Full):
+    assert name in store.missing_chunks(manifest) and store.builds() == []
+    with pytest.raises(StoreFullError):
         for n in range(20):
             data = bytes([n]) * 4000
-            from cobaltpond.builds.manifest import digest
+            from cobaltpond.builds.manifest import content_digest
 
-            store.put(digest(data), data)
+            store.put_chunk(content_digest(data), data)
     assert store.used <= 40_000
 
 
@@ -312,18 +312,18 @@
     store, manifest, came = Store(kernel, str(tmp_path)), read_manifest(signed, RING, 500), []
     try:
         for name, data in chunks.items():
-            store.put(name, data)
+            store.put_chunk(name, data)
             came.append(name)
         store.assemble(manifest, signed)
         assert kernel.left > 0
-    except Full:
+    except StoreFullError:
         assert kernel.left == 0
     left = [name for _, _, files in os.walk(tmp_path) for name in files]
     assert not [name for name in left if name.endswith(".new")] and set(came) == set(store.chunks)
     assert store.used == sum(len(chunks[name]) for name in came) and not os.path.exists(
         tmp_path / "builds/42.new"
     )
-    for name in store.missing(manifest):
-        store.put(name, chunks[name])
+    for name in store.missing_chunks(manifest):
+        store.put_chunk(name, chunks[name])
     store.assemble(manifest, signed)
-    assert store.sound(manifest) and store.builds() == [42]
+    assert store.is_intact(manifest) and store.builds() == [42]
