--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -4,12 +4,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cobaltpond.gateway.customer_shares import Shares
-from cobaltpond.gateway.instance_list import Gap, Held
+from cobaltpond.gateway.customer_shares import CustomerShares
+from cobaltpond.gateway.instance_list import InstanceList, ListGapError
 from cobaltpond.gateway.routes import Routes
-from cobaltpond.settings import BadSheet, read_sheet
+from cobaltpond.settings import SettingsError, read_settings
 from cobaltpond.wire import http1, orca
-from cobaltpond.wire.json_lines import BadLine, Lines, line
+from cobaltpond.wire.json_lines import JsonLineError, JsonLineParser, encode_line
 
 EXAMPLE = open("examples/resale.star").read()
 fixed = settings(derandomize=True, deadline=None, max_examples=150)
@@ -41,35 +41,40 @@
         fields = [(b"host", b"h"), *fields]
         if chunked and method == "POST":
             data += http1.request(method, "/p", fields, None)
-            data += b"".join(http1.chunk(p) for p in (body[:50], body[50:]) if p) + http1.chunk(b"")
+            data += b"".join(http1.encode_chunk(p) for p in (body[:50], body[50:]) if p) + http1.encode_chunk(
+                b""
+            )
         else:
             data += http1.request(method, "/p", fields, body if method == "POST" else b"")
     cuts = sorted({0, len(data), *(c for c in cuts if c < len(data))})
     pieces = [data[a:b] for a, b in zip(cuts, cuts[1:], strict=False)]
-    whole = events(http1.RequestParser(http1.Limits()), [data])
-    assert events(http1.RequestParser(http1.Limits()), pieces) == whole
+    whole = events(http1.RequestParser(http1.MessageLimits()), [data])
+    assert events(http1.RequestParser(http1.MessageLimits()), pieces) == whole
     assert sum(kind == "end" for kind, _ in whole) == len(hits)
     bodies = b"".join(value for kind, value in whole if kind == "body")
     assert bodies == b"".join(body for method, _, body, _ in hits if method == "POST")
 
 
 def test_a_line_nested_without_end_is_a_bad_line():
-    with pytest.raises(BadLine):
-        Lines().feed(b"[" * 200_000 + b"\n")
+    with pytest.raises(JsonLineError):
+        JsonLineParser().feed(b"[" * 200_000 + b"\n")
 
 
 @fixed
 @given(st.binary(max_size=400))
 def test_any_bytes_are_read_or_refused(data):
-    for parser in (http1.RequestParser(http1.Limits(head=200)), http1.ResponseParser(http1.Limits(head=200))):
+    for parser in (
+        http1.RequestParser(http1.MessageLimits(head=200)),
+        http1.ResponseParser(http1.MessageLimits(head=200)),
+    ):
         try:
             parser.feed(data)
-        except http1.BadMessage as trouble:
+        except http1.HttpMessageError as trouble:
             assert 400 <= trouble.status <= 505
 
 
 def test_answers_that_end_with_the_connection_and_answers_cut():
-    parser = http1.ResponseParser(http1.Limits())
+    parser = http1.ResponseParser(http1.MessageLimits())
     assert [k for k, _ in parser.feed(b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\n\r\nab")] == [
         "head",
         "body",
@@ -81,16 +86,16 @@
         b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n",
     ):
-        parser = http1.ResponseParser(http1.Limits())
+        parser = http1.ResponseParser(http1.MessageLimits())
         parser.feed(cut)
-        with pytest.raises(http1.Cut):
+        with pytest.raises(http1.TruncatedMessageError):
             parser.closed()
 
 
 def test_load_reports_in_both_forms_and_junk():
     report = {"util": 0.5, "inflight": 7.0, "latency_ms": 12.0}
-    assert orca.read(orca.write(report)) == report
-    assert orca.read(b'JSON {"cpu_utilization": 0.3, "named_metrics": {"inflight": 4}}') == {
+    assert orca.parse_load_report(orca.format_load_report(report)) == report
+    assert orca.parse_load_report(b'JSON {"cpu_utilization": 0.3, "named_metrics": {"inflight": 4}}') == {
         "util": 0.3,
         "inflight": 4,
     }
@@ -103,15 +108,15 @@
         b"BIN abc",
         b"TEXT inflight=-1, util=nan",
     ):
-        assert orca.read(junk) == {}
+        assert orca.parse_load_report(junk) == {}
 
 
 def test_lines_are_cut_and_bounded():
-    lines = Lines(most=100)
-    assert lines.feed(line({"a": 1}) + b'{"b"') == [{"a": 1}] and lines.feed(b":2}\n") == [{"b": 2}]
+    lines = JsonLineParser(most=100)
+    assert lines.feed(encode_line({"a": 1}) + b'{"b"') == [{"a": 1}] and lines.feed(b":2}\n") == [{"b": 2}]
     for junk in (b"[1]\n", b"{x\n", b"x" * 101):
-        with pytest.raises(BadLine):
-            Lines(most=100).feed(junk)
+        with pytest.raises(JsonLineError):
+            JsonLineParser(most=100).feed(junk)
 
 
 ROW = {
@@ -131,7 +136,7 @@
 
 
 def test_a_restart_moves_the_start_and_nothing_else_does():
-    held = Held()
+    held = InstanceList()
     ((row, address),) = held.apply(1000, told(1, None, {}))[1]
     assert (row["started"], address) == (950, ("127.0.0.1", 1))
     ((row, _),) = held.apply(5000, told(2, 1, {"age_us": 4060}))[1]  # told with another lateness
@@ -141,15 +146,15 @@
 
 
 def test_gaps_repeats_and_lists_overtaken():
-    held = Held()
+    held = InstanceList()
     held.apply(0, told(5, None, {}))
     assert held.apply(0, told(5, 4, {})) == (False, []) and held.apply(0, told(4, None, {})) == (False, [])
     for gap in (told(7, 6, {}), told(6, 5, {}, epoch="other")):
-        with pytest.raises(Gap):
+        with pytest.raises(ListGapError):
             held.apply(0, gap)
     assert held.revision == 5
     for junk in ({}, {"base": None}, told(6, 5, {"state": "odd"}), told(6, 5, {"address": "x"})):
-        with pytest.raises(BadLine):
+        with pytest.raises(JsonLineError):
             held.apply(0, junk)
     assert held.revision == 5 and held.rows["i1"]["state"] == "up"
 
@@ -157,22 +162,22 @@
 @fixed
 @given(st.integers(0, 400), st.integers(0, 255))
 def test_a_kept_list_is_read_whole_or_not_at_all(at, byte):
-    held = Held()
+    held = InstanceList()
     held.apply(100, told(3, None, {}, {"id": "i2", "start": 9}))
-    data = held.kept(600)
-    back = Held.from_disk(data)
+    data = held.to_disk(600)
+    back = InstanceList.from_disk(data)
     assert back["rows"][0]["age_us"] == 550
-    assert Held.from_disk(data[:at]) is None or at >= len(data) - 1
+    assert InstanceList.from_disk(data[:at]) is None or at >= len(data) - 1
     if at < len(data) - 1 and data[at] != byte:
-        torn = Held.from_disk(data[:at] + bytes([byte]) + data[at + 1 :])
+        torn = InstanceList.from_disk(data[:at] + bytes([byte]) + data[at + 1 :])
         assert torn is None or torn == back  # a checksum in capitals is the same checksum
 
 
 def test_routes_first_fit_and_keys():
-    routes = Routes(read_sheet("x", EXAMPLE))
+    routes = Routes(read_settings("x", EXAMPLE))
 
     def head(method, target, *fields):
-        return http1.Head(method, target, fields=list(fields))
+        return http1.MessageHead(method, target, fields=list(fields))
 
     asked = routes.read(
         head(
@@ -191,18 +196,18 @@
         True,
     )
     assert 0 <= asked.key < 1 << 53
-    with pytest.raises(http1.BadMessage):
+    with pytest.raises(http1.HttpMessageError):
         routes.read(head("POST", b"/purchases"))
     assert routes.read(head("POST", b"/purchases", (b"idempotency-key", b"m"))).group.kind == "tagged"
 
 
 def test_shares_name_who_is_over():
-    shares = Shares({"a": 0.5, "b": 0.5}, 1000)
+    shares = CustomerShares({"a": 0.5, "b": 0.5}, 1000)
     for n in range(20):
-        shares.enter(n * 10, "a" if n % 4 else "b")
-    assert shares.over("a") and not shares.over("b") and not shares.over(None)
-    shares.enter(5000, "b")
-    assert not shares.over("a")
+        shares.record_hit(n * 10, "a" if n % 4 else "b")
+    assert shares.is_over_share("a") and not shares.is_over_share("b") and not shares.is_over_share(None)
+    shares.record_hit(5000, "b")
+    assert not shares.is_over_share("a")
 
 
 @pytest.mark.parametrize(
@@ -227,8 +232,8 @@
 )
 def test_a_bad_sheet_says_where_and_what(old, new, said):
     assert old in EXAMPLE
-    with pytest.raises(BadSheet) as trouble:
-        read_sheet("f.star", EXAMPLE.replace(old, new, 1))
+    with pytest.raises(SettingsError) as trouble:
+        read_settings("f.star", EXAMPLE.replace(old, new, 1))
     assert said in str(trouble.value)
 
 
@@ -240,4 +245,4 @@
         for name in ("rules", "choosing", "judging", "voting", "records")
     )
     picked = set(re.findall(r'sheet(?:\.get\(|\[)"([a-z_]+)"', text)) - {"customers"}
-    assert picked and not picked - set(read_sheet("x", EXAMPLE).runsheet(1)), picked
+    assert picked and not picked - set(read_settings("x", EXAMPLE).policy_settings(1)), picked
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -4,7 +4,7 @@
 from rig import MS, SECOND, Rig
 
 from cobaltpond.loop import Sleep
-from cobaltpond.recovery.measure import greatest
+from cobaltpond.recovery.measure import max_in_window
 
 SETTLE = "recovery(dials = 40.0, calls = 40.0, settle = s(6), snapshot_every = ms(300))"
 
@@ -127,7 +127,7 @@
         assert len(times) >= 4 and times[-1] - times[0] > 150 * MS, (what, times)
     for name, times in one.dials.items():
         times = [at for at in times if at >= begin]
-        assert times and greatest(times) <= 10 + 3 * 10**0.5, (name, len(times))
+        assert times and max_in_window(times) <= 10 + 3 * 10**0.5, (name, len(times))
     assert all(n > 20 for n in one.served.values())
 
 
@@ -138,7 +138,7 @@
     def kept(n):
         def is_kept():
             yield Sleep(0)
-            return (kernel.size(one.snapshot(n)) or 0) > 0
+            return (kernel.file_size(one.snapshot(n)) or 0) > 0
 
         return is_kept
 
@@ -254,7 +254,7 @@
             revision if how == "older" else 1,
         )
         for n in range(2):
-            one.streams[n]["list"].end()  # the list is back, and knows nothing of what it was
+            one.streams[n]["list"].close()  # the list is back, and knows nothing of what it was
 
         def doubted():
             yield Sleep(0)
@@ -288,7 +288,7 @@
         yield from one.until(lambda: heard("going back"))
         one.seen.clear()
         for n in range(2):
-            one.streams[n]["desk"].end()
+            one.streams[n]["desk"].close()
         yield from one.until(asked_again)
 
     def heard(phase):
--- a/tests/test_comeback_sim.py
+++ b/tests/test_comeback_sim.py
@@ -3,14 +3,14 @@
 
 from test_transcripts import BASE, KNOWN
 
-from cobaltpond.sim.runner import Simulated
-from cobaltpond.sim.scenarios import read_scenario
+from cobaltpond.sim.runner import SimulatedScenario
+from cobaltpond.sim.scenarios import read_fault_scenario
 
 
 def played(more, gateways=2, length=14, rate=20.0, before=lambda sim: None):
     """The gateways' statuses at the end of a day in which nothing was found."""
     text = BASE % {"length": length, "rate": rate, "gateways": gateways, "agents": False} + KNOWN + more
-    sim = Simulated(read_scenario("comeback", text, 3))
+    sim = SimulatedScenario(read_fault_scenario("comeback", text, 3))
     before(sim)
     verdict = sim.run()
     assert verdict.found == [] and verdict.result, verdict.found
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -7,12 +7,12 @@
 
 from cobaltpond.loop import (
     Connection,
+    ConnectionLostError,
     Deadline,
-    PeerLost,
+    DeadlineExceededError,
     Readable,
-    Refused,
+    RefusedError,
     Sleep,
-    TimedOut,
     Writable,
     dial,
 )
@@ -123,7 +123,7 @@
     one.close()
     try:
         yield from task.join()
-    except PeerLost:
+    except ConnectionLostError:
         return "PeerLost"
 
 
@@ -134,7 +134,7 @@
     listener.close()
     try:
         yield from dial(loop, address, 500 * MS)
-    except Refused:
+    except RefusedError:
         return "refused"
 
 
@@ -145,7 +145,7 @@
     try:
         for _ in range(10):
             kept.append((yield from dial(loop, listener.address(), 60 * MS)))
-    except TimedOut:
+    except DeadlineExceededError:
         return "hangs", len(kept)
 
 
@@ -257,7 +257,7 @@
 
 @case
 def datagrams_go_to_whom_they_are_sent(loop, folder):
-    one, other = loop.kernel.datagrams(HERE), loop.kernel.datagrams(HERE)
+    one, other = loop.kernel.open_datagrams(HERE), loop.kernel.open_datagrams(HERE)
     empty = other.recv(100)
     sent = one.send(b"hello", other.address())
     yield Readable(other)
@@ -270,8 +270,8 @@
 
 @case
 def a_datagram_to_nobody_is_lost(loop, folder):
-    one = loop.kernel.datagrams(HERE)
-    gone = loop.kernel.datagrams(HERE)
+    one = loop.kernel.open_datagrams(HERE)
+    gone = loop.kernel.open_datagrams(HERE)
     address = gone.address()
     gone.close()
     sent = one.send(b"x", address)
@@ -300,7 +300,7 @@
     for _ in range(20):
         yield Sleep(0)
         seen.append(loop.kernel.now())
-    return seen == sorted(seen), loop.kernel.wall() > 1_600_000_000_000_000
+    return seen == sorted(seen), loop.kernel.wall_clock() > 1_600_000_000_000_000
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda function: function.__name__)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -62,7 +62,7 @@
         yield from client.send(statement(1, "pay"), start=True)
         yield from world.until(lambda: world.connections == 2)
         client.connection.close()
-        yield from world.until(lambda: not world.edge.door.clients)
+        yield from world.until(lambda: not world.edge.frontend.clients)
         world.left = True
         yield from world.until(lambda: not world.edge.host.hits)
 
@@ -85,14 +85,14 @@
         client = yield from settled(world, statement(1))
         others = []
         for _ in range(
-            world.edge.config.client_room // 2 + 1
+            world.edge.config.client_connection_limit // 2 + 1
         ):  # more than half of the room: the sweep closes
             others.append((yield from settled(world, statement(2))))
         yield Sleep(400 * MS)
-        for idle in world.edge.door.clients:
+        for idle in world.edge.frontend.clients:
             idle.active -= 3_000 * MS  # as if it had idled for that long
-        client.connection.write_now(pg.query(statement(3)))
-        close(world.edge.door)
+        client.connection.write_now(pg.query_message(statement(3)))
+        close(world.edge.frontend)
         return told((yield from client.read()))
 
     assert world.run(go()) == OK
@@ -104,9 +104,9 @@
 
     def go():
         idle, client = (yield from settled(world, statement(1))), (yield from settled(world, statement(2)))
-        whole = pg.query(statement(7))
+        whole = pg.query_message(statement(7))
         yield from client.connection.write(whole[:half])
-        yield from world.until(lambda: any(c.asked.torn for c in world.edge.door.clients))
+        yield from world.until(lambda: any(c.asked.has_partial for c in world.edge.frontend.clients))
         world.edge.stop("TERM")
         assert (yield from idle.read())[-1][0] == b"end"  # what idles was closed; the half was not
         yield from client.connection.write(whole[half:])
@@ -124,14 +124,14 @@
 
     def then(number):
         if number == 2:
-            clients[0].connection.write_now(pg.query(statement(3)))
+            clients[0].connection.write_now(pg.query_message(statement(3)))
 
     world = PgWorld(answering_then(good, then))
 
     def go():
         clients.append((yield from settled(world, statement(1))))
         world.edge.stop("TERM")
-        yield from world.until(lambda: world.edge.door.draining)
+        yield from world.until(lambda: world.edge.frontend.draining)
         yield from clients[0].send(statement(2))
         first, second = (yield from clients[0].read()), (yield from clients[0].read())
         return told(first), told(second), (yield from clients[0].read())
@@ -139,7 +139,9 @@
     assert world.run(go()) == (OK, OK, [(b"end", b"")])
 
 
-@pytest.mark.parametrize("begun", [b"", pg.startup("web", "orders"), pg.startup("web", "orders") + b"Q\0\0"])
+@pytest.mark.parametrize(
+    "begun", [b"", pg.startup_message("web", "orders"), pg.startup_message("web", "orders") + b"Q\0\0"]
+)
 def test_who_is_closed_to_make_room_is_told_so_first(begun):
     """A new connection that ends without a word counts as lost: the refusal goes out before the close, and
     the rest of what its client was sending does not reset it away."""
@@ -148,11 +150,11 @@
     def go():
         client = yield from world.connect()
         yield from client.connection.write(begun)
-        yield from world.until(lambda: world.edge.door.clients)
+        yield from world.until(lambda: world.edge.frontend.clients)
         if len(begun) > 3:
             yield from client.read()
         yield Sleep(200 * MS)
-        world.edge.door.evict()
+        world.edge.frontend.evict()
         if begun.endswith(b"Q\0\0"):
             yield from client.connection.write(b"\0" * 500)
         return (yield from client.read())
@@ -169,7 +171,7 @@
     the attempt that is never made is the second one, and must not pass for the first."""
     clients = []
     script = answering_then(
-        lambda text: pg.error("53300", "full") + pg.READY,
+        lambda text: pg.error_response("53300", "full") + pg.READY_FOR_QUERY,
         lambda number: clients[0].connection.close(),
         client_first,
     )
@@ -180,7 +182,7 @@
         clients.append(client)
         yield from client.send(statement(1, "pay"), start=True)
         yield from world.until(lambda: world.got)
-        yield from world.until(lambda: not world.edge.host.hits and not world.edge.door.clients)
+        yield from world.until(lambda: not world.edge.host.hits and not world.edge.frontend.clients)
         yield Sleep(20 * MS)
 
     world.run(go())
--- a/tests/test_crossings_ends.py
+++ b/tests/test_crossings_ends.py
@@ -43,7 +43,7 @@
     world = PgWorld(answering(lambda text, _: good(text)), tmp=tmp_path)
 
     def go():
-        yield from world.until(lambda: world.edge.discovery.heard)
+        yield from world.until(lambda: world.edge.discovery.has_heard)
         for _ in range(2):
             world.hup(discovery=f"127.0.0.1:{world.base + 3}")
         yield from world.until(lambda: any(offset == 3 for offset, _, _ in world.asked))
@@ -104,7 +104,7 @@
         world.edge.stop("TERM")
         with Deadline(world.loop, 100 * MS):
             yield from world.main.join()
-        return world.edge.door.listener
+        return world.edge.frontend.listener
 
     assert world.run(go()) is None
 
@@ -117,7 +117,7 @@
         yield from client.send(statement(1, "pay", 700), statement(2), statement(3), start=True)
         yield from client.read()
         yield from world.until(lambda: world.got)
-        yield from world.edge.door.drain(20 * MS, 60 * MS)
+        yield from world.edge.frontend.drain(20 * MS, 60 * MS)
         open_hits, got = world.edge.host.open_hits, []
         for _ in range(3):
             got.append(told((yield from client.read()))[0])
@@ -134,12 +134,12 @@
         client = yield from world.connect()
         yield from client.send(start=True)
         yield from client.read()
-        (owner,) = world.edge.door.clients
+        (owner,) = world.edge.frontend.clients
         owner.connection.handle.sock.setsockopt(1, 7, 4096)  # SOL_SOCKET, SO_SNDBUF
-        owner.put(pg.message(b"N", b"x" * big))  # a notice, as large as any
+        owner.send_data(pg.message(b"N", b"x" * big))  # a notice, as large as any
         assert owner.writer is not None
         yield from client.send(statement(1))
-        drain = world.loop.spawn(world.edge.door.drain(20 * MS, 1_200 * MS), "drain")
+        drain = world.loop.spawn(world.edge.frontend.drain(20 * MS, 1_200 * MS), "drain")
         yield Sleep(900 * MS)  # longer than a client has to close after our end of file
         assert owner.unread and not drain.done
         got = yield from client.read()
@@ -158,14 +158,14 @@
         yield from client.send(statement(1, "pay", 700), start=True)
         yield from client.read()
         yield from client.connection.write(
-            pg.query(statement(2))[:20]
+            pg.query_message(statement(2))[:20]
         )  # and half of another, that never ends
         yield from world.until(lambda: world.got)
         at.append(time.monotonic())
         kernel = world.loop.kernel
-        kernel.signal_call = world.edge.stop
+        kernel.signal_handler = world.edge.stop
         world.loop.call_in(
-            0, lambda: (kernel.signalled.append("TERM"), time.sleep(0.4))
+            0, lambda: (kernel.pending_signals.append("TERM"), time.sleep(0.4))
         )  # the loop lags over it
         got = [told((yield from client.read()))[0], (yield from client.read())[0][0]]
         yield from world.main.join()
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -8,7 +8,7 @@
 
 from cobaltpond.edge import discovery, platform
 from cobaltpond.loop import Sleep
-from cobaltpond.rpc import json_answer
+from cobaltpond.rpc import json_response
 from cobaltpond.wire import pg
 
 MS = 1000
@@ -36,7 +36,7 @@
 
 
 def state(world):
-    return {id: place.row["state"] for id, place in world.edge.places.by_id.items()}
+    return {id: place.row["state"] for id, place in world.edge.endpoints.by_id.items()}
 
 
 # --- two sources of the list ---
@@ -64,7 +64,7 @@
             held.pop(name).write_now(lists[name])
         yield from world.until(lambda: state(world) == {"s-0": "draining"})
         yield Sleep(50 * MS)
-        return state(world), world.edge.discovery.listed.seq
+        return state(world), world.edge.discovery.instances.seq
 
     assert world.run(go()) == ({"s-0": "draining"}, 7)
 
@@ -80,16 +80,16 @@
     def behind(request):
         asked.append(request.query.get("after"))
         if "after" not in request.query:
-            return json_answer(200, whole(5, up))
+            return json_response(200, whole(5, up))
         return (
-            json_answer(200, {"seq": 9, "whole": False, "hosts": [drains, more]})
+            json_response(200, {"seq": 9, "whole": False, "hosts": [drains, more]})
             if len(asked) == 2
             else later()
         )
 
     def later():
         yield Sleep(1_900 * MS)
-        return json_answer(200, {"seq": 9, "whole": False, "hosts": []})
+        return json_response(200, {"seq": 9, "whole": False, "hosts": []})
 
     world.answers[3] = behind
 
@@ -115,11 +115,11 @@
     def go():
         world.seq = 40
         world.tell(host="s-0", share=0.5)
-        yield from world.until(lambda: world.edge.discovery.listed.seq == 41)
+        yield from world.until(lambda: world.edge.discovery.instances.seq == 41)
         world.seq, world.changes = 2, []
         world.hosts = [{**world.hosts[0], "health": "draining"}]
         yield from world.until(lambda: state(world) == {"s-0": "draining"})
-        return world.edge.discovery.listed.seq
+        return world.edge.discovery.instances.seq
 
     assert world.run(go()) == 2
 
@@ -291,13 +291,13 @@
     def after():
         world.say(State="reverting", MaxShare=0.0, AgeMs=10)
         yield from world.until(lambda: desk.last[2] == "going back")
-        return json_answer(200, {**trial, "AgeMs": 3050})
+        return json_response(200, {**trial, "AgeMs": 3050})
 
     world.answers[2] = held
 
     def go():
-        yield from world.until(lambda: desk.heard)
-        yield from desk.vote(2, 0, "none")
+        yield from world.until(lambda: desk.has_heard)
+        yield from desk.cast_vote(2, 0, "none")
         yield Sleep(5 * MS)
         decisions = world.edge.host.decisions
         return desk.last, decisions.phase, decisions.cap, decisions.cast_answer
@@ -341,7 +341,7 @@
             yield from world.until(lambda: world.edge.platform.last[0] == 2)
             world.say(**{"Revision": 2, "State": "canary", **then})
             yield from world.until(lambda: world.edge.platform.last[3] < 0.2)
-        yield from connection.write(pg.welcome())
+        yield from connection.write(pg.startup_response())
         while data := (yield from connection.read()):
             world.got.append(data)
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -7,10 +7,10 @@
 from cobaltpond.audit.findings import RULES
 from cobaltpond.cli.main import main
 from cobaltpond.loop import EpollKernel, Loop
-from cobaltpond.scenario.bench_import import BadDay, from_bench
-from cobaltpond.scenario.plan import read_day
-from cobaltpond.scenario.report import figures, table
-from cobaltpond.scenario.runner import DayRun
+from cobaltpond.scenario.bench_import import BenchFileError, import_bench_file
+from cobaltpond.scenario.plan import read_plan
+from cobaltpond.scenario.report import compute_figures, format_report
+from cobaltpond.scenario.runner import ScenarioRun
 
 SCRIPT = """
 day(length = s(%(length)d), rate = %(rate)s, seed = 3)
@@ -41,7 +41,7 @@
     deaths = []
     loop = Loop(EpollKernel(), lambda task, trouble: deaths.append((task.name, trouble)))
     runs = {
-        name: DayRun(loop, plan, str(tmp_path / name), lambda text: None, (extra or {}).get(name))
+        name: ScenarioRun(loop, plan, str(tmp_path / name), lambda text: None, (extra or {}).get(name))
         for name, plan in days.items()
     }
     tasks = {name: loop.spawn(run.run(), name) for name, run in runs.items()}
@@ -59,7 +59,7 @@
 
 
 def day(layout="beside", length=7, rate=40.0, more="", cores=2, agents=False):
-    return read_day(
+    return read_plan(
         "test.star",
         SCRIPT
         % {"layout": layout, "length": length, "rate": rate, "more": more, "cores": cores, "agents": agents},
@@ -119,10 +119,12 @@
 @pytest.mark.parametrize("name", ["sound", "sound, in place", "sound, with agents"])
 def test_a_sound_gateway_keeps_all_rules(results, name):
     found = results[name]["found"]
-    assert found.kept, "\n".join(f"{rule}: {text}" for rule, rows in found.broken.items() for text in rows)
+    assert found.all_kept, "\n".join(
+        f"{rule}: {text}" for rule, rows in found.broken.items() for text in rows
+    )
     assert all(found.checked[rule] > 0 for rule in RULES), found.checked
-    got = figures(results[name])
-    assert got["service"] > 0.8 and got["hits"] > 150 and "exposure" in table(results[name])
+    got = compute_figures(results[name])
+    assert got["service"] > 0.8 and got["hits"] > 150 and "exposure" in format_report(results[name])
 
 
 def test_the_release_went_out_over_sockets(results):
@@ -131,13 +133,13 @@
 
 
 def test_every_hit_of_a_killed_gateway_is_accounted_for(results):
-    seen = figures(results["sound"])["answers"]
+    seen = compute_figures(results["sound"])["answers"]
     assert seen["delivered"] > 150 and seen["lost"] + seen["not sent"] > 0
 
 
 def test_what_is_no_day_of_the_bench_says_so():
-    with pytest.raises(BadDay, match="no day file"):
-        from_bench({"fam": {}}, "x.json")
+    with pytest.raises(BenchFileError, match="no day file"):
+        import_bench_file({"fam": {}}, "x.json")
 
 
 def test_the_command_line_names_file_and_line(tmp_path):
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -5,14 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cobaltpond.desk.stages import GOING_BACK, RELEASED, TRIAL, WITHDRAWN, Refused, Stages
-from cobaltpond.settings.sections import Release
+from cobaltpond.desk.stages import GOING_BACK, RELEASED, TRIAL, WITHDRAWN, ReleaseRefusedError, ReleaseStages
+from cobaltpond.settings.sections import ReleaseSettings
 
 S = 1_000_000
 
 
 def release(**more):
-    return Release(
+    return ReleaseSettings(
         **{
             "gate": "count",
             "layout": "beside",
@@ -36,29 +36,29 @@
     """A desk and a platform that carries out orders at once, or as late as `lag` says; never by itself."""
 
     def __init__(self, places=4, lag=0, **more):
-        self.stages = Stages(release(**more), [f"p{n}" for n in range(places)], 1)
+        self.stages = ReleaseStages(release(**more), [f"p{n}" for n in range(places)], 1)
         self.now, self.lag, self.serial, self.waiting = 0, lag, 0, []
         for place in self.stages.places:
             self.up(place, 1)
 
     def up(self, place, build):
         self.serial += 1
-        self.stages.machine(self.now, f"m{self.serial}", place, build, "up")
+        self.stages.update_instance(self.now, f"m{self.serial}", place, build, "up")
 
     def run(self, seconds, votes=None):
         end = self.now + int(seconds * S)
         while self.now < end:
             self.now += 100_000
             for gateway, verdict in (votes or {}).items():
-                self.stages.vote(self.now, gateway, self.stages.build, self.stages.stage, verdict)
+                self.stages.record_vote(self.now, gateway, self.stages.build, self.stages.stage, verdict)
             self.stages.tick(self.now)
             self.waiting += [(self.now + self.lag, order) for order in self.stages.orders(self.now)]
             for _, (what, *rest) in [w for w in self.waiting if w[0] <= self.now]:
                 if what == "start":
                     self.up(*rest)
-                elif rest[0] in self.stages.machines:
-                    machine = self.stages.machines[rest[0]]
-                    self.stages.machine(
+                elif rest[0] in self.stages.instances:
+                    machine = self.stages.instances[rest[0]]
+                    self.stages.update_instance(
                         self.now,
                         machine.id,
                         machine.place,
@@ -68,13 +68,13 @@
             self.waiting = [w for w in self.waiting if w[0] > self.now]
 
     def builds(self):
-        return sorted((m.place, m.build) for m in self.stages.machines.values() if m.state == "up")
+        return sorted((m.place, m.build) for m in self.stages.instances.values() if m.state == "up")
 
 
 @pytest.mark.parametrize("layout", ["beside", "in place"])
 def test_a_build_goes_out_by_votes(layout):
     fleet = Fleet(layout=layout)
-    fleet.stages.offer(fleet.now, 2)
+    fleet.stages.offer_build(fleet.now, 2)
     fleet.run(1.5)
     assert fleet.stages.news(fleet.now)["cap"] == 0.3 and (fleet.stages.phase, fleet.stages.stage) == (
         TRIAL,
@@ -94,7 +94,7 @@
 def test_a_build_goes_back_from_anywhere(layout, after):
     """On trial, starting, and when released: the end is exactly the earlier build."""
     fleet = Fleet(layout=layout, lag=S // 2)
-    fleet.stages.offer(fleet.now, 2)
+    fleet.stages.offer_build(fleet.now, 2)
     fleet.run(after, {2: "on", 3: "on"})
     fleet.run(0.2, {0: "back", 1: "back"})
     assert fleet.stages.phase in (GOING_BACK, WITHDRAWN)
@@ -104,26 +104,28 @@
         caps.append(fleet.stages.cap())
     fleet.run(4)
     assert fleet.stages.phase == WITHDRAWN and caps == sorted(caps, reverse=True) and caps[-1] == 0
-    assert fleet.builds() == [(p, 1) for p in fleet.stages.places] and len(fleet.stages.machines) == 4
+    assert fleet.builds() == [(p, 1) for p in fleet.stages.places] and len(fleet.stages.instances) == 4
 
 
 def test_an_operators_word_sends_a_build_back_where_that_makes_sense():
     fleet = Fleet()
-    with pytest.raises(Refused, match="no build before 1"):
+    with pytest.raises(ReleaseRefusedError, match="no build before 1"):
         fleet.stages.send_back(0, "try")
-    fleet.stages.offer(0, 2)
+    fleet.stages.offer_build(0, 2)
     fleet.run(1)
     fleet.stages.send_back(fleet.now, "looks odd")
     fleet.run(4)
     assert fleet.stages.phase == WITHDRAWN and fleet.builds() == [(p, 1) for p in fleet.stages.places]
-    with pytest.raises(Refused, match="withdrawn"):
+    with pytest.raises(ReleaseRefusedError, match="withdrawn"):
         fleet.stages.send_back(fleet.now, "again")
-    assert (2, "going back", "looks odd") in [(b, phase, why) for _, b, _, phase, why in fleet.stages.story]
+    assert (2, "going back", "looks odd") in [
+        (b, phase, why) for _, b, _, phase, why in fleet.stages.transitions
+    ]
 
 
 def test_a_clock_stands_still_while_it_is_held():
     fleet = Fleet(gate="clock")
-    fleet.stages.offer(fleet.now, 2)
+    fleet.stages.offer_build(fleet.now, 2)
     fleet.run(6, {0: "hold"})
     assert fleet.stages.stage == 0
     fleet.run(13)
@@ -132,29 +134,29 @@
 
 def test_votes_that_do_not_count():
     fleet = Fleet(vote_rate=5.0)
-    vote = fleet.stages.vote
+    vote = fleet.stages.record_vote
     assert vote(0, 0, 1, 0, "back") == "moot"  # nothing to go back to
-    fleet.stages.offer(0, 2)
+    fleet.stages.offer_build(0, 2)
     assert [vote(0, 0, *v) for v in ((1, 0, "on"), (2, 1, "on"), (2, 0, "hold"), (2, 0, "odd"))] == [
         "moot"
     ] * 4
     assert [vote(0, 0, 2, 0, "on") for _ in range(6)] == ["ok"] * 5 + ["full"]
-    assert vote(S, 0, 2, 0, "none") == "ok" and fleet.stages.standing(S, "on") == 0
+    assert vote(S, 0, 2, 0, "none") == "ok" and fleet.stages.count_votes(S, "on") == 0
     vote(2 * S, 0, 2, 0, "on")
-    assert fleet.stages.standing(6 * S, "on") == 1 and fleet.stages.standing(7 * S, "on") == 0
-    with pytest.raises(Refused):
-        fleet.stages.offer(3 * S, 2)
+    assert fleet.stages.count_votes(6 * S, "on") == 1 and fleet.stages.count_votes(7 * S, "on") == 0
+    with pytest.raises(ReleaseRefusedError):
+        fleet.stages.offer_build(3 * S, 2)
 
 
 def test_what_is_on_trial_when_the_next_is_offered_is_taken_off():
     fleet = Fleet()
-    fleet.stages.offer(0, 2)
+    fleet.stages.offer_build(0, 2)
     fleet.run(2)
-    fleet.stages.offer(fleet.now, 3)
+    fleet.stages.offer_build(fleet.now, 3)
     assert fleet.stages.phase == GOING_BACK
     fleet.run(5)
     assert (fleet.stages.build, fleet.stages.phase, fleet.stages.stable) == (3, TRIAL, 1)
-    assert 2 not in {m.build for m in fleet.stages.machines.values() if m.state == "up"}
+    assert 2 not in {m.build for m in fleet.stages.instances.values() if m.state == "up"}
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -171,10 +173,10 @@
         if what in ("on", "back"):
             fleet.run(0.3, {n: what, n + 1: what})
         elif what == "offer":
-            fleet.stages.offer(fleet.now, max([fleet.stages.build, *fleet.stages.offered]) + 1)
-        elif what == "lose" and fleet.stages.machines:
-            ids = sorted(fleet.stages.machines)
-            fleet.stages.machine(fleet.now, ids[n % len(ids)], "", 0, "gone")
+            fleet.stages.offer_build(fleet.now, max([fleet.stages.build, *fleet.stages.offered]) + 1)
+        elif what == "lose" and fleet.stages.instances:
+            ids = sorted(fleet.stages.instances)
+            fleet.stages.update_instance(fleet.now, ids[n % len(ids)], "", 0, "gone")
         fleet.run(1.5 if what == "wait" else 0.2)
     fleet.run(15)
     wanted = sorted((place, build) for place, builds in fleet.stages.wanted().items() for build in builds)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -2,7 +2,7 @@
 
 from world import World, answer_of, endings, good, hits, requests
 
-from cobaltpond.loop import PeerLost, Sleep
+from cobaltpond.loop import ConnectionLostError, Sleep
 from cobaltpond.wire import http1
 
 
@@ -11,11 +11,11 @@
 
     def long(world, connection):
         yield from requests(connection)()
-        yield from connection.write(http1.bare(200, [], True, True))
+        yield from connection.write(http1.response_head(200, [], True, True))
         for _ in range(400):
-            yield from connection.write(http1.chunk(b"x" * 65536))
+            yield from connection.write(http1.encode_chunk(b"x" * 65536))
             sent.append(65536)
-        yield from connection.write(http1.chunk(b""))
+        yield from connection.write(http1.encode_chunk(b""))
 
     world = World(long)
 
@@ -24,7 +24,7 @@
         yield from connection.write(http1.request("GET", "/look", [(b"host", b"t")]))
         yield Sleep(1_200_000)
         behind, size = sum(sent), 0
-        parser = http1.ResponseParser(http1.Limits(body=1 << 30))
+        parser = http1.ResponseParser(http1.MessageLimits(body=1 << 30))
         while True:
             for kind, value in parser.feed((yield from connection.read())):
                 if kind == "end":
@@ -38,7 +38,7 @@
 def test_a_reader_that_takes_nothing_is_cut_off_and_its_answer_never_looks_whole():
     def long(world, connection):
         yield from requests(connection)()
-        yield from connection.write(http1.bare(200, [(b"content-length", b"%d" % (64 << 20))]))
+        yield from connection.write(http1.response_head(200, [(b"content-length", b"%d" % (64 << 20))]))
         for _ in range(1024):
             yield from connection.write(b"x" * 65536)
 
@@ -52,7 +52,7 @@
         try:
             while piece := (yield from connection.read()):
                 size += len(piece)
-        except PeerLost:
+        except ConnectionLostError:
             pass
         return size
 
@@ -63,7 +63,9 @@
 def test_an_instance_that_breaks_off_beyond_the_point_of_no_return_cuts_the_client_too():
     def breaks(world, connection):
         yield from requests(connection)()
-        yield from connection.write(http1.bare(200, [], True, True) + http1.chunk(b"x" * (128 << 10)))
+        yield from connection.write(
+            http1.response_head(200, [], True, True) + http1.encode_chunk(b"x" * (128 << 10))
+        )
         yield Sleep(50_000)
         connection.abort()
 
@@ -72,7 +74,7 @@
     def go():
         try:
             yield from world.ask()
-        except (PeerLost, http1.Cut):
+        except (ConnectionLostError, http1.TruncatedMessageError):
             return "cut"
 
     assert world.run(go()) == "cut" and sum(world.seen) == 1 and endings(world) == {"cut in the answer": 1}
@@ -133,7 +135,7 @@
         yield from connection.write(
             b"".join(http1.request("GET", f"/look{n}", [(b"host", b"t")]) for n in (1, 2, 3))
         )
-        parser, bodies = http1.ResponseParser(http1.Limits()), b""
+        parser, bodies = http1.ResponseParser(http1.MessageLimits()), b""
         while bodies.count(b"/") < 3:
             for kind, value in parser.feed((yield from connection.read())):
                 bodies += value if kind == "body" else b""
@@ -147,9 +149,9 @@
         get = requests(connection)
         while (head := (yield from get())[0]) is not None:
             yield from connection.write(
-                http1.bare(200, [(b"content-length", b"99")])
+                http1.response_head(200, [(b"content-length", b"99")])
                 if head.method == "HEAD"
-                else http1.bare(204, [])
+                else http1.response_head(204, [])
             )
 
     world = World(head_only)
--- a/tests/test_door_limits.py
+++ b/tests/test_door_limits.py
@@ -26,14 +26,14 @@
         (http1.request("POST", "/pay", [(b"host", b"t")], b"x" * 101), 413),
         (
             http1.request("POST", "/pay", [(b"host", b"t")], None)
-            + http1.chunk(b"x" * 100)
-            + http1.chunk(b""),
+            + http1.encode_chunk(b"x" * 100)
+            + http1.encode_chunk(b""),
             200,
         ),
         (
             http1.request("POST", "/pay", [(b"host", b"t")], None)
-            + http1.chunk(b"x" * 101)
-            + http1.chunk(b""),
+            + http1.encode_chunk(b"x" * 101)
+            + http1.encode_chunk(b""),
             413,
         ),
         (b"POST /hold HTTP/1.1\r\nhost: t\r\ncontent-length: 0\r\n\r\n", 400),
@@ -88,7 +88,7 @@
     def go():
         connection = yield from world.connect()
         fields = [(b"host", b"t"), (b"expect", b"100-continue"), (b"content-length", b"3")]
-        yield from connection.write(http1.start("POST", b"/pay", fields))
+        yield from connection.write(http1.request_head("POST", b"/pay", fields))
         first = yield from connection.read()
         yield from connection.write(b"abc")
         status = (yield from answer_of(connection))[0]
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -8,8 +8,8 @@
 from pgcrossings import OK
 from pgworld import SETTINGS, PgWorld, answering, good, row, statement, tag_of, told
 
-from cobaltpond.edge.config import BadConfig, config_of, read_config
-from cobaltpond.loop import Deadline, EpollKernel, PeerLost, Sleep
+from cobaltpond.edge.config import ConfigError, parse_config, read_config
+from cobaltpond.loop import ConnectionLostError, Deadline, EpollKernel, Sleep
 from cobaltpond.wire import pg
 
 
@@ -19,7 +19,7 @@
 
 
 def error(code):
-    return lambda text: pg.error(code, "no") + pg.READY
+    return lambda text: pg.error_response(code, "no") + pg.READY_FOR_QUERY
 
 
 def test_the_empty_query_and_a_hit_pass_and_only_the_wait_is_changed():
@@ -29,7 +29,7 @@
     got, _ = world.got
     assert got.split(b",d=")[0] == sent.split(b",d=")[0] and got.endswith(b",k=00000000000000aa */")
     assert 1200 < int(got.split(b",d=")[1].split(b",")[0]) <= 1400
-    assert world.edge.door.open_ids == {} and world.edge.host.hits == {}
+    assert world.edge.frontend.open_ids == {} and world.edge.host.hits == {}
 
 
 @pytest.mark.parametrize(
@@ -65,16 +65,18 @@
     world = PgWorld(first(lambda text: good(text) + b"noise and more"))
 
     assert world.run(world.ask(statement(1), statement(2))) == [OK, OK]
-    assert world.seen() == {"answer": 2} and world.edge.places.open == 1
+    assert world.seen() == {"answer": 2} and world.edge.endpoints.open_count == 1
 
 
 def test_the_load_that_a_probe_is_told_stands_in_the_row():
     told = []
-    world = PgWorld(answering(lambda text, _: row(b"util=0.9,inflight=7.5", b"SHOW") + pg.READY), known=True)
+    world = PgWorld(
+        answering(lambda text, _: row(b"util=0.9,inflight=7.5", b"SHOW") + pg.READY_FOR_QUERY), known=True
+    )
 
     def probing():
-        place = world.edge.places.by_id["s-0"]
-        yield from world.edge.forwards.probe(place, lambda *what: told.append(what))
+        place = world.edge.endpoints.by_id["s-0"]
+        yield from world.edge.forwards.run_probe(place, lambda *what: told.append(what))
 
     world.run(probing())
     ((ending, _, report),) = told
@@ -127,22 +129,22 @@
     assert code == "53300" and 0 < int(advice) <= 1000
 
 
-HEAD = pg.startup("web", "orders")
+HEAD = pg.startup_message("web", "orders")
 BAD = {
     "noise": b"\x99" * 500,
     "line without end": b"GET /" + b"a" * 9000,
     "huge length": HEAD + b"Q\x7f\xff\xff\xff",
     "negative length": HEAD + b"Q\xff\xff\xff\xff",
     "other protocol": HEAD + b"P\0\0\0\x08\0\0\0\0",
-    "no statement": HEAD + pg.query(b"DROP TABLE entries"),
-    "no id": HEAD + pg.query(statement().replace(b"id=", b"ix=")),
-    "no such group": HEAD + pg.query(statement(1).replace(b"c=look", b"c=nope")),
-    "no number": HEAD + pg.query(statement(1).replace(b"d=1500", b"d=soon")),
-    "no time": HEAD + pg.query(statement(1, left=0)),
-    "no key": HEAD + pg.query(statement(1).replace(b"look", b"hold")),
+    "no statement": HEAD + pg.query_message(b"DROP TABLE entries"),
+    "no id": HEAD + pg.query_message(statement().replace(b"id=", b"ix=")),
+    "no such group": HEAD + pg.query_message(statement(1).replace(b"c=look", b"c=nope")),
+    "no number": HEAD + pg.query_message(statement(1).replace(b"d=1500", b"d=soon")),
+    "no time": HEAD + pg.query_message(statement(1, left=0)),
+    "no key": HEAD + pg.query_message(statement(1).replace(b"look", b"hold")),
     "a crowd of commands": HEAD
-    + pg.query(statement(1))
-    + b"".join(pg.query(statement(n)) for n in range(2, 300)),
+    + pg.query_message(statement(1))
+    + b"".join(pg.query_message(statement(n)) for n in range(2, 300)),
     "much too much": HEAD + b"Q\3\x93\x87\0" + b"x" * 400_000,
 }
 
@@ -169,7 +171,7 @@
         client = yield from world.connect()
         yield from client.send(statement(1), start=True)
         yield from world.until(lambda: world.got)
-        return (yield from world.raw(HEAD + pg.query(statement(1))))
+        return (yield from world.raw(HEAD + pg.query_message(statement(1))))
 
     assert b"C42601" in world.run(go()) and len(world.got) == 1
 
@@ -198,10 +200,14 @@
         yield from client.send(statement(1), start=True)
         yield from world.until(lambda: world.got)
         client.connection.close()
-        yield from world.until(lambda: world.edge.places.open == 0)
+        yield from world.until(lambda: world.edge.endpoints.open_count == 0)
 
     world.run(go())
-    assert world.seen() == {"called off": 1} and world.edge.host.hits == {} and world.edge.door.open_ids == {}
+    assert (
+        world.seen() == {"called off": 1}
+        and world.edge.host.hits == {}
+        and world.edge.frontend.open_ids == {}
+    )
 
 
 def test_silent_clients_are_closed_within_their_time_and_idle_ones_stay():
@@ -210,10 +216,10 @@
     def go():
         asked, began = (yield from world.connect()), world.loop.now()
         yield from asked.send(statement(1), start=True)
-        for part in (b"", pg.startup("web", "orders"), HEAD + b"Q\0\0"):
+        for part in (b"", pg.startup_message("web", "orders"), HEAD + b"Q\0\0"):
             world.loop.spawn(world.raw(part), "silent")
-        yield from world.until(lambda: len(world.edge.door.clients) == 4)
-        yield from world.until(lambda: len(world.edge.door.clients) == 1)
+        yield from world.until(lambda: len(world.edge.frontend.clients) == 4)
+        yield from world.until(lambda: len(world.edge.frontend.clients) == 1)
         return world.loop.now() - began
 
     assert 2_000_000 < world.run(go()) < 2_900_000
@@ -229,10 +235,10 @@
             crowd.append((yield from world.connect()))
         with Deadline(world.loop, 2_000_000):
             answers = yield from world.ask(statement(1))
-        most = len(world.edge.door.clients) + world.edge.places.open
+        most = len(world.edge.frontend.clients) + world.edge.endpoints.open_count
         for client in crowd:
             client.connection.close()
-        return answers, most <= world.edge.config.room
+        return answers, most <= world.edge.config.connection_limit
 
     assert world.run(go()) == ([OK], True)
 
@@ -262,7 +268,7 @@
         yield from client.send(statement(1, "pay", 700), start=True)
         yield from client.read()
         yield from world.until(lambda: world.got)
-        yield from world.edge.door.drain(50_000, 50_000)
+        yield from world.edge.frontend.drain(50_000, 50_000)
         return world.edge.host.open_hits, told((yield from client.read()))
 
     assert world.run(go()) == (0, ("57014", None))
@@ -272,7 +278,7 @@
     world = PgWorld(answering(lambda text, _: good(text)))
 
     def go():
-        world.edge.host.post("on_wrong", None)
+        world.edge.host.post_event("on_wrong", None)
         yield from world.until(lambda: world.deaths)
         return (yield from world.ask(statement(1)))[0], world.deaths.pop()[0]
 
@@ -280,8 +286,8 @@
 
 
 def test_a_client_that_never_reads_is_cut_off():
-    world = PgWorld(answering(lambda text, _: row(b"x" * 60_000, tag_of(text)) + pg.READY))
-    counts = world.edge.door.counts
+    world = PgWorld(answering(lambda text, _: row(b"x" * 60_000, tag_of(text)) + pg.READY_FOR_QUERY))
+    counts = world.edge.frontend.counts
 
     def go():
         client = yield from world.connect()
@@ -292,7 +298,7 @@
                 yield from world.until(lambda n=n: counts.get("delivered", 0) > n)
                 if counts.get("unread"):
                     return
-        except PeerLost:
+        except ConnectionLostError:
             pass
 
     world.run(go())
@@ -321,9 +327,9 @@
         "rollouts": {"address": "127.0.0.1:3"},
         "settings": SETTINGS,
     }
-    assert config_of(fine).runsheet["path_groups"][0]["name"] == "look"
-    with pytest.raises(BadConfig) as trouble:
-        config_of({**fine, **change})
+    assert parse_config(fine).policy_settings["path_groups"][0]["name"] == "look"
+    with pytest.raises(ConfigError) as trouble:
+        parse_config({**fine, **change})
     assert "\n" not in str(trouble.value)
-    with pytest.raises(BadConfig):
+    with pytest.raises(ConfigError):
         read_config(EpollKernel(), str(tmp_path / "none"))
--- a/tests/test_edge_list.py
+++ b/tests/test_edge_list.py
@@ -6,9 +6,9 @@
 from pgcrossings import OK
 from pgworld import PgWorld, answering, good, statement
 
-from cobaltpond.edge.discovery import Listed
+from cobaltpond.edge.discovery import DiscoveredInstances
 from cobaltpond.wire import pg
-from cobaltpond.wire.json_lines import BadLine
+from cobaltpond.wire.json_lines import JsonLineError
 
 
 @pytest.mark.parametrize(
@@ -16,7 +16,7 @@
     [
         (
             lambda world: world.tell(host="s-0", health="draining"),
-            lambda world: world.edge.places.by_id["s-0"].row["state"] == "draining",
+            lambda world: world.edge.endpoints.by_id["s-0"].row["state"] == "draining",
         ),
         (
             lambda world: world.say(State="reverting", MaxShare=0.0),
@@ -33,7 +33,7 @@
         if not heard(world):
             change(world)
             yield from world.until(lambda: heard(world))
-        yield from connection.write(pg.welcome())
+        yield from connection.write(pg.startup_response())
         while data := (yield from connection.read()):
             world.got.append(data)
 
@@ -47,11 +47,11 @@
 
     def go():
         yield from world.ask(statement(1))
-        ((kept, _),) = world.edge.places.by_id["s-0"].idle
+        ((kept, _),) = world.edge.endpoints.by_id["s-0"].idle
         world.tell(host="s-0", revision_no=2)
         yield from world.until(lambda: kept.closed)
         second = yield from world.ask(statement(2))
-        ((kept, _),) = world.edge.places.by_id["s-0"].idle
+        ((kept, _),) = world.edge.endpoints.by_id["s-0"].idle
         world.tell(host="s-0", revision_no=2, born_ms=1_700_000_000_000)
         yield from world.until(lambda: kept.closed)
         return second
@@ -61,7 +61,7 @@
 
 def test_start_times_are_worked_out_once_a_start_and_nonsense_changes_nothing():
     listed, host = (
-        Listed(),
+        DiscoveredInstances(),
         {
             "host": "a",
             "dial": "1.2.3.4:5",
@@ -91,7 +91,7 @@
         {"seq": 6, "whole": True, "hosts": [{"host": "b"}]},
         {"seq": 6, "whole": True, "hosts": [host, {**host, "health": "odd"}]},
     ):
-        with pytest.raises(BadLine):
+        with pytest.raises(JsonLineError):
             listed.apply(0, 0, wrong)
     assert listed.seq == 5
     assert listed.apply(52_000_000, 0, {"seq": 3, "whole": False, "hosts": [host]}) == (
@@ -115,7 +115,7 @@
             lambda: any(path == "/discovery/hosts" and not watch for _, path, watch in world.asked[count:])
         )
         world.tell(host="s-0", health="draining")
-        yield from world.until(lambda: world.edge.places.by_id["s-0"].row["state"] == "draining")
+        yield from world.until(lambda: world.edge.endpoints.by_id["s-0"].row["state"] == "draining")
 
     world.run(go())
 
@@ -132,9 +132,9 @@
     world = PgWorld(answering(lambda text, _: good(text)))
 
     def go():
-        yield from world.until(lambda: len(world.feeds) == 1 and world.edge.platform.heard)
-        world.feeds[0].put({})
-        world.feeds[0].put(line)
+        yield from world.until(lambda: len(world.feeds) == 1 and world.edge.platform.has_heard)
+        world.feeds[0].send_object({})
+        world.feeds[0].send_object(line)
         yield from world.until(lambda: len(world.feeds) == 2)
         world.say(State="canary", Revision=2, MaxShare=0.2)
         yield from world.until(lambda: world.edge.platform.last == (2, 0, "trial", 0.2))
@@ -146,7 +146,7 @@
     world = PgWorld(answering(lambda text, _: good(text)), tmp=tmp_path)
 
     def go():
-        yield from world.until(lambda: world.edge.platform.heard)
+        yield from world.until(lambda: world.edge.platform.has_heard)
         (tmp_path / "config.json").write_text("{")
         world.edge.stop("HUP")  # it is read again for a while: it may be only half there
         yield from world.until(lambda: any(level == "error" for level, _, _ in world.log.lines))
@@ -165,12 +165,12 @@
         yield from world.until(
             lambda: {3, 4} <= {offset for offset, _, _ in world.asked} and len(world.feeds) == 2
         )
-        yield from world.until(lambda: world.feeds[0].over)  # the old feed is let go
+        yield from world.until(lambda: world.feeds[0].ended)  # the old feed is let go
         yield from world.until(
             lambda: sorted(task.name for task in world.loop.tasks if task.name in ("discovery", "feed"))
             == ["discovery", "feed"]
         )
-        yield from world.edge.platform.vote(1, 0, "hold")
+        yield from world.edge.platform.cast_vote(1, 0, "hold")
         return (yield from world.ask(statement(1)))
 
     assert world.run(go()) == [OK]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -206,14 +206,14 @@
         connection = yield from world.connect()
         yield from connection.write(http1.request("GET", "/look", [(b"host", b"t")]))
         told = {"epoch": "e", "revision": 1, "base": 0, "rows": [{**world.rows[0], "state": "draining"}]}
-        real = world.process.host.take
+        real = world.process.host.accept_hit
 
         def take_and_hear(*arguments):
             hit = real(*arguments)
-            world.process.follower.take(told)
+            world.process.list_follower.apply_object(told)
             return hit
 
-        world.process.host.take = take_and_hear
+        world.process.host.accept_hit = take_and_hear
         return (yield from answer_of(connection))
 
     status, head, _ = world.run(go())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cobaltpond.limits.compiled import Limits
-from cobaltpond.limits.reference import Plain
-from cobaltpond.limits.rules import Hit, Limit
-from cobaltpond.settings import BadSheet, read_sheet
-from cobaltpond.settings.limits import canonical
+from cobaltpond.limits.compiled import CompiledLimits
+from cobaltpond.limits.reference import ReferenceLimits
+from cobaltpond.limits.rules import HitAttributes, Limit
+from cobaltpond.settings import SettingsError, read_settings
+from cobaltpond.settings.limits import canonical_limits
 
 sys.path.insert(0, os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "bench"))
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "80"))
@@ -65,32 +65,34 @@
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(limits(), HITS)
 def test_the_compiled_form_says_what_the_definition_says(drawn, hits):
-    plain, compiled, now = Plain(drawn), Limits(drawn), 5 * S
+    plain, compiled, now = ReferenceLimits(drawn), CompiledLimits(drawn), 5 * S
     for wait, group, customer, key, again in hits:
         now += wait
-        hit = Hit(group, GROUPS[group], customer, key, again)
-        assert compiled.ask(now, hit) == plain.ask(now, hit)
+        hit = HitAttributes(group, GROUPS[group], customer, key, again)
+        assert compiled.check(now, hit) == plain.check(now, hit)
 
 
 def asked(limits_, hits):
     """(let through, bounced) of hits as (when, hit)."""
-    compiled = Limits(limits_)
-    said = [compiled.ask(at, hit).by is None for at, hit in hits]
+    compiled = CompiledLimits(limits_)
+    said = [compiled.check(at, hit).by is None for at, hit in hits]
     return sum(said), len(said) - sum(said)
 
 
 def test_no_second_sees_more_than_rate_and_burst_and_advice_is_kept():
     limit = Limit("a", "hits", "nothing", 10_000, 5)
-    compiled, through = Limits([limit]), []
+    compiled, through = CompiledLimits([limit]), []
     for at in range(0, 10 * S, 7_001):
-        verdict = compiled.ask(at, Hit("look", "repeatable"))
+        verdict = compiled.check(at, HitAttributes("look", "repeatable"))
         if verdict.by is None:
             through.append(at)
         else:
             assert 0 < verdict.wait <= 100_000
-            probe = Limits([limit])
+            probe = CompiledLimits([limit])
             probe.levels["a"].rows[None] = list(compiled.levels["a"].rows[None])
-            assert probe.ask(at + verdict.wait, Hit("look", "repeatable")).by is None  # there is room then
+            assert (
+                probe.check(at + verdict.wait, HitAttributes("look", "repeatable")).by is None
+            )  # there is room then
     for begin in range(0, 9 * S, S // 10):
         assert sum(begin <= at < begin + S for at in through) <= 15
     assert 100 <= len(through) <= 106
@@ -98,7 +100,7 @@
 
 def test_repeats_as_a_share_of_first_tries_count_nothing_else():
     limit = Limit("retries", "repeats", "nothing", 0, 2, "tries", 200)
-    first, again = Hit("look", "repeatable"), Hit("look", "repeatable", again=True)
+    first, again = HitAttributes("look", "repeatable"), HitAttributes("look", "repeatable", again=True)
     through, bounced = asked([limit], [(n, again) for n in range(5)])
     assert (through, bounced) == (2, 3)  # the burst, and no more
     hits = [(n, again if n % 2 else first) for n in range(200)]
@@ -109,29 +111,31 @@
 def test_a_guarantee_holds_when_what_it_lies_within_is_over():
     house = Limit("house", "hits", "nothing", 10_000, 1)
     floor = Limit("floor", "hits", "customer", 9_000, 3, within="house", least=2_000)
-    compiled, through = Limits([house, floor]), {"ann": 0, "bob": 0}
+    compiled, through = CompiledLimits([house, floor]), {"ann": 0, "bob": 0}
     for at in range(0, 10 * S, 10_000):
         for customer, times in (("ann", 9), ("bob", 1 if at % 500_000 == 0 else 0)):
             for _ in range(times):
-                through[customer] += compiled.ask(at, Hit("look", "repeatable", customer)).by is None
+                through[customer] += (
+                    compiled.check(at, HitAttributes("look", "repeatable", customer)).by is None
+                )
     assert through["bob"] == 20  # all of its two a second, whatever the other one wants
     assert 90 <= through["ann"] <= 125
 
 
 def test_a_limit_on_trial_counts_and_bounces_nobody():
-    compiled = Limits([Limit("t", "hits", "nothing", 1_000, 1, trial=True)])
-    verdicts = [compiled.ask(0, Hit("look", "repeatable")) for _ in range(10)]
+    compiled = CompiledLimits([Limit("t", "hits", "nothing", 1_000, 1, trial=True)])
+    verdicts = [compiled.check(0, HitAttributes("look", "repeatable")) for _ in range(10)]
     assert all(v.by is None for v in verdicts) and sum(v.over == ("t",) for v in verdicts) == 9
     assert compiled.counts == {"t": [1, 9]}
 
 
 def test_a_hundred_thousand_values_are_kept_within_the_bound_and_on_the_strict_side():
-    compiled = Limits([Limit("k", "hits", "key", 1_000, 1, keys=100)])
+    compiled = CompiledLimits([Limit("k", "hits", "key", 1_000, 1, keys=100)])
     for n in range(100_000):
-        compiled.ask(n * 100, Hit("look", "repeatable", key=n))
+        compiled.check(n * 100, HitAttributes("look", "repeatable", key=n))
     assert len(compiled.levels["k"].rows) <= 101
-    rows = Limits([Limit("k", "hits", "key", 1, 1, keys=3)])
-    assert [rows.ask(n, Hit("look", "repeatable", key=n)).by for n in range(6)] == [None] * 3 + [
+    rows = CompiledLimits([Limit("k", "hits", "key", 1, 1, keys=3)])
+    assert [rows.check(n, HitAttributes("look", "repeatable", key=n)).by for n in range(6)] == [None] * 3 + [
         None,
         "k",
         "k",
@@ -152,13 +156,15 @@
 
 
 def test_a_sheet_with_limits_is_read_and_its_digest_does_not_know_their_order():
-    sheet = read_sheet("x", EXAMPLE + FINE)
+    sheet = read_settings("x", EXAMPLE + FINE)
     assert [limit.name for limit in sheet.limits] == ["buys", "all", "floor", "retries", "taste"]
     assert sheet.limits[0].rate == 40_000 and sheet.limits[4].rate == 500
     lines = FINE.splitlines()
-    other = read_sheet("x", EXAMPLE + "\n".join([lines[3], lines[1], lines[2], lines[4], lines[0]]))
-    assert canonical(sheet.limits) == canonical(other.limits) and sheet.digest() == other.digest()
-    assert sheet.digest() != read_sheet("x", EXAMPLE + FINE.replace("(40)", "(41)")).digest()
+    other = read_settings("x", EXAMPLE + "\n".join([lines[3], lines[1], lines[2], lines[4], lines[0]]))
+    assert (
+        canonical_limits(sheet.limits) == canonical_limits(other.limits) and sheet.digest() == other.digest()
+    )
+    assert sheet.digest() != read_settings("x", EXAMPLE + FINE.replace("(40)", "(41)")).digest()
 
 
 @pytest.mark.parametrize(
@@ -211,8 +217,8 @@
     ],
 )
 def test_what_a_limit_may_not_say_is_named_with_its_line(line, said):
-    with pytest.raises(BadSheet) as trouble:
-        read_sheet("f.star", EXAMPLE + line + "\n")
+    with pytest.raises(SettingsError) as trouble:
+        read_settings("f.star", EXAMPLE + line + "\n")
     number = len((EXAMPLE + line).splitlines())
     assert said in str(trouble.value) and str(trouble.value).startswith(
         f"f.star:{number}: limit"
--- a/tests/test_listed.py
+++ b/tests/test_listed.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cobaltpond.recovery.list_reconciliation import PATIENCE, Doubt
+from cobaltpond.recovery.list_reconciliation import DOUBT_TIME, ListReconciler
 
 S = 1_000_000
 
@@ -15,19 +15,21 @@
 
 
 def test_a_list_that_comes_back_empty_does_not_empty_a_fleet_that_answers():
-    doubt = Doubt(lambda id, now: id != "i5")
-    assert sorted(r["id"] for r in doubt.whole(0, HELD, [])) == ["i0", "i1", "i2", "i3", "i4"]
-    doubt.change([listed("i1", "draining")])
-    assert doubt.due(S) == []
-    doubt.answers = lambda id, now: id not in ("i5", "i2")
-    assert [(r["id"], r["state"]) for r in doubt.due(2 * S)] == [("i2", "gone")]
-    assert [r["id"] for r in doubt.due(PATIENCE)] == ["i0", "i3", "i4"] and doubt.due(2 * PATIENCE) == []
+    doubt = ListReconciler(lambda id, now: id != "i5")
+    assert sorted(r["id"] for r in doubt.filter_whole_list(0, HELD, [])) == ["i0", "i1", "i2", "i3", "i4"]
+    doubt.apply_change([listed("i1", "draining")])
+    assert doubt.due_rows(S) == []
+    doubt.is_answering = lambda id, now: id not in ("i5", "i2")
+    assert [(r["id"], r["state"]) for r in doubt.due_rows(2 * S)] == [("i2", "gone")]
+    assert [r["id"] for r in doubt.due_rows(DOUBT_TIME)] == ["i0", "i3", "i4"] and doubt.due_rows(
+        2 * DOUBT_TIME
+    ) == []
 
 
 def test_a_list_that_lost_a_few_is_obeyed():
-    doubt = Doubt(lambda id, now: True)
+    doubt = ListReconciler(lambda id, now: True)
     rows = [listed(f"i{n}") for n in range(4)]
-    assert doubt.whole(0, HELD, rows) == rows and doubt.due(PATIENCE) == []
+    assert doubt.filter_whole_list(0, HELD, rows) == rows and doubt.due_rows(DOUBT_TIME) == []
 
 
 @pytest.mark.parametrize(
@@ -41,9 +43,9 @@
     ],
 )
 def test_an_older_list_brings_no_drained_start_back(before, told, obeyed):
-    doubt = Doubt(lambda id, now: True)
-    doubt.seen([listed("i0", before)])
+    doubt = ListReconciler(lambda id, now: True)
+    doubt.record_rows([listed("i0", before)])
     rows = [listed("i0", told), *(listed(f"i{n}") for n in range(1, 6))]
-    assert doubt.whole(0, HELD, rows)[0]["state"] == obeyed
+    assert doubt.filter_whole_list(0, HELD, rows)[0]["state"] == obeyed
     another = listed("i0", "up", start=2)
-    assert doubt.whole(0, HELD, [another, *rows[1:]])[0] == another
+    assert doubt.filter_whole_list(0, HELD, [another, *rows[1:]])[0] == another
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -9,7 +9,10 @@
     silence."""
     bench = Bench(OLD[:2])
     bench.serve(6_000 * MS, lambda id: 450 * MS, every=400 * MS)  # of 600
-    assert len(bench.host.named("forward")) > 10 and bench.host.named("cancel", "bounce", "error") == []
+    assert (
+        len(bench.host.named("send_forward")) > 10
+        and bench.host.named("cancel_forward", "reject_hit", "fail_hit") == []
+    )
 
 
 PRICED = {**THIN, "probe_price": 0.08}
@@ -18,13 +21,13 @@
 def test_no_probe_where_it_costs_more_than_the_hits_it_may_spare():
     bench = Bench(OLD, **PRICED)
     bench.serve(4_000 * MS, lambda id: 100 * MS)
-    assert len(bench.host.named("forward")) > 90 and bench.host.named("probe") == []
+    assert len(bench.host.named("send_forward")) > 90 and bench.host.named("probe_instance") == []
     while bench.host.open:
         bench.end(bench.host.open[0], "ok")
     bench.hit()
     bench.end(bench.host.open[0], "unreachable")  # one dial in ten fails, as far as it knows
     bench.hit()
-    assert len(bench.host.named("probe")) == 1
+    assert len(bench.host.named("probe_instance")) == 1
 
 
 def slow_one(answers):
@@ -34,8 +37,8 @@
     bench.run(100 * MS)
     bench.hit()
     bench.run(450 * MS)  # of 600
-    ((_, _, (asked,)),) = bench.host.named("probe")
-    assert asked == bench.host.open[0][3] and bench.host.named("cancel") == []
+    ((_, _, (asked,)),) = bench.host.named("probe_instance")
+    assert asked == bench.host.open[0][3] and bench.host.named("cancel_forward") == []
     if answers:
         bench.gateway.on_probed(bench.host.now, asked, "ok", MS, {"inflight": 9})
     bench.run(600 * MS)
@@ -44,13 +47,16 @@
 
 def test_a_busy_instance_that_answers_when_asked_is_not_called_off():
     bench, asked = slow_one(True)
-    assert bench.host.named("cancel") == [] and len(bench.host.named("probe", "forward")) == 2
-    assert bench.gateway.fleet.by_id[asked].benched_until == 0
+    assert (
+        bench.host.named("cancel_forward") == []
+        and len(bench.host.named("probe_instance", "send_forward")) == 2
+    )
+    assert bench.gateway.fleet.by_id[asked].ejected_until == 0
 
 
 def test_an_instance_that_says_nothing_when_asked_is_called_off_and_the_hit_goes_elsewhere():
     bench, asked = slow_one(False)
-    assert len(bench.host.named("cancel")) == 1 and bench.gateway.fleet.by_id[asked].benched_until > 0
+    assert len(bench.host.named("cancel_forward")) == 1 and bench.gateway.fleet.by_id[asked].ejected_until > 0
     assert bench.host.open[0][3] != asked
 
 
@@ -115,7 +121,7 @@
     bench.run(100 * MS)
     bench.hit()
     bench.run(450 * MS)  # of 600
-    ((_, _, (asked,)),) = bench.host.named("probe")
+    ((_, _, (asked,)),) = bench.host.named("probe_instance")
     bench.gateway.on_probed(bench.host.now, asked, "ok", MS, {"inflight": 9})
     assert bench.gateway.admitted == 1.0
     bench.run(700 * MS)
@@ -134,7 +140,7 @@
             bench.hit()
             bench.end(bench.host.open[0])
             bench.host.now += 10 * MS
-        sent = [a[1] for _, _, a in bench.host.named("forward")]
+        sent = [a[1] for _, _, a in bench.host.named("send_forward")]
         shares.append(sum(id[0] == "n" for id in sent) / len(sent))
     assert shares[0] == 1.0 and 0.3 < shares[1] < 0.5  # 4 of 10 instances
 
@@ -145,8 +151,8 @@
     bench.run(100 * MS)
     bench.hit("pay")
     bench.run(650 * MS)  # of 800, and two ticks
-    ((_, _, (asked,)),) = bench.host.named("probe")
+    ((_, _, (asked,)),) = bench.host.named("probe_instance")
     bench.gateway.on_probed(bench.host.now, asked, "timeout", 250 * MS, {})
     bench.run(1_500 * MS)
-    assert bench.host.open and bench.host.named("cancel") == []
-    assert bench.gateway.fleet.by_id[asked].benched_until > 0 and bench.gateway.shy == pytest.approx(0.1)
+    assert bench.host.open and bench.host.named("cancel_forward") == []
+    assert bench.gateway.fleet.by_id[asked].ejected_until > 0 and bench.gateway.shy == pytest.approx(0.1)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -6,16 +6,16 @@
 import pytest
 
 from cobaltpond.loop import (
+    ConnectionLostError,
     Deadline,
+    DeadlineExceededError,
     EpollKernel,
     Event,
-    HandlesUsedUp,
+    HandlesExhaustedError,
     Loop,
-    PeerLost,
     Queue,
-    Refused,
+    RefusedError,
     Sleep,
-    TimedOut,
     dial,
     serve,
 )
@@ -45,7 +45,7 @@
         try:
             with Deadline(loop, 20 * MS):
                 yield from inner()
-        except TimedOut:
+        except DeadlineExceededError:
             yield Sleep(1 * MS)  # and nothing of it is left behind
             return loop.now() - began
 
@@ -58,7 +58,7 @@
             try:
                 with Deadline(loop, 1 * MS):
                     yield Sleep(1 * MS)
-            except TimedOut:
+            except DeadlineExceededError:
                 pass
             yield Sleep(100)
         return "whole"
@@ -134,7 +134,7 @@
             with Deadline(loop, 5 * MS):
                 got.append((yield event))
                 yield Sleep(10_000 * MS)
-        except TimedOut:
+        except DeadlineExceededError:
             got.append("late")
 
     def go():
@@ -142,7 +142,7 @@
         yield Sleep(1 * MS)
         event.set("value")
         task.interrupt(task)  # in the same turn
-        task.spare(task)
+        task.discard_interrupt(task)
         yield task
 
     run(loop, go())
@@ -194,13 +194,13 @@
     closed.close()
 
     def go():
-        with pytest.raises(Refused):
+        with pytest.raises(RefusedError):
             yield from dial(loop, nobody, 200 * MS)
         kept, late = [], False
         for _ in range(20):  # nobody accepts: the backlog fills, and then dials hang
             try:
                 kept.append((yield from dial(loop, address, 50 * MS)))
-            except TimedOut:
+            except DeadlineExceededError:
                 late = True
                 break
         for connection in kept:
@@ -224,11 +224,11 @@
         task = loop.spawn(serve(loop, listener, answer, 4, "serve"), "serve")
         connection = yield from dial(loop, listener.address(), 500 * MS)
         yield from connection.write(b"x" * (5 << 20))
-        with pytest.raises(PeerLost):
+        with pytest.raises(ConnectionLostError):
             while (yield from connection.read()):
                 pass
         connection.close()
-        with pytest.raises(PeerLost):
+        with pytest.raises(ConnectionLostError):
             yield from connection.read()
         task.cancel()
         yield task
@@ -254,7 +254,7 @@
         hoard = []
         resource.setrlimit(resource.RLIMIT_NOFILE, (200, hard))
         try:
-            with pytest.raises(HandlesUsedUp):
+            with pytest.raises(HandlesExhaustedError):
                 while True:
                     hoard.append(loop.kernel.dial(listener.address()))
             yield from first.write(b"still here")
@@ -288,7 +288,7 @@
         def accept(self):
             self.tries += 1
             if not self.spared:
-                raise HandlesUsedUp("none left")
+                raise HandlesExhaustedError("none left")
 
         def evict(self):
             self.spared += 1
@@ -318,7 +318,7 @@
             if self.tries == 1:
                 return None  # nobody there: it waits
             if self.tries < 5:
-                raise HandlesUsedUp("none left")
+                raise HandlesExhaustedError("none left")
             self.taken += 1
             return self if self.taken == 1 else None
 
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -8,32 +8,32 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cobaltpond.desk.stages import GOING_BACK, RELEASED, TRIAL, WITHDRAWN, Refused, Stages
+from cobaltpond.desk.stages import GOING_BACK, RELEASED, TRIAL, WITHDRAWN, ReleaseRefusedError, ReleaseStages
 from cobaltpond.recovery.desk_state import (
-    CARRIED,
+    CARRIED_ON,
     COLLECTING,
     RESUMED,
     WAITING,
-    Returning,
-    Word,
-    word_of,
+    DeskStateRecovery,
+    SeenState,
+    parse_seen_state,
 )
-from cobaltpond.settings.sections import Release
+from cobaltpond.settings.sections import ReleaseSettings
 
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "100"))
 S = 1_000_000
 CAPS = (0.2, 0.6, 1.0)
-SEEN = Word((5, 7), 43, 1, TRIAL, 0.6, 42, ())
+SEEN = SeenState((5, 7), 43, 1, TRIAL, 0.6, 42, ())
 
 
 def returning(told=(5, 3), expected=("g0", "g1", "g2")):
-    return Returning(told, expected, CAPS, 0, 2 * S)
+    return DeskStateRecovery(told, expected, CAPS, 0, 2 * S)
 
 
 def concluded(words, told=(5, 3), running=()):
     one = returning(told)
     for n, word in enumerate(words):
-        one.heard(f"g{n}", word)
+        one.add_state(f"g{n}", word)
     return one, one.conclude(running)
 
 
@@ -42,19 +42,19 @@
 
 def test_it_waits_for_all_that_it_spoke_to_but_no_longer_than_its_bound():
     one = returning()
-    one.heard("g0", None)
-    one.heard("g2", SEEN)
-    assert one.missing() == ["g1"] and not one.due(2 * S - 1) and one.due(2 * S)
-    one.heard("g1", None)
-    assert one.due(0) and one.state == COLLECTING
-    one.heard("g2", replace(SEEN, mark=(5, 6), build=9))  # an older word of the same one, come late
-    assert one.words["g2"] == SEEN
+    one.add_state("g0", None)
+    one.add_state("g2", SEEN)
+    assert one.missing() == ["g1"] and not one.is_due(2 * S - 1) and one.is_due(2 * S)
+    one.add_state("g1", None)
+    assert one.is_due(0) and one.state == COLLECTING
+    one.add_state("g2", replace(SEEN, mark=(5, 6), build=9))  # an older word of the same one, come late
+    assert one.states["g2"] == SEEN
 
 
 def test_a_journal_that_told_all_that_was_seen_is_carried_on():
     for words in ([], [None], [replace(SEEN, mark=(5, 3)), replace(SEEN, mark=(5, 1), build=41), None]):
         one, state = concluded(words)
-        assert state == CARRIED and one.plan is None
+        assert state == CARRIED_ON and one.plan is None
 
 
 # --- concluding ---------------------------------------------------------------------------------------------
@@ -107,17 +107,25 @@
     assert state == RESUMED and (one.plan.build, one.plan.phase) == (42, RELEASED)
     one, state = concluded([None], None, (43, 42))
     assert state == WAITING and "[42, 43]" in one.why and (one.plan.stable, one.plan.cap) == (42, CAPS[0])
-    assert concluded([], None)[1] == CARRIED
+    assert concluded([], None)[1] == CARRIED_ON
 
 
 def test_a_late_word_of_somebody_who_was_cut_off():
     one, _ = concluded([SEEN])
-    assert one.late("g2", None, 43, 6) == one.late("g2", replace(SEEN, mark=(5, 2)), 43, 6) == ""
-    assert one.late("g2", replace(SEEN, mark=(6, 9), build=44), 43, 6) == ""  # its own word, since it is back
-    assert one.late("g2", replace(SEEN, mark=(5, 6), build=42, phase=RELEASED, gone=(43,)), 43, 6) == "back"
+    assert one.late_state("g2", None, 43, 6) == one.late_state("g2", replace(SEEN, mark=(5, 2)), 43, 6) == ""
+    assert (
+        one.late_state("g2", replace(SEEN, mark=(6, 9), build=44), 43, 6) == ""
+    )  # its own word, since it is back
+    assert (
+        one.late_state("g2", replace(SEEN, mark=(5, 6), build=42, phase=RELEASED, gone=(43,)), 43, 6)
+        == "back"
+    )
     one, _ = concluded([SEEN])
-    assert one.late("g2", SEEN, 43, 6) == ""
-    assert one.late("g2", replace(SEEN, mark=(5, 9), build=44), 43, 6) == "waiting" and "build 44" in one.why
+    assert one.late_state("g2", SEEN, 43, 6) == ""
+    assert (
+        one.late_state("g2", replace(SEEN, mark=(5, 9), build=44), 43, 6) == "waiting"
+        and "build 44" in one.why
+    )
 
 
 @pytest.mark.parametrize(
@@ -133,13 +141,13 @@
 )
 def test_a_word_that_makes_no_sense_is_none(bad):
     with pytest.raises(ValueError):
-        word_of(bad)
-    assert word_of(None) is None
+        parse_seen_state(bad)
+    assert parse_seen_state(None) is None
 
 
 # --- whole releases, cut at drawn moments -------------------------------------------------------------------
 
-RELEASE = Release(
+RELEASE = ReleaseSettings(
     gate="any",
     layout="beside",
     shares=[0.25, 0.5, 1.0],
@@ -161,7 +169,7 @@
     it."""
 
     def __init__(self):
-        self.stages, self.now, self.serial = Stages(RELEASE, [f"p{n}" for n in range(4)], 41), 0, 0
+        self.stages, self.now, self.serial = ReleaseStages(RELEASE, [f"p{n}" for n in range(4)], 41), 0, 0
         self.platform()
         self.journal = [self.record(1)]
         self.told = []  # every word ever told, in order
@@ -172,23 +180,23 @@
     def platform(self):
         for place in self.stages.places:
             for build in self.stages.wanted()[place]:
-                self.stages.machine(self.now, f"{place}/{build}", place, build, "up")
+                self.stages.update_instance(self.now, f"{place}/{build}", place, build, "up")
             for id in [
                 m.id
-                for m in self.stages.machines.values()
+                for m in self.stages.instances.values()
                 if m.place == place and m.build not in self.stages.wanted()[place]
             ]:
-                self.stages.machine(self.now, id, place, 0, "gone")
+                self.stages.update_instance(self.now, id, place, 0, "gone")
 
     def act(self, what, epoch):
         self.now += S
         stages = self.stages
         try:
             if what == "offer":
-                stages.offer(self.now, max([stages.build, *stages.offered]) + 1)
+                stages.offer_build(self.now, max([stages.build, *stages.offered]) + 1)
             elif what != "wait":
-                stages.vote(self.now, 0, stages.build, stages.stage, what)
-        except Refused:
+                stages.record_vote(self.now, 0, stages.build, stages.stage, what)
+        except ReleaseRefusedError:
             pass
         for _ in range(3):
             stages.tick(self.now)
@@ -196,7 +204,7 @@
         self.journal.append(self.record(epoch))
         news = stages.news(self.now)
         self.told.append(
-            Word(
+            SeenState(
                 (epoch, stages.turns),
                 news["build"],
                 news["stage"],
@@ -222,23 +230,23 @@
     last = words[-1]
     older = words[max(0, len(words) - 1 - behind % 3)]
     kept = None if how == "lost" else world.journal[cut % len(world.journal)]
-    stages = Stages(
-        RELEASE, [f"p{n}" for n in range(4)], max(m.build for m in world.stages.machines.values())
+    stages = ReleaseStages(
+        RELEASE, [f"p{n}" for n in range(4)], max(m.build for m in world.stages.instances.values())
     )
     if kept is not None:
         stages.load(kept, world.now)
-    one = Returning(tuple(kept["told"]) if kept else None, ("g0", "g1", "g2"), CAPS, world.now, S)
+    one = DeskStateRecovery(tuple(kept["told"]) if kept else None, ("g0", "g1", "g2"), CAPS, world.now, S)
     for name, word in (("g0", last), ("g1", older), ("g2", None)):
-        one.heard(name, word)
+        one.add_state(name, word)
     state = one.conclude()
-    assert state in (CARRIED, RESUMED), one.why
+    assert state in (CARRIED_ON, RESUMED), one.why
     if state == RESUMED:
         stages.resume(world.now, one.plan, "after a loss")
     else:
         assert tuple(kept["told"]) >= last.mark
-    epoch = max(2, one.floor() + 1)
+    epoch = max(2, one.highest_epoch() + 1)
     lowest = min(
-        [w.cap for w in (last, older) if w.build == last.build and w.mark > (one.told or (0, 0))],
+        [w.cap for w in (last, older) if w.build == last.build and w.mark > (one.journal_mark or (0, 0))],
         default=last.cap,
     )
     assert stages.build == last.build and (stages.phase == RELEASED) == (last.phase == RELEASED)
@@ -259,8 +267,8 @@
 
 
 def test_a_journal_of_the_version_before_is_read():
-    stages = Stages(RELEASE, ["p0"], 41)
-    old = {name: value for name, value in stages.dump().items() if name not in Stages.ALSO_KEPT}
+    stages = ReleaseStages(RELEASE, ["p0"], 41)
+    old = {name: value for name, value in stages.dump().items() if name not in ReleaseStages.ALSO_KEPT}
     stages.load(old, S)
     assert (stages.turns, stages.condemned) == (0, [])
 
--- a/tests/test_lost_desk.py
+++ b/tests/test_lost_desk.py
@@ -26,14 +26,16 @@
 
 
 def on_trial(town, build):
-    town.add_build(build)
-    yield from town.insist("POST", "/v1/builds", {"build": build}, good=lambda s, a: s in (202, 409))
-    yield from town.until(lambda: ("h0", build) in town.up())
+    town.publish_build(build)
+    yield from town.call_until_answered(
+        "POST", "/v1/builds", {"build": build}, good=lambda s, a: s in (202, 409)
+    )
+    yield from town.wait_until(lambda: ("h0", build) in town.listed_up())
 
 
 def settled(town, bound=15_000_000):
     return (
-        yield from town.insist(
+        yield from town.call_until_answered(
             "GET",
             "/v1/status",
             bound=bound,
@@ -51,23 +53,23 @@
         yield from first_build(town)
         yield from on_trial(town, 2)
         copy = copied(town, "copy")
-        yield from town.vote(2, 0, "back")
-        yield from town.until(lambda: town.exactly(1))
+        yield from town.cast_vote(2, 0, "back")
+        yield from town.wait_until(lambda: town.runs_only(1))
         yield Sleep(1_200_000)  # the hosts hear of it with the news' period
-        town.kill("desk")
+        town.kill_process("desk")
         put_back(town, copy if how != "lost" else None)
-        before = len(town.record)
+        before = len(town.registry_log)
         town.start("desk")
         status = yield from settled(town)
         yield Sleep(1_500_000)
-        after = [(build, state) for _, _, build, state, _ in town.record[before:]]
+        after = [(build, state) for _, _, build, state, _ in town.registry_log[before:]]
         assert status["returning"]["state"] == "resumed", status
-        assert 2 in status["condemned"] and (2, "up") not in after and town.exactly(1)
-        refused = yield from town.ask("POST", "/v1/builds", {"build": 2})
+        assert 2 in status["condemned"] and (2, "up") not in after and town.runs_only(1)
+        refused = yield from town.call_desk("POST", "/v1/builds", {"build": 2})
         assert refused[0] == 409
         yield from on_trial(town, 3)  # and it goes on
-        yield from town.push(3)
-        yield from town.until(lambda: town.exactly(3))
+        yield from town.promote(3)
+        yield from town.wait_until(lambda: town.runs_only(3))
 
     run.go(go())
     assert not run.deaths
@@ -81,18 +83,18 @@
         yield from first_build(town)
         yield from on_trial(town, 2)
         yield Sleep(1_200_000)
-        town.kill("desk")
+        town.kill_process("desk")
         put_back(town, None)
-        before = len(town.record)
+        before = len(town.registry_log)
         town.start("desk")
         status = yield from settled(town)
         assert (status["news"]["build"], status["news"]["stage"], status["news"]["phase"]) == (2, 0, "trial")
         assert status["stable"] == 1 and status["news"]["cap"] <= 0.5
         yield Sleep(800_000)
-        assert not [row for row in town.record[before:] if row[3] != "up"], town.record[before:]
-        assert {place for place, build in town.up() if build == 1} == set(town.places)
-        yield from town.push(2)
-        yield from town.until(lambda: town.exactly(2))
+        assert not [row for row in town.registry_log[before:] if row[3] != "up"], town.registry_log[before:]
+        assert {place for place, build in town.listed_up() if build == 1} == set(town.places)
+        yield from town.promote(2)
+        yield from town.wait_until(lambda: town.runs_only(2))
 
     run.go(go())
     assert not run.deaths
@@ -110,7 +112,7 @@
             for place in town.places
             if any(word.startswith(f"{town.folder}/{place}/store") for word in words)
         }
-        town.kill("h1")
+        town.kill_process("h1")
         shutil.rmtree(os.path.join(town.folder, "h1", "journal"))
         town.start("h1")
         yield Sleep(2_500_000)
@@ -120,10 +122,10 @@
             for place in town.places
             if any(word.startswith(f"{town.folder}/{place}/store") for word in words)
         }
-        assert now == running and town.exactly(1)
+        assert now == running and town.runs_only(1)
         yield from on_trial(town, 2)
-        yield from town.push(2)
-        yield from town.until(lambda: town.exactly(2))
+        yield from town.promote(2)
+        yield from town.wait_until(lambda: town.runs_only(2))
 
     run.go(go())
     assert not run.deaths
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -166,7 +166,8 @@
         one.signal("KILL", 2)
         yield from one.until_seen("failed", [2], [0, 1])
         told = one.loop.kernel.spawn(
-            [sys.executable, "-m", "cobaltpond", "members", one.sheet(0), "--as-json"], str(tmp_path / "told")
+            [sys.executable, "-m", "cobaltpond", "members", one.settings_path(0), "--as-json"],
+            str(tmp_path / "told"),
         )
         yield from one.until(lambda: ended(told))
         return told.ended()
@@ -194,7 +195,7 @@
 )
 def test_a_sheet_whose_membership_makes_no_sense_is_refused_with_its_line(tmp_path, line, why):
     one = rig(tmp_path, 2)
-    path = one.sheet(0)
+    path = one.settings_path(0)
     with open(path, encoding="utf-8") as file:
         text = "\n".join([row for row in file.read().splitlines() if not row.startswith("members")] + [line])
     with open(path, "w", encoding="utf-8") as file:
--- a/tests/test_pg.py
+++ b/tests/test_pg.py
@@ -9,7 +9,7 @@
 from pgworld import row, statement
 
 from cobaltpond.wire import pg
-from cobaltpond.wire.statement import INSERTED, SELECTED, NoStatement, Statement
+from cobaltpond.wire.statement import INSERTED, SELECTED, PlatformStatement, StatementError
 
 fixed = settings(derandomize=True, deadline=None, max_examples=150)
 
@@ -29,49 +29,53 @@
     st.lists(st.integers(0, 400), max_size=12),
 )
 def test_clients_read_the_same_however_they_are_cut(queries, cuts):
-    data = struct.pack(">II", 8, pg.TLS) + pg.startup("web", "orders") + b"".join(map(pg.query, queries))
+    data = (
+        struct.pack(">II", 8, pg.TLS)
+        + pg.startup_message("web", "orders")
+        + b"".join(map(pg.query_message, queries))
+    )
     data += pg.message(b"X", b"")
-    whole = pg.Asked().feed(data)
-    assert fed(pg.Asked(), pieces(data, cuts)) == whole
+    whole = pg.ClientMessageParser().feed(data)
+    assert fed(pg.ClientMessageParser(), pieces(data, cuts)) == whole
     assert [value for kind, value in whole if kind == "query"] == queries and whole[-1] == ("end", None)
     assert whole[1][1][b"user"] == b"web"
 
 
 def test_an_answer_reads_the_same_cut_at_every_byte():
-    data = pg.message(b"S", b"gauges\0inflight=7,util=0.5\0") + row(b"value") + pg.READY
+    data = pg.message(b"S", b"gauges\0inflight=7,util=0.5\0") + row(b"value") + pg.READY_FOR_QUERY
     for cut in range(len(data) + 1):
-        answers = pg.Answers()
-        answers.feed(pg.welcome())
+        answers = pg.ServerMessageParser()
+        answers.feed(pg.startup_response())
         answers.expect(SELECTED)
         for part in (data[:cut], data[cut:]):
             if part:
                 answers.feed(part)
         assert answers.reusable and answers.whole and answers.value == row(b"value")
-        assert pg.report(answers.gauges) == {"inflight": 7.0, "util": 0.5}
+        assert pg.parse_gauges(answers.gauges) == {"inflight": 7.0, "util": 0.5}
 
 
 def test_what_show_asks_for_is_the_row_itself():
-    answers = pg.Answers()
-    answers.feed(pg.welcome())
+    answers = pg.ServerMessageParser()
+    answers.feed(pg.startup_response())
     answers.expect(b"SHOW\0")
     assert answers.shown is None
-    answers.feed(row(b"util=0.5,inflight=3", b"SHOW") + pg.READY)
-    assert answers.whole and pg.report(answers.shown) == {"util": 0.5, "inflight": 3.0}
+    answers.feed(row(b"util=0.5,inflight=3", b"SHOW") + pg.READY_FOR_QUERY)
+    assert answers.whole and pg.parse_gauges(answers.shown) == {"util": 0.5, "inflight": 3.0}
 
 
 @fixed
 @given(st.binary(max_size=300), st.booleans())
 def test_any_bytes_are_read_or_refused(data, started):
-    asked = pg.Asked()
+    asked = pg.ClientMessageParser()
     asked.started = started
     events = asked.feed(data)
     assert all(kind != "wrong" for kind, _ in events[:-1]) and asked.feed(b"") == []
-    answers = pg.Answers()
-    answers.feed(pg.welcome())
+    answers = pg.ServerMessageParser()
+    answers.feed(pg.startup_response())
     answers.expect(SELECTED)
     try:
         answers.feed(data)
-    except pg.Nonsense:
+    except pg.PgProtocolError:
         pass
     assert not answers.whole
 
@@ -93,7 +97,7 @@
     ],
 )
 def test_bad_openings_are_told_apart_at_once(data):
-    ((kind, trouble),) = pg.Asked().feed(data)[-1:]
+    ((kind, trouble),) = pg.ClientMessageParser().feed(data)[-1:]
     assert kind == "wrong" and len(trouble.code) == 5
 
 
@@ -113,14 +117,14 @@
     ],
 )
 def test_a_length_is_judged_before_anything_is_kept(data):
-    asked = pg.Asked()
-    asked.feed(pg.startup("web", "orders"))
+    asked = pg.ClientMessageParser()
+    asked.feed(pg.startup_message("web", "orders"))
     assert [kind for kind, _ in asked.feed(data)] == ["wrong"] and asked.rest == b""
     assert asked.feed(b"x" * 100_000) == [] and asked.rest == b""
 
 
 def spoil(at, by):
-    data = row(b"value") + pg.READY
+    data = row(b"value") + pg.READY_FOR_QUERY
     return data[:at] + by + data[at + len(by) :]
 
 
@@ -135,7 +139,7 @@
         row(tag=b"INSERT 0 1"),
         row(b"x" * (pg.VALUE_MOST + 100)),
         pg.message(b"D", b"\0\1\0\0\0\1x"),
-        pg.READY,
+        pg.READY_FOR_QUERY,
         row()[:40] + row(),
         pg.message(b"T", b"\0\1"),
         row().replace(b"\0\0\0\x04fine", b"\0\0\0\x09fine"),
@@ -147,10 +151,10 @@
     ],
 )
 def test_a_spoilt_answer_is_never_whole(data):
-    answers = pg.Answers()
-    answers.feed(pg.welcome())
+    answers = pg.ServerMessageParser()
+    answers.feed(pg.startup_response())
     answers.expect(SELECTED)
-    with pytest.raises(pg.Nonsense):
+    with pytest.raises(pg.PgProtocolError):
         answers.feed(data)
     assert not answers.whole and len(answers.rest) < 1000
 
@@ -160,15 +164,15 @@
     [
         row(),
         b"\xde\xad\xbe\xef noise",
-        pg.READY + b"x",
-        pg.READY + row(),
+        pg.READY_FOR_QUERY + b"x",
+        pg.READY_FOR_QUERY + row(),
         b"D" + struct.pack(">I", 3 << 30),
         pg.message(b"Z", b"?"),
     ],
 )
 def test_a_good_answer_with_more_than_belongs_to_it_is_good_and_the_connection_is_not(more):
-    answers = pg.Answers()
-    answers.feed(pg.welcome())
+    answers = pg.ServerMessageParser()
+    answers.feed(pg.startup_response())
     answers.expect(SELECTED)
     answers.feed(row(b"value") + more)
     assert answers.whole and answers.value == row(b"value") and not answers.reusable
@@ -191,13 +195,13 @@
     ],
 )
 def test_a_report_that_cannot_be_read_is_none(gauges):
-    assert pg.report(gauges) == {}
+    assert pg.parse_gauges(gauges) == {}
 
 
 def test_statements_pass_with_nothing_but_the_wait_changed():
     for group, tag in (("look", SELECTED), ("hold", INSERTED)):
         text = statement(7, group, 480)
-        read = Statement(text)
+        read = PlatformStatement(text)
         assert (read.group, read.customer, read.left, read.id, read.tag, read.again) == (
             group,
             "ann",
@@ -208,7 +212,7 @@
         )
         assert read.waiting(33) == text.replace(b"d=480", b"d=33")
     assert read.key == b"00000000000000aa"
-    assert Statement(statement(7).replace(b" */", b",r=1 */")).again
+    assert PlatformStatement(statement(7).replace(b" */", b",r=1 */")).again
 
 
 @pytest.mark.parametrize(
@@ -241,5 +245,5 @@
 def test_statements_of_another_form_are_none(old, new):
     text = statement(7, "look", 480)
     assert old in text
-    with pytest.raises(NoStatement):
-        Statement(text.replace(old, new, 1))
+    with pytest.raises(StatementError):
+        PlatformStatement(text.replace(old, new, 1))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cobaltpond.decisions.records import Chance
-from cobaltpond.recovery.measure import greatest, time_to_full_service
+from cobaltpond.decisions.records import RandomSource
+from cobaltpond.recovery.measure import max_in_window, time_to_full_service
 from cobaltpond.recovery.phases import (
     ADMIT,
     ALL_HEARD,
@@ -17,21 +17,21 @@
     HEARD,
     HEARING,
     IN_STEP,
-    MAY,
     NEXT,
     ORDER,
+    PERMISSIONS,
     SERVING,
     SETTLED,
     STOOD_STILL,
-    TIME,
+    TIME_UP,
     VOTE_ON,
     WARMED,
     WARMING,
-    Life,
-    Step,
+    PhaseMachine,
+    ServiceWindow,
 )
-from cobaltpond.recovery.rate_limiter import Answers, Fresh, Spread, Turns
-from cobaltpond.recovery.warm_start import ROWS_MOST, SILENT, WarmStart, mark_of, remarkable
+from cobaltpond.recovery.rate_limiter import AnswerRateLimiter, DialRateLimiter, RecentStarts, StartJitter
+from cobaltpond.recovery.warm_start import ROWS_MOST, SILENT, WarmStart, notable_rows, start_mark
 
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "60"))
 S = 1_000_000
@@ -51,50 +51,53 @@
     )
 )
 def test_whatever_happens_the_table_holds_and_nobody_stays_past_the_longest(events):
-    life, now, seen = Life(0, LONGEST), 0, []
-    life.moved = lambda before, cause: seen.append((before, cause, life.phase))
+    life, now, seen = PhaseMachine(0, LONGEST), 0, []
+    life.on_change = lambda before, cause: seen.append((before, cause, life.phase))
     for wait, what in events:
         now += wait
         life.tick(now)
         assert life.phase not in LONGEST or now - life.since < LONGEST[life.phase]
         if what != "tick":
-            life.on(now, what)
+            life.apply_cause(now, what)
     assert all(NEXT[before][cause] == after for before, cause, after in seen)
     life.tick(now + sum(LONGEST.values()))
     assert life.phase == SETTLED
 
 
 def test_rights_only_grow_on_the_way_and_only_blank_keeps_the_door_shut():
-    kept = [set(MAY[phase]) - {"ask"} for phase in ORDER]
+    kept = [set(PERMISSIONS[phase]) - {"ask"} for phase in ORDER]
     assert all(one <= other for one, other in zip(kept, kept[1:], strict=False))
-    assert [phase for phase in ORDER if ADMIT not in MAY[phase]] == [BLANK]
-    assert [phase for phase in ORDER if VOTE_ON in MAY[phase]] == [SETTLED]
-    assert all(TIME in NEXT[phase] for phase in ORDER if phase != SETTLED)
+    assert [phase for phase in ORDER if ADMIT not in PERMISSIONS[phase]] == [BLANK]
+    assert [phase for phase in ORDER if VOTE_ON in PERMISSIONS[phase]] == [SETTLED]
+    assert all(TIME_UP in NEXT[phase] for phase in ORDER if phase != SETTLED)
 
 
 def test_who_stood_still_knows_only_what_was_so_and_begins_anew():
-    life = Life(0, LONGEST)
+    life = PhaseMachine(0, LONGEST)
     for cause in (HEARD, ALL_HEARD, WARMED, IN_STEP):
-        assert life.on(1, cause)
+        assert life.apply_cause(1, cause)
     assert (
-        life.phase == SETTLED and life.on(2, STOOD_STILL) and life.phase == WARMING and not life.may(VOTE_ON)
+        life.phase == SETTLED
+        and life.apply_cause(2, STOOD_STILL)
+        and life.phase == WARMING
+        and not life.is_allowed(VOTE_ON)
     )
-    assert not life.on(3, HEARD) and life.status(5)["since_us"] == 3
+    assert not life.apply_cause(3, HEARD) and life.status(5)["since_us"] == 3
 
 
 def test_in_step_is_a_share_of_a_whole_second_or_hardly_any_traffic():
-    step = Step()
+    step = ServiceWindow()
     for n in range(11):
-        step.enter(n * 100 * MS, 10 * n, 9 * n)
-    assert not step.fine()
-    step = Step()
+        step.record(n * 100 * MS, 10 * n, 9 * n)
+    assert not step.is_in_step()
+    step = ServiceWindow()
     for n in range(11):
-        step.enter(n * 100 * MS, 10 * n, 10 * n)
-        assert step.fine() == (n == 10)
-    quiet = Step()
-    quiet.enter(0, 0, 0)
-    quiet.enter(S, 7, 0)
-    assert quiet.fine()
+        step.record(n * 100 * MS, 10 * n, 10 * n)
+        assert step.is_in_step() == (n == 10)
+    quiet = ServiceWindow()
+    quiet.record(0, 0, 0)
+    quiet.record(S, 7, 0)
+    assert quiet.is_in_step()
 
 
 # --- the fleet's budgets ------------------------------------------------------------------------------------
@@ -104,52 +107,56 @@
 def test_dials_of_all_gateways_to_one_target_stay_within_what_it_bears(count):
     """All begin at once, want a connection at every moment and take every turn; then the target resets all of
     them."""
-    rate, chance = 40.0, Chance(7)
-    fleet = [Turns(rate, lambda: count, Chance(chance.below(1 << 30))) for _ in range(count)]
+    rate, chance = 40.0, RandomSource(7)
+    fleet = [
+        DialRateLimiter(rate, lambda: count, RandomSource(chance.randbelow(1 << 30))) for _ in range(count)
+    ]
     times, first = [], {}
     for now in range(0, 20 * S, 5 * MS):
         for n, turns in enumerate(fleet):
-            if turns.take("i0", now):
+            if turns.try_acquire("i0", now):
                 times.append(now)
                 first.setdefault(n, now)
     # of 200 drawn offsets some lie close together: the mean is the rate, a second may have a root or three
     # more
-    assert len(times) / 20 <= rate * 1.02 and greatest(times) <= rate + 3 * rate**0.5
+    assert len(times) / 20 <= rate * 1.02 and max_in_window(times) <= rate + 3 * rate**0.5
     assert len(first) == count and max(first.values()) <= count * S / rate + 5 * MS
 
 
 def test_a_turn_that_is_not_taken_at_once_is_lost():
-    turns = Turns(10.0, lambda: 100, Chance(3))  # one every 10 s, for half a second
-    due = [now for now in range(0, 30 * S, 10 * MS) if turns.due("i0", now)]
+    turns = DialRateLimiter(10.0, lambda: 100, RandomSource(3))  # one every 10 s, for half a second
+    due = [now for now in range(0, 30 * S, 10 * MS) if turns.is_due("i0", now)]
     assert 3 * 45 <= len(due) <= 3 * 51
     begin = due[0]
-    assert turns.take("i0", begin) and not turns.take("i0", begin + 10 * MS)
-    assert not any(turns.due("i0", now) for now in range(begin, begin + 9 * S, 10 * MS))
-    later = [now for now in range(begin + 9 * S, begin + 11 * S, 10 * MS) if turns.due("i0", now)]
-    assert later and turns.take("i0", later[-1])
-    turns.keep({"i1": 1})
+    assert turns.try_acquire("i0", begin) and not turns.try_acquire("i0", begin + 10 * MS)
+    assert not any(turns.is_due("i0", now) for now in range(begin, begin + 9 * S, 10 * MS))
+    later = [now for now in range(begin + 9 * S, begin + 11 * S, 10 * MS) if turns.is_due("i0", now)]
+    assert later and turns.try_acquire("i0", later[-1])
+    turns.retain({"i1": 1})
     assert turns.offsets == turns.used == {}
 
 
 def test_who_has_just_begun_is_reckoned_from_those_heard():
-    fresh = Fresh(200)
-    assert fresh.count(100 * S) == 200 and fresh.there() == 200  # nobody heard: everybody may have begun
-    fresh.heard({n: 0 for n in range(199)})
-    assert fresh.count(100 * S) == 1 and fresh.there() == 199
-    fresh.heard({n: 0 if n < 60 else 98 * S for n in range(199)})
+    fresh = RecentStarts(200)
+    assert (
+        fresh.count(100 * S) == 200 and fresh.member_count() == 200
+    )  # nobody heard: everybody may have begun
+    fresh.update({n: 0 for n in range(199)})
+    assert fresh.count(100 * S) == 1 and fresh.member_count() == 199
+    fresh.update({n: 0 if n < 60 else 98 * S for n in range(199)})
     assert 130 <= fresh.count(100 * S) <= 150
-    fresh.heard({1: 0, 2: 0})  # the smaller side of a split asks for no more
-    assert fresh.there() == 100
-    spread = Spread(100.0, Chance(1))
-    assert max(spread.wait(200) for _ in range(500)) <= 2 * S and spread.wait(1) <= 10 * MS
+    fresh.update({1: 0, 2: 0})  # the smaller side of a split asks for no more
+    assert fresh.member_count() == 100
+    spread = StartJitter(100.0, RandomSource(1))
+    assert max(spread.draw_delay(200) for _ in range(500)) <= 2 * S and spread.draw_delay(1) <= 10 * MS
 
 
 def test_a_donor_answers_no_more_than_it_bears():
-    answers = Answers(20)
-    allowed = [answers.allows(5 * S + n, n % 50) for n in range(200)]
-    assert sum(allowed) == 20 and answers.allows(6 * S, 3)
-    one = Answers(20)
-    assert [one.allows(0, 1) for _ in range(6)] == [True] * 4 + [False] * 2
+    answers = AnswerRateLimiter(20)
+    allowed = [answers.try_acquire(5 * S + n, n % 50) for n in range(200)]
+    assert sum(allowed) == 20 and answers.try_acquire(6 * S, 3)
+    one = AnswerRateLimiter(20)
+    assert [one.try_acquire(0, 1) for _ in range(6)] == [True] * 4 + [False] * 2
 
 
 # --- warm start ---------------------------------------------------------------------------------------------
@@ -161,25 +168,25 @@
         (201, 4.0, 9, 0.0, 0, 0),
         (202, 1.0, 0, 0.9, 0, 0),
     ]
-    assert [row_[0] for row_ in remarkable(rows)] == [200, 202, 201]
-    assert len(remarkable([(n, 9.0, 1, 0, 0, 0) for n in range(500)])) == ROWS_MOST
+    assert [row_[0] for row_ in notable_rows(rows)] == [200, 202, 201]
+    assert len(notable_rows([(n, 9.0, 1, 0, 0, 0) for n in range(500)])) == ROWS_MOST
 
 
 def asked(rows_by_donor, window=12 * S, now=0):
-    warm = WarmStart(window, Chance(1), now)
-    to = warm.due(now, sorted(rows_by_donor))
+    warm = WarmStart(window, RandomSource(1), now)
+    to = warm.due_requests(now, sorted(rows_by_donor))
     for number in to:
-        warm.answered(number, rows_by_donor[number])
+        warm.apply_answer(number, rows_by_donor[number])
     return warm, to
 
 
 def test_two_donors_are_asked_and_the_worse_word_holds_weighed_by_age():
-    a, b = mark_of("a", 1, 5), mark_of("b", 1, 5)
+    a, b = start_mark("a", 1, 5), start_mark("b", 1, 5)
     warm, to = asked(
         {1: [(a, 3.0, 10, 0.0, SILENT, 0), (b, 2.0, 4, 0.5, SILENT, 6 * S)], 2: [(a, 2.0, 20, 0.1, 0, 0)]}
     )
-    assert sorted(to) == [1, 2] and warm.over(0) and warm.due(1, [1, 2, 3]) == []
-    assert warm.believed({a: "a", b: "b"}) == sorted(
+    assert sorted(to) == [1, 2] and warm.is_over(0) and warm.due_requests(1, [1, 2, 3]) == []
+    assert warm.accepted_rows({a: "a", b: "b"}) == sorted(
         [
             ("a", 3.0, 20.0, 0.1, False),  # silent to one of two: a link of that donor's
             ("b", 1.5, 2.0, 0.25, False),
@@ -204,25 +211,25 @@
 )
 def test_no_word_makes_an_instance_look_better_than_unknown(rows):
     warm, _ = asked({1: rows, 2: rows[::2]})
-    for _, pace, load, faults, silent in warm.believed({n: f"i{n}" for n in range(10)}):
+    for _, pace, load, faults, silent in warm.accepted_rows({n: f"i{n}" for n in range(10)}):
         assert pace >= 1 and load >= 0 and 0 <= faults <= 1
         assert not silent or any(flags and age < 6 * S for _, _, _, _, flags, age in rows)
 
 
 def test_a_word_about_a_former_start_is_dropped_and_too_old_ones_and_strangers_too():
-    old, new = mark_of("a", 1, 5), mark_of("a", 1, 6)
+    old, new = start_mark("a", 1, 5), start_mark("a", 1, 6)
     warm, _ = asked({1: [(old, 5.0, 10, 1.0, SILENT, 0), (new, 5.0, 10, 1.0, SILENT, 12 * S)]})
-    warm.answered(7, [(new, 5.0, 1, 1.0, 1, 0)])
-    assert warm.believed({new: "a"}) == [] and warm.counts["stale"] == 2
+    warm.apply_answer(7, [(new, 5.0, 1, 1.0, 1, 0)])
+    assert warm.accepted_rows({new: "a"}) == [] and warm.counts["stale"] == 2
 
 
 def test_where_no_donor_is_nobody_waits_for_one_and_a_dead_one_is_replaced():
-    warm = WarmStart(S, Chance(1), 0)
-    assert warm.due(0, []) == [] and not warm.over(S - 1) and warm.over(S)
-    warm = WarmStart(S, Chance(1), 0)
-    first = warm.due(0, [1, 2, 3, 4])
+    warm = WarmStart(S, RandomSource(1), 0)
+    assert warm.due_requests(0, []) == [] and not warm.is_over(S - 1) and warm.is_over(S)
+    warm = WarmStart(S, RandomSource(1), 0)
+    first = warm.due_requests(0, [1, 2, 3, 4])
     left = [n for n in (1, 2, 3, 4) if n not in first]
-    again = warm.due(100 * MS, left)
+    again = warm.due_requests(100 * MS, left)
     assert len(first) == 2 and sorted(again) == left
 
 
@@ -244,8 +251,8 @@
         [],
     )
     by_id = bench.gateway.fleet.by_id
-    assert by_id[met].pace < 2 and by_id[met].benched_until == 0
-    assert by_id[others[0]].pace == 9.0 and by_id[others[1]].benched_until > bench.host.now
+    assert by_id[met].latency_ratio < 2 and by_id[met].ejected_until == 0
+    assert by_id[others[0]].latency_ratio == 9.0 and by_id[others[1]].ejected_until > bench.host.now
     for _ in range(8):
         bench.hit()
     used = [f[3] for f in bench.host.open]
@@ -270,7 +277,7 @@
             for forward in list(bench.host.open):
                 bench.end(forward)
         taken += 10
-        sent += sum(a[1].startswith("n") for _, _, a in bench.host.named("forward"))
+        sent += sum(a[1].startswith("n") for _, _, a in bench.host.named("send_forward"))
     assert sent <= 0.05 * taken + 2 and taken == 200
 
 
@@ -283,54 +290,56 @@
     assert time_to_full_service(hits, 10 * S, 20 * S, 16 * S) == 6 * S
     assert time_to_full_service(hits, 10 * S, 20 * S, None) is None
     assert time_to_full_service(hits[:1100], 10 * S, 11 * S, 10 * S) is None
-    assert greatest([0, 1, S - 1, S, 3 * S]) == 3
+    assert max_in_window([0, 1, S - 1, S, 3 * S]) == 3
 
 
 def test_the_sheet_says_what_makes_no_sense():
-    from cobaltpond.settings import BadSheet, read_sheet
+    from cobaltpond.settings import SettingsError, read_settings
 
     text = open("examples/resale.star").read()
-    assert read_sheet("x", text).recovery is None and not read_sheet("x", text).runsheet(0)["paced"]
-    sheet = read_sheet("x", text + "recovery(dials = 30.0, calls = 100.0)\n")
-    assert sheet.runsheet(0)["paced"] and sheet.recovery.warm
-    assert json.loads(json.dumps(sheet.runsheet(0)))["paced"]
+    assert (
+        read_settings("x", text).recovery is None and not read_settings("x", text).policy_settings(0)["paced"]
+    )
+    sheet = read_settings("x", text + "recovery(dials = 30.0, calls = 100.0)\n")
+    assert sheet.policy_settings(0)["paced"] and sheet.recovery.warm
+    assert json.loads(json.dumps(sheet.policy_settings(0)))["paced"]
     for bad, why in (
         ("dials = 0.01", "dials below 0.1"),
         ("calls = 0.05", "calls below 0.1"),
         ("hear = 3", "a time"),
     ):
-        with pytest.raises(BadSheet, match=why):
-            read_sheet("x", text + f"recovery({bad})\n")
+        with pytest.raises(SettingsError, match=why):
+            read_settings("x", text + f"recovery({bad})\n")
 
 
 def test_an_instance_that_is_not_our_turn_gets_no_forward():
     """Dials are paced by the host; the module narrows its choice, and holds or bounces where nothing is
     left."""
     bench = Bench([row("a"), row("b")], paced=True)
-    bench.host.reaches = lambda id: id == "b"
+    bench.host.is_reachable = lambda id: id == "b"
     for _ in range(3):
         bench.hit()
     assert [f[3] for f in bench.host.open] == ["b"] * 3
-    bench.host.reaches = lambda id: False
+    bench.host.is_reachable = lambda id: False
     bench.hit()
     bench.run(400 * MS)
-    assert len(bench.host.named("bounce")) == 1
+    assert len(bench.host.named("reject_hit")) == 1
 
 
 def test_a_forward_that_is_called_off_before_it_asks_keeps_its_connection_from_nobody():
     """Found by reading: its promise stayed, and the instance was reached only by turns from then on."""
     from types import SimpleNamespace
 
-    from cobaltpond.gateway.endpoints import PROMISED, Place, Places
+    from cobaltpond.gateway.endpoints import RESERVATION_TIME, EndpointPool, InstanceEndpoint
 
     loop = SimpleNamespace(clock=S)
     loop.now = lambda: loop.clock
-    places = Places(loop, SimpleNamespace(rest_time=0, idle_time=15 * S))
-    places.turns = SimpleNamespace(due=lambda name, now: False, take=lambda name, now: False)
-    place = Place({"id": "i0"}, ("127.0.0.1", 1))
+    places = EndpointPool(loop, SimpleNamespace(rest_time=0, idle_time=15 * S))
+    places.dial_limiter = SimpleNamespace(is_due=lambda name, now: False, try_acquire=lambda name, now: False)
+    place = InstanceEndpoint({"id": "i0"}, ("127.0.0.1", 1))
     place.idle.append((object(), 0))
-    assert places.reaches(place)
-    places.promise(place)
-    assert not places.reaches(place)  # it is on its way to the one that is kept
-    loop.clock += PROMISED + 1
-    assert places.reaches(place)
+    assert places.is_reachable(place)
+    places.reserve(place)
+    assert not places.is_reachable(place)  # it is on its way to the one that is kept
+    loop.clock += RESERVATION_TIME + 1
+    assert places.is_reachable(place)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -51,6 +51,6 @@
     bench.host.now += 601 * MS
     bench.gateway.late = 0.7  # a third of it is worth one probe, not two
     bench.hit()
-    ((_, _, (probed,)),) = [call for call in bench.host.named("probe") if call[0] == bench.host.now]
+    ((_, _, (probed,)),) = [call for call in bench.host.named("probe_instance") if call[0] == bench.host.now]
     bench.probes(lambda id: load)
     assert (bench.host.open[-1][3] == probed) is goes_to
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,9 +6,9 @@
 import pytest
 from helpers import MS, NEW, OLD, THIN, Bench, broken_rules, random_day, row, scoped, sheet, steady, trial
 
-from cobaltpond.benchlink.policy_settings import runsheet
-from cobaltpond.decisions.records import Chance
-from cobaltpond.decisions.stats import draw_chance, rank_z
+from cobaltpond.benchlink.policy_settings import policy_settings
+from cobaltpond.decisions.records import RandomSource
+from cobaltpond.decisions.stats import hypergeometric_tail, rank_test_z
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -26,7 +26,7 @@
 )
 def test_module_and_plain_model_agree_on_what_is_allowed(seed, changes):
     bench, asked, told = random_day(seed, **changes)
-    assert len(asked) > 700 and len(bench.host.named("forward")) > 150
+    assert len(asked) > 700 and len(bench.host.named("send_forward")) > 150
     assert broken_rules(bench.host, asked, told, sheet(**changes)) == []
 
 
@@ -35,18 +35,20 @@
 
 
 def test_rank_test_agrees_with_counting_every_pair():
-    dice = Chance(7)
+    dice = RandomSource(7)
     for _ in range(50):
-        new, old = ([dice.below(30) for _ in range(3 + dice.below(20))] for _ in range(2))
+        new, old = ([dice.randbelow(30) for _ in range(3 + dice.randbelow(20))] for _ in range(2))
         n, m = len(new), len(old)
         u = sum((a > b) + (a == b) / 2 for a, b in product(new, old))
-        assert rank_z([(new, sorted(old))]) == pytest.approx((u - n * m / 2) / sqrt(n * m * (n + m + 1) / 12))
+        assert rank_test_z([(new, sorted(old))]) == pytest.approx(
+            (u - n * m / 2) / sqrt(n * m * (n + m + 1) / 12)
+        )
 
 
 def test_chance_of_errored_hits_agrees_with_listing_every_deal():
     deals = list(combinations(range(9), 4))  # 4 new hits of 9, of which hits 0, 1 and 2 errored
     share = sum(len({0, 1, 2} & set(deal)) >= 2 for deal in deals) / len(deals)
-    assert draw_chance(2, 4, 1, 5) == pytest.approx(share)
+    assert hypergeometric_tail(2, 4, 1, 5) == pytest.approx(share)
 
 
 def test_slow_build_is_sent_back_and_a_like_one_goes_on():
@@ -60,8 +62,8 @@
 
 
 def test_few_quick_errors_send_back_though_the_median_is_lower():
-    dice = Chance(9)
-    votes, _ = trial(steady(50), lambda id: id[0] == "n" and dice.below(100) < 20)
+    dice = RandomSource(9)
+    votes, _ = trial(steady(50), lambda id: id[0] == "n" and dice.randbelow(100) < 20)
     assert "back" in {verdict for _, verdict in votes}
 
 
@@ -71,10 +73,12 @@
 
 
 def test_burst_that_slows_both_builds_is_no_fail():
-    dice = Chance(4)
+    dice = RandomSource(4)
     bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
-    bench.serve(16_000 * MS, lambda id: (60 + dice.below(80)) * (4 if bench.host.now > 9_000_000 else 1) * MS)
-    assert "back" not in {a[2] for _, _, a in bench.host.named("vote")}
+    bench.serve(
+        16_000 * MS, lambda id: (60 + dice.randbelow(80)) * (4 if bench.host.now > 9_000_000 else 1) * MS
+    )
+    assert "back" not in {a[2] for _, _, a in bench.host.named("cast_vote")}
 
 
 def test_lost_vote_is_tried_again_and_a_standing_one_renewed_in_time():
@@ -82,19 +86,19 @@
     gaps = [b[0] - a[0] for a, b in zip(votes, votes[1:], strict=False)]
     assert gaps and min(gaps) >= 800 * MS  # no answer came: one try each time it is overdue
     bench.gateway.on_news(bench.host.now, 2, 0, "trial", 1.0, 0, True, "ok")
-    count = len(bench.host.named("vote"))
+    count = len(bench.host.named("cast_vote"))
     bench.serve(bench.host.now + 4_000 * MS, steady())
-    assert len(bench.host.named("vote")) == count
+    assert len(bench.host.named("cast_vote")) == count
     bench.serve(bench.host.now + 2_000 * MS, steady())
-    assert len(bench.host.named("vote")) > count
+    assert len(bench.host.named("cast_vote")) > count
 
 
 def test_silent_instance_leaves_the_rotation_and_its_hits_go_elsewhere():
     bench = Bench(OLD)
     bench.serve(3_000 * MS, lambda id: 10**9 if id == "i0" else 50 * MS)
-    cancelled = {a[0] for _, _, a in bench.host.named("cancel")}
-    assert cancelled and cancelled <= {a[0] for _, _, a in bench.host.named("forward") if a[1] != "i0"}
-    late = [a for now, _, a in bench.host.named("forward") if a[1] == "i0" and now > 600 * MS]
+    cancelled = {a[0] for _, _, a in bench.host.named("cancel_forward")}
+    assert cancelled and cancelled <= {a[0] for _, _, a in bench.host.named("send_forward") if a[1] != "i0"}
+    late = [a for now, _, a in bench.host.named("send_forward") if a[1] == "i0" and now > 600 * MS]
     assert len(late) <= 3
 
 
@@ -102,7 +106,7 @@
     bench = Bench([])
     short, long = bench.hit(left=60 * MS), bench.hit(left=2500 * MS)
     bench.run(1000 * MS)
-    answered = {a[0]: now for now, _, a in bench.host.named("bounce")}
+    answered = {a[0]: now for now, _, a in bench.host.named("reject_hit")}
     assert answered[short] <= 60 * MS and answered[long] <= 150 * MS
 
 
@@ -110,7 +114,10 @@
     bench = Bench(OLD)
     bench.hit("pay")
     bench.end(bench.host.open[0], "reset")
-    assert [name for _, name, _ in bench.host.named("error", "bounce", "forward")] == ["forward", "error"]
+    assert [name for _, name, _ in bench.host.named("fail_hit", "reject_hit", "send_forward")] == [
+        "send_forward",
+        "fail_hit",
+    ]
 
 
 def test_limits_shrink_when_an_instance_is_slow_and_grow_back():
@@ -124,7 +131,7 @@
 def test_cold_instance_gets_only_its_part():
     bench = Bench(OLD + [row("cold", started=0)])
     bench.serve(1_500 * MS, lambda id: (20 if id == "cold" else 400) * MS)
-    to_cold = sum(a[1] == "cold" for _, _, a in bench.host.named("forward"))
+    to_cold = sum(a[1] == "cold" for _, _, a in bench.host.named("send_forward"))
     assert to_cold <= 1 + 2 * 0.6 * (0.33 + 0.67 * 0.375) * bench.hits / 7
 
 
@@ -141,7 +148,7 @@
 
 def test_runsheet_speaks_our_words_and_skips_what_it_does_not_know():
     group = {"name": "x", "aim": 1.5, "deadline": 2, "idempotency": "deduplicated", "q": 0}
-    made = runsheet(
+    made = policy_settings(
         {
             "discovery": "subscribe",
             "news": 1,
@@ -165,7 +172,7 @@
     bench = Bench(OLD, **THIN)
     for _ in range(6):
         bench.hit()
-        asked = [a[0] for now, _, a in bench.host.named("probe") if now == bench.host.now]
+        asked = [a[0] for now, _, a in bench.host.named("probe_instance") if now == bench.host.now]
         bench.probes(lambda id, busy=asked[0]: 9 if id == busy else 0)
         assert bench.host.open[-1][3] == asked[1]
         bench.host.now += 100 * MS
@@ -187,15 +194,15 @@
             ok = bench.host.open[0][3] in ("i0", "i1")
             bench.end(bench.host.open[0], "ok" if ok else "unreachable")
         bench.run(bench.host.now + 200 * MS)
-    late = {a[1] for now, _, a in bench.host.named("forward") if now > 4_000 * MS}
+    late = {a[1] for now, _, a in bench.host.named("send_forward") if now > 4_000 * MS}
     assert late and late <= {"i0", "i1"}
 
 
 def test_thin_gateway_sends_no_repeats_while_answers_are_late():
     bench = Bench(OLD, gateways=100)
     bench.serve(8_000 * MS, lambda id: 700 * MS, every=200 * MS)
-    assert len([c for c in bench.host.named("cancel") if c[0] > 2_000 * MS]) <= 2
-    assert any(now > 2_000 * MS for now, _, _ in bench.host.named("bounce"))
+    assert len([c for c in bench.host.named("cancel_forward") if c[0] > 2_000 * MS]) <= 2
+    assert any(now > 2_000 * MS for now, _, _ in bench.host.named("reject_hit"))
 
 
 def test_hits_that_any_instance_errors_are_blamed_on_their_customer():
@@ -205,9 +212,9 @@
         while bench.host.open:
             bench.end(bench.host.open[0], "error" if n % 3 else "ok")
         bench.run(bench.host.now + 50 * MS)
-    assert not any(i.benched_until > bench.host.now for i in bench.gateway.fleet.up)
-    assert "back" not in {a[2] for _, _, a in bench.host.named("vote")}
-    assert len(bench.host.named("forward")) < 340  # and no further forwards
+    assert not any(i.ejected_until > bench.host.now for i in bench.gateway.fleet.up)
+    assert "back" not in {a[2] for _, _, a in bench.host.named("cast_vote")}
+    assert len(bench.host.named("send_forward")) < 340  # and no further forwards
 
 
 def test_judge_sends_a_build_back_on_what_others_have_seen():
@@ -216,14 +223,16 @@
     judge = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), gateways=50, number=2, may_tell=True, gate="clock")
     for one in many:
         one.serve(1_600 * MS, steady(300), every=200 * MS, groups=("look", "hold"))
-    for at, _, (to, data) in sorted((c for one in many for c in one.host.named("tell")), key=lambda c: c[0]):
+    for at, _, (to, data) in sorted(
+        (c for one in many for c in one.host.named("send_to_peer")), key=lambda c: c[0]
+    ):
         judge.run(at)
         if to == 2:
             judge.gateway.on_peer(at, 7, data)
             judge.gateway.on_peer(at, 7, b"?")
-    assert not any(c[2][2] == "back" for one in many for c in one.host.named("vote"))
+    assert not any(c[2][2] == "back" for one in many for c in one.host.named("cast_vote"))
     judge.run(judge.host.now + 1_500 * MS)  # a hold that was cast first waits for its answer
-    assert judge.host.named("vote")[-1][2][2] == "back"
+    assert judge.host.named("cast_vote")[-1][2][2] == "back"
 
 
 def test_cold_budget_not_used_at_once_is_not_saved_up():
@@ -237,7 +246,7 @@
 def test_idle_gateway_sleeps():
     bench = Bench(OLD)
     bench.run(3_000 * MS)
-    assert len(bench.host.named("wake")) <= 2
+    assert len(bench.host.named("schedule_wakeup")) <= 2
 
 
 def test_what_goes_out_before_the_first_news_is_no_evidence_and_no_fault():
@@ -247,4 +256,4 @@
     for ending in ("ok", "error"):
         bench.hit()
         bench.end(bench.host.open[-1], ending)
-    assert not bench.host.named("tell") and bench.gateway.fleet.builds[1].samples
+    assert not bench.host.named("send_to_peer") and bench.gateway.fleet.builds[1].samples
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -10,9 +10,9 @@
 import pytest
 from pgworld import SETTINGS, PgWorld, answering, good, row, statement, told
 
-from cobaltpond.edge.config import BadConfig, config_of
+from cobaltpond.edge.config import ConfigError, parse_config
 from cobaltpond.edge.main import Edge
-from cobaltpond.gateway.pending_hit import Owed
+from cobaltpond.gateway.pending_hit import PendingHit
 from cobaltpond.loop import Loop, Sleep
 from cobaltpond.wire import pg
 
@@ -116,7 +116,7 @@
 
     def reply(text, _):
         if text.startswith(b"SHOW"):
-            return row(b"inflight=1", b"SHOW") + pg.READY
+            return row(b"inflight=1", b"SHOW") + pg.READY_FOR_QUERY
         return None if unanswered in text else good(text)
 
     world = PgWorld(answering(reply), tmp=tmp_path, here=False)
@@ -171,13 +171,13 @@
     assert process.returncode == 0
 
 
-class Answered(Owed):
+class Answered(PendingHit):
     """A request whose answers go nowhere."""
 
-    def bounce(self, retry_after):
+    def reject(self, retry_after):
         self.final = True
 
-    def error(self, late):
+    def fail(self, late):
         self.final = True
 
 
@@ -210,13 +210,13 @@
             for value in NONSENSE:
                 told_ = {**world.told, "settings": changed(settings, path, value)}
                 try:
-                    config = config_of(told_)
-                except BadConfig as trouble:
+                    config = parse_config(told_)
+                except ConfigError as trouble:
                     assert "\n" not in str(trouble)
                     refused += 1
                     continue
                 edge = Edge(Loop(world.loop.kernel), world.path, config, world.log)
-                edge.host.begin(seed=1)
+                edge.host.start_decisions(seed=1)
                 decisions, rows = (
                     edge.host.decisions,
                     [
@@ -227,8 +227,8 @@
                 decisions.on_list(0, True, rows)
                 decisions.on_news(0, 2, 0, "trial", 0.5, 0, False, "ok")
                 decisions.hits.clear()
-                for number, name in enumerate(edge.door.groups):  # known to the host by then
-                    edge.host.hits[number] = Answered(number, "", edge.door)
+                for number, name in enumerate(edge.frontend.groups):  # known to the host by then
+                    edge.host.hits[number] = Answered(number, "", edge.frontend)
                     decisions.on_hit(1, number, name, None, 7, 500_000, None, False)
                     decisions.on_outcome(2, number, 0, "ok", 1_000, False, {})
     assert refused > 100
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -7,7 +7,7 @@
 from world import World, good, hits
 
 from cobaltpond.loop import Sleep
-from cobaltpond.recovery.measure import greatest
+from cobaltpond.recovery.measure import max_in_window
 from cobaltpond.wire import http1
 
 RATE = 30
@@ -17,7 +17,7 @@
 
 def rig(tmp_path, count=3, **rest):
     one = Rig(tmp_path, count, more="", **rest)
-    sheet = one.sheet
+    sheet = one.settings_path
     one.let_through = []  # when a hit was served, and where
 
     def with_limit(n):
@@ -27,7 +27,7 @@
         one.loop.kernel.replace_file(path, (text + "\n" + MORE).encode(), sync=False)
         return path
 
-    one.sheet = with_limit
+    one.settings_path = with_limit
     for n in range(2):
         one.instance(f"old-{n}", 1)
     return one
@@ -81,7 +81,7 @@
     assert RATE * 0.6 <= hot <= RATE * 1.1  # a fixed share would be a third
     assert sum(each) <= RATE * 1.1 and min(each) >= OWN * 0.8, each
     # in no second more than the allowance, and each gateway's burst
-    assert greatest([when for when, _ in one.let_through]) <= RATE * 1.1 + 3 * 3
+    assert max_in_window([when for when, _ in one.let_through]) <= RATE * 1.1 + 3 * 3
 
 
 @pytest.mark.parametrize("how", ["KILL", "STOP", "cut"])
@@ -122,8 +122,8 @@
 
     begin = one.run(go(), 90 * SECOND)
     times = [when for when, _ in one.let_through if when >= begin]
-    assert greatest(times) <= RATE * 1.1 + 3 * 3
-    assert greatest(times, 4 * SECOND) <= 4 * RATE * 1.1 + 3 * 3
+    assert max_in_window(times) <= RATE * 1.1 + 3 * 3
+    assert max_in_window(times, 4 * SECOND) <= 4 * RATE * 1.1 + 3 * 3
 
 
 # --- at one door --------------------------------------------------------------------------------------------
@@ -168,7 +168,7 @@
     got = world.run(go())
     assert [status for status, _, _ in got] == [200, 200, 200, 429, 429]
     assert "retry_after_ms" not in json.loads(got[3][2])  # nothing that waiting would bring
-    counts = world.process.door.limited.status()["limits"]
+    counts = world.process.frontend.admission_limits.status()["limits"]
     assert counts["repeats"] == {"let_through": 1, "over": 2} and counts["looks"]["over"] >= 2
     assert any(
         event == "over a limit" and more["limit"] == "looks" and not more["bounced"]
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -9,11 +9,11 @@
 import broken
 import pytest
 
-from cobaltpond.sim.campaign import Coverage, as_test, explain, run_many, shrink, sort_of
+from cobaltpond.sim.campaign import Coverage, breach_kinds, explain, regression_test, run_seeds, shrink
 from cobaltpond.sim.kernel import VirtualKernel
 from cobaltpond.sim.machine import Machine
 from cobaltpond.sim.runner import run_seed, run_text
-from cobaltpond.sim.scenarios import draw, read_scenario
+from cobaltpond.sim.scenarios import draw_scenario, read_fault_scenario
 from cobaltpond.sim.world import Process, World
 
 # what a scenario is made of where a test does not care
@@ -40,7 +40,7 @@
 
 
 def test_a_hundred_drawn_days_break_nothing():
-    wrong = {v.seed: v.found[:3] for v in run_many(range(1000, 1100)) if v.found}
+    wrong = {v.seed: v.found[:3] for v in run_seeds(range(1000, 1100)) if v.found}
     assert not wrong
 
 
@@ -204,12 +204,12 @@
 def test_a_scenario_that_fails_is_made_smaller_and_still_fails():
     """With decisions that are broken on purpose."""
     drains = {"decisions": lambda process: broken.ForgetsDrains}
-    assert sort_of(run_text(BROKEN, **drains).found) == {"drains kept"}
+    assert breach_kinds(run_text(BROKEN, **drains).found) == {"drains kept"}
     least = shrink(BROKEN, most=25, **drains)
     assert "offer(" in least and "fault(" not in least and "trouble(" not in least
     found = run_text(least, **drains).found
-    assert sort_of(found) == {"drains kept"}
-    assert "def test_x" in as_test("x", found, least)
+    assert breach_kinds(found) == {"drains kept"}
+    assert "def test_x" in regression_test("x", found, least)
     with pytest.raises(ValueError):
         shrink(scenario(""))
 
@@ -231,17 +231,19 @@
     coverage = Coverage()
     coverage.add(run_seed(1))
     again = Coverage.load(coverage.dump())
-    assert again.met == coverage.met and again.never() == coverage.never()
+    assert again.met == coverage.met and again.never_met() == coverage.never_met()
     met = {kind for kind, _ in coverage.met}
-    assert all(weight == 4 for kind, weight in again.lean().items() if kind not in met)
-    assert all(weight < 4 for kind, weight in again.lean().items() if kind in met)
-    assert draw(5, lean=again.lean()) == draw(5, lean=again.lean()) and draw(5) == draw(5)
+    assert all(weight == 4 for kind, weight in again.fault_weights().items() if kind not in met)
+    assert all(weight < 4 for kind, weight in again.fault_weights().items() if kind in met)
+    assert draw_scenario(5, lean=again.fault_weights()) == draw_scenario(
+        5, lean=again.fault_weights()
+    ) and draw_scenario(5) == draw_scenario(5)
 
 
 def test_every_drawn_scenario_is_one():
     for size in ("small", "day", "large"):
         for seed in range(30):
-            read_scenario("drawn", draw(seed, size))
+            read_fault_scenario("drawn", draw_scenario(seed, size))
 
 
 # --- the disk -----------------------------------------------------------------------------------------------
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -16,20 +16,22 @@
 
 
 def file_of(head=HEAD, rows=ROWS, keys=KEYS):
-    return b"".join(snapshot.lines(head, rows, keys))
+    return b"".join(snapshot.snapshot_lines(head, rows, keys))
 
 
 def taken(data, **more):
-    return snapshot.read(data, **{"number": 3, "settings": 77, "wall": 101 * S, "worth": 10 * S, **more})
+    return snapshot.parse_snapshot(
+        data, **{"number": 3, "settings": 77, "wall": 101 * S, "worth": 10 * S, **more}
+    )
 
 
 def test_a_snapshot_is_read_as_it_was_written_and_weighed_by_its_age():
     told = taken(file_of())
     assert len(told["rows"]) == 60 and told["keys"][-1] == (1199, 2) and told["weight"] == pytest.approx(0.9)
-    snapshot.fits_list(told["head"], "e")
+    snapshot.check_list_epoch(told["head"], "e")
     listed = {"i7": (1, 5), "i8": (2, 5), "i9": (1, 6), "i50": (1, 5)}
     about = pytest.approx
-    assert snapshot.believed(told, listed) == [
+    assert snapshot.accepted_rows(told, listed) == [
         ("i7", about(1.63), about(6.3), about(0.063), True),
         ("i50", about(5.5), about(45), about(0.45), False),
     ]
@@ -43,7 +45,7 @@
     for bad in (data[:at], data[:at] + bytes([byte]) + data[at + 1 :]):
         if bad == data:
             continue
-        with pytest.raises(snapshot.Unfit, match="torn"):
+        with pytest.raises(snapshot.SnapshotError, match="torn"):
             taken(bad)
 
 
@@ -65,7 +67,7 @@
     if why is None:  # the format is the writer's own word, whatever the head says
         assert taken(data)["head"]["format"] == snapshot.FORMAT
         data, why = data.replace(b'"format":1', b'"format":2'), "torn"
-    with pytest.raises(snapshot.Unfit, match=why):
+    with pytest.raises(snapshot.SnapshotError, match=why):
         taken(data, **more)
 
 
@@ -73,7 +75,7 @@
     monkeypatch.setattr(snapshot, "FORMAT", 2)
     data = file_of()
     monkeypatch.undo()
-    with pytest.raises(snapshot.Unfit, match="of format 2, not 1"):
+    with pytest.raises(snapshot.SnapshotError, match="of format 2, not 1"):
         taken(data)
-    with pytest.raises(snapshot.Unfit, match="of list 'e', not 'f'"):
-        snapshot.fits_list(taken(file_of())["head"], "f")
+    with pytest.raises(snapshot.SnapshotError, match="of list 'e', not 'f'"):
+        snapshot.check_list_epoch(taken(file_of())["head"], "f")
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -5,7 +5,7 @@
 import pytest
 from pgworld import SETTINGS, PgWorld, answering, exchanging, good, row, statement, tag_of, told
 
-from cobaltpond.edge.discovery import ANSWER, WATCH, Listed
+from cobaltpond.edge.discovery import ANSWER, WATCH, DiscoveredInstances
 from cobaltpond.loop import Deadline, Sleep
 from cobaltpond.wire import pg
 
@@ -14,7 +14,7 @@
 
 def named(text):
     """An answer that holds the hit's own number."""
-    return row(text[text.find(b"id=") + 15 :][:4], tag_of(text)) + pg.READY
+    return row(text[text.find(b"id=") + 15 :][:4], tag_of(text)) + pg.READY_FOR_QUERY
 
 
 def twice(late):
@@ -45,10 +45,10 @@
 
     def go():
         first = yield from world.ask(statement(1))
-        yield Sleep(world.edge.places.limits.rest_time + 5_000)
+        yield Sleep(world.edge.endpoints.limits.rest_time + 5_000)
         return first + (yield from world.ask(statement(2)))
 
-    assert world.run(go()) == [OK, OK] and world.edge.places.open == 1
+    assert world.run(go()) == [OK, OK] and world.edge.endpoints.open_count == 1
 
 
 def test_after_term_every_connection_that_stays_open_is_served_or_closed_up_to_the_end():
@@ -90,7 +90,7 @@
 
     assert world.run(go()) == ("57014", None)  # its time was up; it may have run
     assert seen["lost"] == 0 and seen["closed"] == 6 and seen["answered"] >= 3
-    assert world.edge.host.open_hits == 0 and not world.edge.door.clients
+    assert world.edge.host.open_hits == 0 and not world.edge.frontend.clients
 
 
 def test_what_comes_out_of_the_backlog_last_and_says_nothing_is_closed_before_the_end():
@@ -101,13 +101,13 @@
         yield from client.send(statement(1, "pay", 700), start=True)
         yield from client.read()
         yield from world.until(lambda: world.got)
-        drain = world.loop.spawn(world.edge.door.drain(30_000, 400_000), "drain")
+        drain = world.loop.spawn(world.edge.frontend.drain(30_000, 400_000), "drain")
         yield Sleep(20_000)
         silent = yield from world.connect()
         yield from silent.send(start=True)
         yield from silent.read()
         got = yield from silent.read()
-        still = any(client.hit is not None for client in world.edge.door.clients)
+        still = any(client.hit is not None for client in world.edge.frontend.clients)
         yield from drain.join()
         return got, still
 
@@ -116,7 +116,7 @@
 
 
 def test_an_indented_list_and_one_with_fields_that_are_not_known_are_read():
-    listed = Listed()
+    listed = DiscoveredInstances()
     told_ = {
         "seq": 4,
         "whole": True,
@@ -135,9 +135,9 @@
             }
         ],
     }
-    from cobaltpond.wire.json_lines import one_object
+    from cobaltpond.wire.json_lines import parse_object
 
-    whole, rows = listed.apply(0, 0, one_object(json.dumps(told_, indent=4).encode()))
+    whole, rows = listed.apply(0, 0, parse_object(json.dumps(told_, indent=4).encode()))
     assert whole and [row_["id"] for row_, _ in rows] == ["a"]
 
 
@@ -157,7 +157,9 @@
         yield from world.until(lambda: sum(watch for _, _, watch in world.asked) > 1, 8_000_000)
         began, world.watch = world.loop.now(), answer
         world.tell(host="s-0", health="draining")
-        yield from world.until(lambda: world.edge.places.by_id["s-0"].row["state"] == "draining", 8_000_000)
+        yield from world.until(
+            lambda: world.edge.endpoints.by_id["s-0"].row["state"] == "draining", 8_000_000
+        )
         return world.loop.now() - began
 
     assert world.run(go(), bound=20_000_000) < WATCH + 2 * ANSWER
@@ -172,7 +174,7 @@
 
 
 def test_why_hits_were_given_up_is_counted():
-    world = PgWorld(answering(lambda text, _: pg.error("53300", "full") + pg.READY))
+    world = PgWorld(answering(lambda text, _: pg.error_response("53300", "full") + pg.READY_FOR_QUERY))
     answers = world.run(world.ask(statement(1, "look", 1500), statement(2, "pay", 700)))
     assert [code for code, _ in answers] == ["53300", "53300"]
     given_up = world.edge.host.decisions.given_up
@@ -190,7 +192,7 @@
     def on_query(world, connection, text):
         if len(world.got) == 1:
             yield Sleep(300_000)
-            yield from connection.write(pg.error("XX000", "no") + pg.READY)
+            yield from connection.write(pg.error_response("XX000", "no") + pg.READY_FOR_QUERY)
         else:
             yield from connection.write(good(text))
 
@@ -226,7 +228,7 @@
         yield from client.send(*(statement(n) for n in range(1, 6)), start=True)
         yield from world.until(lambda: world.got)
         client.connection.close()
-        yield from world.until(lambda: not world.edge.door.clients)
+        yield from world.until(lambda: not world.edge.frontend.clients)
         world.left = True
         yield from world.until(lambda: not world.edge.host.hits)
         return (yield from world.ask(statement(9)))
--- a/tests/test_thin.py
+++ b/tests/test_thin.py
@@ -3,16 +3,16 @@
 import pytest
 from helpers import MS, NEW, OLD, Bench, row, steady
 
-from cobaltpond.decisions.records import Chance, Sample
-from cobaltpond.decisions.sample_message import Told
-from cobaltpond.decisions.stats import bearable, chance_of
+from cobaltpond.decisions.records import RandomSource, Sample
+from cobaltpond.decisions.sample_message import SampleMessage
+from cobaltpond.decisions.stats import max_expected_events, poisson_tail
 
 
 def test_level_bears_as_many_errors_as_the_votes_make_harmless():
-    assert bearable(1, 0.0001) == pytest.approx(0.0001)
+    assert max_expected_events(1, 0.0001) == pytest.approx(0.0001)
     lone, many = Bench(OLD, gateways=500).gateway, Bench(OLD, gateways=500, back_votes=25).gateway
     assert many.level < lone.level == many.strict and many.least < lone.least
-    assert chance_of(25, bearable(25, 0.0001)) < 0.0001
+    assert poisson_tail(25, max_expected_events(25, 0.0001)) < 0.0001
 
 
 @pytest.mark.parametrize("left, still", [(300 * MS, 0), (2000 * MS, 1000 * MS)])
@@ -25,7 +25,7 @@
             bench.end(bench.host.open[0], "ok")
             bench.gateway.on_wake(bench.host.now, 0)
         bench.run(bench.host.now + 500 * MS)
-    assert len(bench.host.named("forward")) == 40 and not bench.host.named("cancel")
+    assert len(bench.host.named("send_forward")) == 40 and not bench.host.named("cancel_forward")
     assert bench.gateway.admitted == 1 and not any(b.samples for b in bench.gateway.fleet.builds.values())
 
 
@@ -42,7 +42,7 @@
         many = {"gateways": 500, "back_votes": needed, "stage_caps": [1.0, 1.0]}
         bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), **many)
         bench.serve(14_000 * MS, steady(400), every=400 * MS)
-        votes.append({a[2] for _, _, a in bench.host.named("vote")})
+        votes.append({a[2] for _, _, a in bench.host.named("cast_vote")})
     assert "back" not in votes[0] and "back" in votes[1]
 
 
@@ -57,10 +57,12 @@
     ).gateway
     instance, build = gateway.fleet.by_id["n"], gateway.fleet.builds[2]
     for now, latency, age in ((5_400 * MS, 900 * MS, 0), (9_000 * MS, 200 * MS, 4_000 * MS)):
-        gateway.on_peer(now, 3, Told.pack(Sample(now, latency, False, instance, 0, 1.0, 0), 0, age))
+        gateway.on_peer(now, 3, SampleMessage.pack(Sample(now, latency, False, instance, 0, 1.0, 0), 0, age))
         gateway.on_wrong(now, "n", "look", now - started + 1)
     assert not any(build.samples.values())
-    gateway.on_peer(9_000 * MS, 3, Told.pack(Sample(9_000 * MS, 900 * MS, False, instance, 0, 1.0, 0), 0, 0))
+    gateway.on_peer(
+        9_000 * MS, 3, SampleMessage.pack(Sample(9_000 * MS, 900 * MS, False, instance, 0, 1.0, 0), 0, 0)
+    )
     gateway.on_wrong(9_000 * MS, "n", "look", 1_000 * MS)
     assert len(build.samples["look"]) == 2
 
@@ -73,7 +75,7 @@
     )
     bench.news(2, 0, "released", 1.0)
     bench.serve(60_000 * MS, steady(), every=400 * MS)
-    assert [now for now, *_ in bench.host.named("tell") if now > 50_000 * MS]
+    assert [now for now, *_ in bench.host.named("send_to_peer") if now > 50_000 * MS]
 
 
 @pytest.mark.parametrize("failing, says", [(10, "fail"), (5, "fine")])
@@ -88,9 +90,9 @@
         for at in range(20)
     ]
     counts, window = (40, 200, 2, 200), int(2.5 * gateway.cold_time)
-    gateway.look(build, gateway.stage_began + window - 1)
+    gateway.assess(build, gateway.stage_began + window - 1)
     assert gateway.errors_say(build, "all", counts, gateway.level, new) == "fail"  # beside the earlier build
-    gateway.look(build, gateway.stage_began + window)
+    gateway.assess(build, gateway.stage_began + window)
     assert gateway.errors_say(build, "all", counts, gateway.level, new) == says
 
 
@@ -142,10 +144,10 @@
     for forward in list(bench.host.open):
         bench.end(forward)
     bench.host.now += 10 * MS
-    before = len(bench.host.named("forward"))
+    before = len(bench.host.named("send_forward"))
     for _ in range(20):
         bench.hit(key=7)
-    assert {a[1] for _, _, a in bench.host.named("forward")[before:]} == {"b"}
+    assert {a[1] for _, _, a in bench.host.named("send_forward")[before:]} == {"b"}
 
 
 @pytest.mark.parametrize("first", ["news", "newest row"])
@@ -160,7 +162,7 @@
     bench.news(2, 0, "trial", 1.0)
     assert bench.gateway.newest.earlier.number == 1
     bench.serve(8_000 * MS, steady(), fails=lambda id: id[0] == "n")
-    assert "back" in {verdict for _, _, (_, _, verdict) in bench.host.named("vote")}
+    assert "back" in {verdict for _, _, (_, _, verdict) in bench.host.named("cast_vote")}
 
 
 def test_few_errors_spread_over_many_instances_are_seen():
@@ -176,7 +178,7 @@
         errored = instance.id[0] == "n" and n >= 3_600 - 12 * 6
         latency = (2500 if errored else 80) * MS
         gateway.enter_sample(group, Sample(n * MS, latency, errored, instance, n // 1_000, 1.0, 0), n * MS)
-    assert gateway.look(gateway.newest, 3_600 * MS) == "fail"
+    assert gateway.assess(gateway.newest, 3_600 * MS) == "fail"
 
 
 def test_what_is_kept_of_a_busy_build_is_not_the_long_part_of_it():
@@ -186,11 +188,11 @@
         [row(f"{mark}{n:02}", build, cell=n // 3) for n in range(30)] for mark, build in (("i", 1), ("n", 2))
     )
     bench = Bench(old + new, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
-    gateway, group, dice = bench.gateway, bench.gateway.groups["look"], Chance(3)
+    gateway, group, dice = bench.gateway, bench.gateway.groups["look"], RandomSource(3)
     ended = []
     for n in range(12_000):  # one a millisecond, a tenth of them to the earlier build
-        instance = gateway.fleet.by_id[f"{'n' if n % 10 else 'i'}{dice.below(30):02}"]
-        latency = (1500 if dice.below(10) < 2 else 60 + dice.below(80)) * MS
+        instance = gateway.fleet.by_id[f"{'n' if n % 10 else 'i'}{dice.randbelow(30):02}"]
+        latency = (1500 if dice.randbelow(10) < 2 else 60 + dice.randbelow(80)) * MS
         ended.append(
             (
                 n * MS + latency,
@@ -202,7 +204,7 @@
     for at, n, sample in sorted(ended):
         gateway.enter_sample(group, sample, at)
         if n % 200 == 0 and n > 4_000:
-            said.append(gateway.look(gateway.newest, at))
+            said.append(gateway.assess(gateway.newest, at))
     assert len(said) > 30 and "fail" not in said and said.count("suspect") < len(said) / 5
 
 
@@ -213,7 +215,7 @@
     gateway = bench.gateway
     instance = gateway.fleet.by_id[NEW[0]["id"]]
     for errored in (True, False):
-        told = Told.pack(Sample(0, 2500 * MS, errored, instance, 0, 1.0, 0), 0)
+        told = SampleMessage.pack(Sample(0, 2500 * MS, errored, instance, 0, 1.0, 0), 0)
         gateway.on_peer(90_000 * MS, 5, told)
     first, second = instance.build.samples["look"]
     assert (first.stretch, second.stretch) == (90_000 * MS // gateway.stretch, 87_500 * MS // gateway.stretch)
@@ -232,35 +234,35 @@
     everybody = {n: 100 + n for n in range(20) if n != 3}  # ours may judge too: not here
     first = judge_of(bench, everybody)
     bench.serve(3_000 * MS, steady())
-    told = bench.host.named("tell")
+    told = bench.host.named("send_to_peer")
     assert {a[0] for _, _, a in told} == set(first) and all(len(a[1]) == 8 for _, _, a in told)
     second = judge_of(bench, {n: at for n, at in everybody.items() if n != first[0]})
     fresh = [n for n in second if n not in first]
-    again = bench.host.named("tell")[len(told) :]
+    again = bench.host.named("send_to_peer")[len(told) :]
     assert len(fresh) == 1 and {a[0] for _, _, a in again} == set(fresh) and 8 <= len(again) <= 40
     assert (
-        all(Told.unpack(a[1])[5] >= 0 for _, _, a in again)
-        and max(Told.unpack(a[1])[5] for _, _, a in again) > 0
+        all(SampleMessage.unpack(a[1])[5] >= 0 for _, _, a in again)
+        and max(SampleMessage.unpack(a[1])[5] for _, _, a in again) > 0
     )
-    count = len(bench.host.named("tell"))
+    count = len(bench.host.named("send_to_peer"))
     judge_of(bench, {n: at for n, at in everybody.items() if n != first[0]})
     judge_of(bench, everybody)  # the first is back, of the same start: it knows
-    assert len(bench.host.named("tell")) == count
+    assert len(bench.host.named("send_to_peer")) == count
     judge_of(bench, everybody | {first[0]: 999})  # it was restarted, and knows nothing
-    assert {a[0] for _, _, a in bench.host.named("tell")[count:]} == {first[0]}
+    assert {a[0] for _, _, a in bench.host.named("send_to_peer")[count:]} == {first[0]}
 
 
 def test_no_word_of_another_gateway_opens_anything():
     bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
 
     def sent(count=40):
-        before = len(bench.host.named("forward"))
+        before = len(bench.host.named("send_forward"))
         for _ in range(count):
             bench.hit()
             if bench.host.open:
                 bench.end(bench.host.open[0])
             bench.host.now += 10 * MS
-        return {a[1][0] for _, _, a in bench.host.named("forward")[before:]}
+        return {a[1][0] for _, _, a in bench.host.named("send_forward")[before:]}
 
     assert "n" in sent()
     bench.gateway.on_shut(bench.host.now, 2)
@@ -268,7 +270,7 @@
     bench.news(2, 0, "trial", 1.0)
     bench.gateway.on_shut(bench.host.now, None)  # as the host says it once the desk has spoken
     assert "n" in sent()
-    tags = [Told.mark(one["id"], 1) for one in OLD]
+    tags = [SampleMessage.instance_tag(one["id"], 1) for one in OLD]
     bench.gateway.on_drains(bench.host.now, tags + [1, 2])
     assert sent() == {"n"}
     bench.gateway.on_list(bench.host.now, False, [OLD[0]])
@@ -287,7 +289,7 @@
         bench.hit(key=n % 40)
         bench.end(bench.host.open[0])
         bench.host.now += 20 * MS
-    assert not bench.host.named("bounce")
+    assert not bench.host.named("reject_hit")
     bound = [key for key, build in bench.gateway.kept_keys.items() if build.number == 2]
     assert 2 <= len(bound) <= 16  # 8 on the mean
     other = Bench(
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cobaltpond.agent.states import STARTING, Place, Slot
-from cobaltpond.desk.hosts import Hosts
-from cobaltpond.desk.stages import GOING_BACK, NOTHING, Stages
-from cobaltpond.settings.sections import Release
+from cobaltpond.agent.states import STARTING, BuildSlot, BuildSlots
+from cobaltpond.desk.hosts import HostOrders
+from cobaltpond.desk.stages import GOING_BACK, NO_BUILD, ReleaseStages
+from cobaltpond.settings.sections import ReleaseSettings
 
 MS, S = 1000, 1_000_000
 RELEASE = {
@@ -44,7 +44,7 @@
     """A host: its state machine, processes that outlive it, and what is under way and dies with it."""
 
     def __init__(self, name, faults):
-        self.name, self.faults, self.place, self.processes, self.due = name, faults, Place(), {}, []
+        self.name, self.faults, self.place, self.processes, self.due = name, faults, BuildSlots(), {}, []
         self.down_until, self.twice, self.listed = -1, 0, set()
 
     def later(self, now, build, action, event):
@@ -85,31 +85,33 @@
                         for e in self.due
                         if (e[1], e[2]) not in [(build, x) for x in ("ready", "late", "exited")]
                     ]
-                self.act(now, self.place.event(build, event))
+                self.act(now, self.place.handle_event(build, event))
 
     def crash(self, now):
         """It comes back a while later: the order and its living processes are all it knows."""
         self.down_until = now + 300 * MS
-        old, self.place = self.place, Place()
+        old, self.place = self.place, BuildSlots()
         self.due = [
             (max(at, self.down_until), b, e) for at, b, e in self.due if e == "exited" and b in self.processes
         ]
         self.place.generation = old.generation
         for build in sorted({*old.slots, *self.processes}):
-            new = self.place.slots[build] = Slot(build)
-            new.wish = old.slots[build].wish if build in old.slots else "gone"
-            actions = new.adopted(build in self.listed) if build in self.processes else new.on(new.wish)
+            new = self.place.slots[build] = BuildSlot(build)
+            new.desired = old.slots[build].desired if build in old.slots else "gone"
+            actions = (
+                new.adopt(build in self.listed) if build in self.processes else new.handle_event(new.desired)
+            )
             if new.state == STARTING and build in self.processes:
                 event = "late" if self.processes[build] == "hang" else "ready"
                 self.due.append((self.down_until + TAKES["start"], build, event))
             self.act(self.down_until, [(build, action) for action in actions])
-        self.place.forget()
+        self.place.drop_absent()
 
     def said(self):
         return {
             "place": self.name,
             "generation": max(0, self.place.generation),
-            "done": self.place.carried_out(),
+            "done": self.place.is_order_complete(),
             "slots": [
                 {"build": b, "state": s.state, "id": "", "why": s.why} for b, s in self.place.slots.items()
             ],
@@ -121,8 +123,8 @@
         self.now, self.layout, self.lost, self.epoch = 0, layout, list(lost), 1
         self.agents = {f"h{n}": Agent(f"h{n}", faults) for n in range(3)}
         self.desk_down_until, self.empty, self.emptiest = -1, {}, 0
-        self.stages = Stages(Release(layout=layout, **RELEASE), list(self.agents), NOTHING, 0)
-        self.hosts = Hosts(list(self.agents), epoch=1)
+        self.stages = ReleaseStages(ReleaseSettings(layout=layout, **RELEASE), list(self.agents), NO_BUILD, 0)
+        self.hosts = HostOrders(list(self.agents), epoch=1)
         self.kept = json.dumps(self.stages.dump())
 
     def crash_desk(self):
@@ -130,9 +132,11 @@
         out."""
         self.epoch += 1
         self.desk_down_until = self.now + 400 * MS
-        self.stages = Stages(Release(layout=self.layout, **RELEASE), list(self.agents), NOTHING, self.now)
+        self.stages = ReleaseStages(
+            ReleaseSettings(layout=self.layout, **RELEASE), list(self.agents), NO_BUILD, self.now
+        )
         self.stages.load(json.loads(self.kept), self.now)
-        self.hosts = Hosts(list(self.agents), epoch=self.epoch)
+        self.hosts = HostOrders(list(self.agents), epoch=self.epoch)
 
     def step(self):
         self.now += 20 * MS
@@ -149,26 +153,28 @@
         unheard = any(h.heard_at is None for h in self.hosts.hosts.values())
         for name, agent in self.agents.items():
             if self.now >= agent.down_until and not (self.lost and self.lost.pop(0)):
-                rows = self.hosts.report(self.now, agent.said())
+                rows = self.hosts.apply_report(self.now, agent.said())
                 listed = {row[0] for row in rows}
-                for id in [i for i, m in self.stages.machines.items() if m.place == name and i not in listed]:
-                    self.stages.machine(self.now, id, "", 0, "gone")
+                for id in [
+                    i for i, m in self.stages.instances.items() if m.place == name and i not in listed
+                ]:
+                    self.stages.update_instance(self.now, id, "", 0, "gone")
                 for row in rows:
-                    self.stages.machine(self.now, *row)
+                    self.stages.update_instance(self.now, *row)
         if unheard:
             if all(h.heard_at is not None for h in self.hosts.hosts.values()):
                 for name in self.agents:
-                    self.hosts.adopt(name)
+                    self.hosts.adopt_running(name)
             return
         self.stages.tick(self.now)
         self.kept = json.dumps(self.stages.dump())
-        self.hosts.take_orders(self.now, self.stages.orders(self.now))
+        self.hosts.apply_orders(self.now, self.stages.orders(self.now))
         keep = {b for b in (self.stages.stable, self.stages.build, *self.stages.offered) if b}
         for name, agent in self.agents.items():
             if self.now >= agent.down_until and not (self.lost and self.lost.pop(0)):
-                order = self.hosts.order(name, keep)
+                order = self.hosts.order_for(name, keep)
                 wishes = {int(b): w for b, w in order["wishes"].items()}
-                agent.act(self.now, agent.place.order(order["generation"], wishes))
+                agent.act(self.now, agent.place.apply_order(order["generation"], wishes))
 
     def run(self, seconds):
         for _ in range(int(seconds * 50)):
@@ -190,7 +196,7 @@
 )
 def test_desk_and_agents_end_where_the_last_order_says(layout, acts, faults, lost):
     world = Together(layout, [], [])
-    world.stages.offer(0, 1)
+    world.stages.offer_build(0, 1)
     world.run(2)
     assert all(set(a.processes) == {1} for a in world.agents.values())
     world.emptiest = 0
@@ -200,10 +206,10 @@
     for what, wait in acts:
         desk_up = world.now >= world.desk_down_until and world.hosts.hosts["h0"].heard_at is not None
         if what == "offer" and desk_up:
-            world.stages.offer(world.now, max([world.stages.build, *world.stages.offered]) + 1)
+            world.stages.offer_build(world.now, max([world.stages.build, *world.stages.offered]) + 1)
             world.kept = json.dumps(world.stages.dump())
         elif what in ("on", "back") and desk_up:
-            world.stages.vote(world.now, 0, world.stages.build, world.stages.stage, what)
+            world.stages.record_vote(world.now, 0, world.stages.build, world.stages.stage, what)
             world.kept = json.dumps(world.stages.dump())
         elif what == "crash desk":
             world.crash_desk()
@@ -218,7 +224,7 @@
     world.lost.clear()
     world.run(12)
     if world.stages.phase == "trial":
-        world.stages.vote(world.now, 0, world.stages.build, world.stages.stage, "back")
+        world.stages.record_vote(world.now, 0, world.stages.build, world.stages.stage, "back")
         world.run(12)
     if any(s.state == "failed" for a in world.agents.values() for s in a.place.slots.values()):
         world.run(14)  # what failed for good is tried again every ten seconds
@@ -234,7 +240,7 @@
                 right,
                 name,
                 agent.processes,
-                world.hosts.order(name, set()),
+                world.hosts.order_for(name, set()),
             )
     assert not any(agent.twice for agent in world.agents.values())
     if "fail" not in faults and "hang" not in faults and "end" not in [what for what, _ in acts]:
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -5,16 +5,16 @@
 import pytest
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from cobaltpond.builds.manifest import Key, Ring, write_ring
+from cobaltpond.builds.manifest import KeyRing, SigningKey, write_ring
 from cobaltpond.loop import EpollKernel, Loop, Sleep
-from cobaltpond.standins.host_cluster import Town
+from cobaltpond.standins.host_cluster import HostCluster
 
 
 class Run:
     def __init__(self, folder, hosts, layout):
         self.loop = Loop(EpollKernel(), lambda task, trouble: self.deaths.append((task.name, trouble)))
         self.deaths = []
-        self.town = Town(self.loop, folder, hosts, layout)
+        self.town = HostCluster(self.loop, folder, hosts, layout)
 
     def go(self, generator):
         try:
@@ -25,10 +25,10 @@
 
 
 def first_build(town):
-    town.add_build(1)
+    town.publish_build(1)
     town.start_all()
-    yield from town.insist("POST", "/v1/builds", {"build": 1}, good=lambda s, a: s in (202, 409))
-    yield from town.until(lambda: town.exactly(1))
+    yield from town.call_until_answered("POST", "/v1/builds", {"build": 1}, good=lambda s, a: s in (202, 409))
+    yield from town.wait_until(lambda: town.runs_only(1))
 
 
 def test_builds_that_are_broken_go_back_and_a_good_one_goes_out(tmp_path):
@@ -41,7 +41,7 @@
         number, seen = 1, {}
         for flaw in ("exit", "deaf", "crash", "stubborn", "corrupt", "cut", "forged"):
             number += 1
-            _, chunks = town.add_build(
+            _, chunks = town.publish_build(
                 number,
                 flaw if flaw in ("exit", "deaf", "crash", "stubborn") else "good",
                 key=Ed25519PrivateKey.generate() if flaw == "forged" else None,
@@ -49,27 +49,31 @@
             if flaw in ("corrupt", "cut"):
                 for server in town.servers:
                     way = "junk" if flaw == "corrupt" else "cut 0"
-                    server.ways.update((f"/chunks/{name}", [(way, 1 << 30)]) for name in chunks)
-            yield from town.insist("POST", "/v1/builds", {"build": number}, good=lambda s, a: s in (202, 409))
+                    server.faults.update((f"/chunks/{name}", [(way, 1 << 30)]) for name in chunks)
+            yield from town.call_until_answered(
+                "POST", "/v1/builds", {"build": number}, good=lambda s, a: s in (202, 409)
+            )
             if flaw == "stubborn":
-                yield from town.until(lambda n=number: any(b == n for _, b in town.up()))
+                yield from town.wait_until(lambda n=number: any(b == n for _, b in town.listed_up()))
             else:
                 yield Sleep(700_000)
-            status = yield from town.insist("GET", "/v1/status")
+            status = yield from town.call_until_answered("GET", "/v1/status")
             seen[flaw] = status["missing"]
-            yield from town.vote(number, 0, "back")
-            yield from town.until(lambda: town.exactly(1))
+            yield from town.cast_vote(number, 0, "back")
+            yield from town.wait_until(lambda: town.runs_only(1))
             for server in town.servers:
-                server.ways.clear()
+                server.faults.clear()
         number += 1
-        town.add_build(number)
-        yield from town.insist("POST", "/v1/builds", {"build": number}, good=lambda s, a: s in (202, 409))
-        yield from town.push(number)
-        yield from town.until(lambda: town.exactly(number))
-        assert (yield from town.ask("POST", "/v1/back", {"build": number - 1}))[0] == 409
-        yield from town.insist("POST", "/v1/back", {"build": number, "why": "a word"})
-        yield from town.until(lambda: town.exactly(1))
-        history = yield from town.insist("GET", "/v1/history")
+        town.publish_build(number)
+        yield from town.call_until_answered(
+            "POST", "/v1/builds", {"build": number}, good=lambda s, a: s in (202, 409)
+        )
+        yield from town.promote(number)
+        yield from town.wait_until(lambda: town.runs_only(number))
+        assert (yield from town.call_desk("POST", "/v1/back", {"build": number - 1}))[0] == 409
+        yield from town.call_until_answered("POST", "/v1/back", {"build": number, "why": "a word"})
+        yield from town.wait_until(lambda: town.runs_only(1))
+        history = yield from town.call_until_answered("GET", "/v1/history")
         assert [number, "going back", "a word"] in [
             [h["build"], h["phase"], h["why"]] for h in history["history"]
         ]
@@ -88,35 +92,37 @@
 
     def go():
         yield from first_build(town)
-        town.add_build(2)
-        yield from town.insist("POST", "/v1/builds", {"build": 2}, good=lambda s, a: s in (202, 409))
+        town.publish_build(2)
+        yield from town.call_until_answered(
+            "POST", "/v1/builds", {"build": 2}, good=lambda s, a: s in (202, 409)
+        )
         yield Sleep(150_000)
-        town.kill("h0")  # in the midst of fetching or starting
+        town.kill_process("h0")  # in the midst of fetching or starting
         yield Sleep(100_000)
         town.start("h0")
-        town.kill("desk")
+        town.kill_process("desk")
         town.start("desk")
-        yield from town.until(lambda: ("h0", 2) in town.up())
-        town.kill("desk")
+        yield from town.wait_until(lambda: ("h0", 2) in town.listed_up())
+        town.kill_process("desk")
         town.start("desk")
-        yield from town.push(2)
-        yield from town.until(lambda: town.exactly(2))
-        town.kill("h1")  # its instance goes on without it
-        assert ("h1", 2) in town.running()
-        yield from town.vote(2, 0, "back")
-        town.kill("desk")
+        yield from town.promote(2)
+        yield from town.wait_until(lambda: town.runs_only(2))
+        town.kill_process("h1")  # its instance goes on without it
+        assert ("h1", 2) in town.running_builds()
+        yield from town.cast_vote(2, 0, "back")
+        town.kill_process("desk")
         town.start("desk")
         town.start("h1")
-        yield from town.until(lambda: town.exactly(1))
-        town.kill("h2")
+        yield from town.wait_until(lambda: town.runs_only(1))
+        town.kill_process("h2")
         for pid, words in town.loop.kernel.command_lines():
             if any(word.startswith(f"{town.folder}/h2/store") for word in words):
-                town.loop.kernel.kill(pid)  # it ends while nobody looks
-        yield from town.until(lambda: ("h2", 1) not in town.running())
-        gone = len(town.record)
+                town.loop.kernel.kill_process(pid)  # it ends while nobody looks
+        yield from town.wait_until(lambda: ("h2", 1) not in town.running_builds())
+        gone = len(town.registry_log)
         town.start("h2")
-        yield from town.until(lambda: town.exactly(1) and len(town.record) > gone)
-        assert "gone" in [state for _, _, _, state, _ in town.record[gone:]]
+        yield from town.wait_until(lambda: town.runs_only(1) and len(town.registry_log) > gone)
+        assert "gone" in [state for _, _, _, state, _ in town.registry_log[gone:]]
 
     run.go(go())
     assert not run.deaths
@@ -130,17 +136,19 @@
     signers = {n: Ed25519PrivateKey.generate() for n in ("second", "third")}
 
     def ring(version, *names):
-        return Ring(
+        return KeyRing(
             version,
             [
-                Key(n, base64.b64encode(signers[n].public_key().public_bytes_raw()).decode(), 0, 1 << 40)
+                SigningKey(
+                    n, base64.b64encode(signers[n].public_key().public_bytes_raw()).decode(), 0, 1 << 40
+                )
                 for n in names
             ],
         )
 
     def go():
         yield from first_build(town)
-        town.kill("h2")
+        town.kill_process("h2")
         for data, status in (
             (write_ring(ring(3, "third"), signers), 409),
             (write_ring(ring(2, "second"), {"town": town.key}), 202),
@@ -148,21 +156,27 @@
             (write_ring(ring(3, "third"), {"second": signers["second"]}), 202),
             (b"no ring", 409),
         ):
-            assert (yield from town.ask("POST", "/v1/keys", data))[0] == status
-        town.kill("desk")
+            assert (yield from town.call_desk("POST", "/v1/keys", data))[0] == status
+        town.kill_process("desk")
         town.start("desk")
         town.start("h2")
-        town.add_build(2, key=("third", signers["third"]))
-        yield from town.insist("POST", "/v1/builds", {"build": 2}, good=lambda s, a: s in (202, 409))
-        yield from town.push(2)
-        yield from town.until(lambda: town.exactly(2))
-        town.kill("h1")
+        town.publish_build(2, key=("third", signers["third"]))
+        yield from town.call_until_answered(
+            "POST", "/v1/builds", {"build": 2}, good=lambda s, a: s in (202, 409)
+        )
+        yield from town.promote(2)
+        yield from town.wait_until(lambda: town.runs_only(2))
+        town.kill_process("h1")
         town.start("h1")
-        town.add_build(3)  # signed by the first key, which is trusted no more
-        yield from town.vote(2, 0, "back")
-        yield from town.until(lambda: town.exactly(1))
-        yield from town.insist("POST", "/v1/builds", {"build": 3}, good=lambda s, a: s in (202, 409))
-        yield from town.insist("GET", "/v1/status", good=lambda s, a: "UnknownKey" in str(a["missing"]))
+        town.publish_build(3)  # signed by the first key, which is trusted no more
+        yield from town.cast_vote(2, 0, "back")
+        yield from town.wait_until(lambda: town.runs_only(1))
+        yield from town.call_until_answered(
+            "POST", "/v1/builds", {"build": 3}, good=lambda s, a: s in (202, 409)
+        )
+        yield from town.call_until_answered(
+            "GET", "/v1/status", good=lambda s, a: "UnknownKey" in str(a["missing"])
+        )
 
     run.go(go())
     assert not run.deaths
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cobaltpond.sim.runner import Simulated
-from cobaltpond.sim.scenarios import read_scenario
+from cobaltpond.sim.runner import SimulatedScenario
+from cobaltpond.sim.scenarios import read_fault_scenario
 from cobaltpond.sim.transcript import Transcript
 
 BASE = """
@@ -46,7 +46,7 @@
 def story(more, begin, end, length=8, rate=1.0, gateways=2, agents=False):
     """`begin`, `end`: seconds of the day."""
     base = BASE % {"length": length, "rate": rate, "gateways": gateways, "agents": agents}
-    sim = Simulated(read_scenario("story", base + more, 5))
+    sim = SimulatedScenario(read_fault_scenario("story", base + more, 5))
     transcript = Transcript(sim.machine, plain)
     verdict = sim.run()
     assert verdict.found == [] and verdict.result, verdict.found
@@ -167,11 +167,11 @@
 
 def test_a_break_that_no_rule_sees_shows_in_a_story(monkeypatch):
     """A gateway that forgets to say what it has seen breaks no rule of a day; its story reads otherwise."""
-    from cobaltpond.gateway.desk_client import News
+    from cobaltpond.gateway.desk_client import DeskClient
 
     more, begin, end, rest = STORIES["a desk comes back"]
     whole = story(more, begin, end, **rest)
-    monkeypatch.setattr(News, "note", lambda self, told, state: None)
+    monkeypatch.setattr(DeskClient, "remember_state", lambda self, told, state: None)
     broken = story(more, begin, end, **rest)
     differ = [line for line in whole.splitlines() if line not in broken.splitlines()]
     assert any("seen=" in line for line in differ) and "seen=" not in broken
--- a/tests/world.py
+++ b/tests/world.py
@@ -4,13 +4,22 @@
 import json
 
 from cobaltpond.gateway.main import GatewayProcess
-from cobaltpond.loop import Deadline, EpollKernel, Loop, PeerLost, Sleep, dial, free_run, serve
-from cobaltpond.rpc import Refusal, Stream, json_answer, service
-from cobaltpond.settings import read_sheet
+from cobaltpond.loop import (
+    ConnectionLostError,
+    Deadline,
+    EpollKernel,
+    Loop,
+    Sleep,
+    dial,
+    reserve_ports,
+    serve,
+)
+from cobaltpond.rpc import ResponseStream, RpcError, json_response, serve_rpc
+from cobaltpond.settings import read_settings
 from cobaltpond.wire import http1
 
 SECOND = 1_000_000
-LIMITS = http1.Limits(head=1 << 20, body=1 << 28)
+LIMITS = http1.MessageLimits(head=1 << 20, body=1 << 28)
 SHEET = """
 path_group(name = "look", kind = "repeatable", target_latency = ms(400), client_timeout = ms(1500))
 path_group(name = "hold", kind = "tagged", scope = "all", repeat_window = s(3), target_latency = ms(400),
@@ -77,7 +86,7 @@
             yield from connection.write(data)
             while piece := (yield from connection.read()):
                 got += piece
-        except PeerLost:
+        except ConnectionLostError:
             pass
         connection.close()
         return got
@@ -92,10 +101,10 @@
         self.loop = Loop(EpollKernel(), lambda task, trouble: self.deaths.append((task.name, trouble)))
         self.log, self.votes, self.streams, self.desk_script = Log(), [], [], None
         self.asked, self.list_fails = 0, False
-        self.lock, base = free_run(self.loop.kernel, 4)
+        self.lock, base = reserve_ports(self.loop.kernel, 4)
         names = {"list": base, "desk": base + 1, "door": base + 2, "peers": base + 3}
         self.door = ("127.0.0.1", names["door"])
-        self.sheet = read_sheet("test.star", SHEET % {**names, "more": more, "by": by})
+        self.settings = read_settings("test.star", SHEET % {**names, "more": more, "by": by})
         self.rows, self.revision, self.seen, self.got = [], 0, [0] * len(scripts), []
         for n, script in enumerate(scripts):
             listener = self.loop.kernel.listen(("127.0.0.1", 0), 64)
@@ -115,12 +124,12 @@
             self.loop.spawn(serve(self.loop, listener, self.scripted(n, script), 64, f"i{n}"), f"i{n}")
         for name, handler in (("list", self.on_list), ("desk", self.on_desk)):
             listener = self.loop.kernel.listen(("127.0.0.1", names[name]), 64)
-            self.loop.spawn(service(self.loop, listener, handler, name), name)
-        self.process = GatewayProcess(self.loop, self.sheet, 0, self.log, decisions)
+            self.loop.spawn(serve_rpc(self.loop, listener, handler, name), name)
+        self.process = GatewayProcess(self.loop, self.settings, 0, self.log, decisions)
         self.main = self.loop.spawn(self.process.run(), "gateway")
 
     def opened(self):
-        return hasattr(self.process.door, "listener")
+        return hasattr(self.process.frontend, "listener")
 
     def scripted(self, number, script):
         def answer(connection):
@@ -131,13 +140,13 @@
 
     def on_list(self, request):
         if self.list_fails:
-            raise Refusal(503, "not now")
+            raise RpcError(503, "not now")
         if "watch" not in request.query:
             self.asked += 1
             whole = {"epoch": "e", "revision": self.revision, "base": None, "rows": self.rows}
-            return json_answer(200, whole)
-        stream = Stream()
-        stream.put({"epoch": "e", "revision": self.revision, "base": None, "rows": self.rows})
+            return json_response(200, whole)
+        stream = ResponseStream()
+        stream.send_object({"epoch": "e", "revision": self.revision, "base": None, "rows": self.rows})
         self.streams.append(stream)
         return stream
 
@@ -146,14 +155,18 @@
         self.rows = [r if r["id"] != row["id"] else row for r in self.rows]
         self.revision += 1
         for stream in self.streams:
-            stream.put({"epoch": "e", "revision": self.revision, "base": self.revision - 1, "rows": [row]})
+            stream.send_object(
+                {"epoch": "e", "revision": self.revision, "base": self.revision - 1, "rows": [row]}
+            )
 
     def on_desk(self, request):
         if request.path == "/v1/votes":
             self.votes.append(json.loads(request.body))
             return self.desk_script()
-        self.news = Stream()
-        self.news.put({"news": {"build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age_us": 0}})
+        self.news = ResponseStream()
+        self.news.send_object(
+            {"news": {"build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age_us": 0}}
+        )
         return self.news
 
     # --- clients --------------------------------------------------------------------------------------------
@@ -230,8 +243,8 @@
 
 
 def endings(world):
-    return {seen: n for seen, n in world.process.forwards.seen.items() if n and seen != "answer"}
+    return {seen: n for seen, n in world.process.forwards.observations.items() if n and seen != "answer"}
 
 
 def hits(world):
-    return {k: v for k, v in world.process.door.counts.items()}
+    return {k: v for k, v in world.process.frontend.counts.items()}
