--- a/cobaltpond/agent/states.py
+++ b/cobaltpond/agent/states.py
@@ -36,7 +36,8 @@
 MAX_CRASHES = 4  # in a row, before it counts as failed
 FIRST_REST, MOST_REST = 250_000, 4_000_000  # microseconds; doubles
 
-# state: event -> (next state, actions). "?" is where the wish leads: see `aim`. What is not named is ignored.
+# state: event -> (next state, actions). "?" is where the wish leads: see `next_from_idle`. What is not named
+# is ignored.
 TABLE = {
     ABSENT: {"run": (FETCHING, "fetch"), "keep": (FETCHING, "fetch")},
     FETCHING: {"gone": (ABSENT, "leave fetch"), "fetched": (CHECKING, "check"), "unfetched": (FAILED,)},
@@ -73,7 +74,7 @@
 
 
 class BuildSlot:
-    """One build in one place. `on` gives the actions of an event."""
+    """One build in one place. `handle_event` gives the actions of an event."""
 
     def __init__(self, build: int):
         self.build, self.state, self.desired, self.crashes, self.why = build, ABSENT, "gone", 0, ""
--- a/cobaltpond/builds/fetch.py
+++ b/cobaltpond/builds/fetch.py
@@ -90,7 +90,8 @@
         raise FetchError(f"manifest of build {build}: {wrong}")
 
     def fetch_chunks(self, manifest: Manifest):
-        """All chunks that the store lacks. Raises FetchFailed, or Full of the store; what has come stays."""
+        """All chunks that the store lacks. Raises FetchError, or StoreFullError of the store; what has come
+        stays."""
         missing = self.store.missing_chunks(manifest)
         self.store.check_room(sum(missing.values()))
         plan, ended, tasks = FetchPlan(missing, self.sources, self.chance), Queue(1024), {}
@@ -143,7 +144,7 @@
         yield from ended.put((chunk.name, how, trouble))
 
     def fetch_body(self, source, path, part: bytearray, size: int | None, most: int):
-        """Goes on after what `part` holds. Raises Asked."""
+        """Goes on after what `part` holds. Raises ChunkRequestError."""
         for _ in range(REDIRECTS + 1):
             where = yield from self.request_once(source, path, part, size, most)
             if where is None:
@@ -198,7 +199,8 @@
 
     @staticmethod
     def check_response(head, part, size):
-        """Raises Asked where the answer is not what was asked for; a source without ranges begins anew."""
+        """Raises ChunkRequestError where the answer is not what was asked for; a source without ranges begins
+        anew."""
         if head.status == 206 and part:
             said = head.get(b"content-range") or b""
             if not said.startswith(b"bytes %d-" % len(part)):
--- a/cobaltpond/builds/manifest.py
+++ b/cobaltpond/builds/manifest.py
@@ -137,7 +137,7 @@
 
 
 def check_coherence(manifest: Manifest) -> None:
-    """Raises Malformed where the parts do not fit together, or a path would lead out of the build's
+    """Raises MalformedError where the parts do not fit together, or a path would lead out of the build's
     folder."""
     seen, sizes = set(), {}
     for file in manifest.files:
@@ -243,7 +243,8 @@
     data: bytes, ring: KeyRing, now: int, ordered: int | None = None, least: int = 0, most_size: int = 4 << 30
 ) -> Manifest:
     """A manifest that holds. `now`: seconds since 1970; `ordered`: the build that is meant; `least`: no
-    earlier one is taken. Signatures are checked before the body is read. Raises a subclass of Unfit."""
+    earlier one is taken. Signatures are checked before the body is read. Raises a subclass of
+    ManifestError."""
     signed, body, signatures = parse_signed_document(MAGIC, data, MAX_MANIFEST_BYTES)
     ring.verify_signatures(now, signed, signatures)
     try:
@@ -265,7 +266,7 @@
 def read_stored_manifest(data: bytes) -> Manifest:
     """One that was checked when it came and has been in the store since: neither keys nor times are asked
     again. Guards against an earlier build that nobody can go back to, because its key was rotated out, or its
-    time passed, while it ran. What its tree holds is still checked. Raises Malformed, Truncated or
+    time passed, while it ran. What its tree holds is still checked. Raises MalformedError, TruncatedError or
     Oversized."""
     _, body, _ = parse_signed_document(MAGIC, data, MAX_MANIFEST_BYTES)
     try:
@@ -281,7 +282,7 @@
 
 
 def read_next_ring(held: KeyRing, data: bytes, now: int) -> KeyRing:
-    """The ring that takes the place of the held one. Raises a subclass of Unfit."""
+    """The ring that takes the place of the held one. Raises a subclass of ManifestError."""
     signed, body, signatures = parse_signed_document(RING_MAGIC, data, 1 << 16)
     try:
         ring = msgspec.json.decode(body, type=KeyRing)
@@ -298,8 +299,8 @@
 def apply_ring_chain(held: KeyRing, chain: list[bytes], now: int) -> tuple[KeyRing, list[bytes]]:
     """(the ring that a chain of signed rings leads to, those of the chain that were taken). Each one is
     signed by a key of the one before; those that are held already are passed over, so that a host that was
-    away for several rotations follows each of them. Raises a subclass of Unfit at the first one that does not
-    hold."""
+    away for several rotations follows each of them. Raises a subclass of ManifestError at the first one that
+    does not hold."""
     taken = []
     for data in chain:
         try:
--- a/cobaltpond/builds/store.py
+++ b/cobaltpond/builds/store.py
@@ -76,7 +76,7 @@
         return {name: size for name, size in manifest.chunks().items() if self.chunks.get(name) != size}
 
     def check_room(self, size: int) -> None:
-        """Raises Full."""
+        """Raises StoreFullError."""
         if self.used + size > self.most:
             raise StoreFullError(f"{self.used} of {self.most} bytes are used, {size} more are needed")
         free = self.kernel.free_space(self.folder)
@@ -84,7 +84,7 @@
             raise StoreFullError(f"{free} bytes are free on the disk, {size} more are needed")
 
     def put_chunk(self, name: str, data: bytes) -> None:
-        """Raises WrongDigest or Full; then nothing of it is there."""
+        """Raises DigestMismatchError or StoreFullError; then nothing of it is there."""
         if content_digest(data) != name:
             raise DigestMismatchError(f"{len(data)} bytes are not {name[:12]}")
         if name in self.chunks:
@@ -105,7 +105,7 @@
         self.used += len(data)
 
     def read_chunk(self, name: str) -> bytes:
-        """A chunk, checked. Raises Rotten."""
+        """A chunk, checked. Raises CorruptChunkError."""
         data = self.kernel.read_file(self.chunk_path(name))
         if data is None or content_digest(data) != name:
             self.kernel.remove(self.chunk_path(name))
@@ -114,7 +114,8 @@
         return data
 
     def assemble(self, manifest: Manifest, signed: bytes) -> str:
-        """Puts a build together from its chunks and gives its tree's folder. Raises Rotten or Full."""
+        """Puts a build together from its chunks and gives its tree's folder. Raises CorruptChunkError or
+        StoreFullError."""
         place = self.path("builds", str(manifest.build))
         if manifest.build in self.builds():
             return self.tree(manifest.build)
--- a/cobaltpond/decisions/interface.py
+++ b/cobaltpond/decisions/interface.py
@@ -1,7 +1,8 @@
 """What a host (the bench link, later the gateway) calls and offers. Types only; times are whole microseconds.
 
 A host makes one `rules.Gateway(host, now, seed, runsheet)` for each start of a gateway and feeds it events
-through `Decisions`. The gateway acts only through the `Host` it was given, and only while handling an event.
+through `Decisions`. The gateway acts only through the `DecisionHost` it was given, and only while handling an
+event.
 """
 
 from typing import Any, Literal, Protocol
--- a/cobaltpond/desk/stages.py
+++ b/cobaltpond/desk/stages.py
@@ -2,7 +2,7 @@
 
 Level-triggered: what is to run follows from the state (`wanted`), and orders are the difference to what the
 platform says is running. An order that is lost, late or carried out twice therefore puts itself right. All
-changes of phase go through `move`. Times are microseconds.
+changes of phase go through `change_phase`. Times are microseconds.
 """
 
 from dataclasses import dataclass, field
@@ -169,8 +169,8 @@
         self.transitions.append((now, self.build, stage, phase, why))
 
     def resume(self, now: int, plan, why: str) -> None:
-        """Not by the table: what others have seen (`recovery.desk_state.Plan`) takes the place of an older
-        state. Raises Refused where there would be nothing to return to."""
+        """Not by the table: what others have seen (`recovery.desk_state.ResumePlan`) takes the place of an
+        older state. Raises ReleaseRefusedError where there would be nothing to return to."""
         mine = [
             b for b in (plan.stable, self.build, self.stable) if b not in (None, NO_BUILD) and b < plan.build
         ]
@@ -185,7 +185,7 @@
         self.set_phase(now, plan.phase, min(plan.stage, len(self.release.caps) - 1), why)
 
     def offer_build(self, now: int, build: int) -> None:
-        """Raises Refused. One on trial is taken off first; the new one then follows by itself."""
+        """Raises ReleaseRefusedError. One on trial is taken off first; the new one then follows by itself."""
         newest = max([self.build, *self.offered])
         if build <= newest:
             raise ReleaseRefusedError(f"build {build} is not later than {newest}")
@@ -198,7 +198,7 @@
         self.tick(now)
 
     def send_back(self, now: int, why: str) -> None:
-        """An operator's word: as good as all votes there are. Raises Refused."""
+        """An operator's word: as good as all votes there are. Raises ReleaseRefusedError."""
         if self.phase not in (TRIAL, RELEASED):
             raise ReleaseRefusedError(f"build {self.build} is {self.phase}")
         if self.stable is None:
--- a/cobaltpond/desk/state_recovery.py
+++ b/cobaltpond/desk/state_recovery.py
@@ -54,7 +54,7 @@
     # --- what is heard --------------------------------------------------------------------------------------
 
     def gateway_asked(self, number: int, seen: str | None) -> None:
-        """A gateway asks for news, and says what it has seen. Raises Refusal."""
+        """A gateway asks for news, and says what it has seen. Raises RpcError."""
         if seen is not None and len(seen) > SEEN_MOST:
             raise RpcError(400, f"seen: more than {SEEN_MOST} bytes")
         try:
--- a/cobaltpond/edge/config.py
+++ b/cobaltpond/edge/config.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class InstanceLimits:
-    """What `gateway.endpoints.Places` goes by. Times in microseconds."""
+    """What `gateway.endpoints.EndpointPool` goes by. Times in microseconds."""
 
     connections: int
     dial_time: int
@@ -103,7 +103,7 @@
 
 
 def check_figures(whose: str, told: dict) -> None:
-    """Raises BadConfig where a figure of the settings is none, or is negative or not finite."""
+    """Raises ConfigError where a figure of the settings is none, or is negative or not finite."""
     for name, value in told.items():
         figures = value if name in ("stage_shares", "stage_caps") else [] if name in NO_FIGURES else [value]
         if not isinstance(figures, list) or not all(
@@ -113,7 +113,7 @@
 
 
 def parse_config(told: dict) -> Config:
-    """Raises BadConfig."""
+    """Raises ConfigError."""
     try:
         sheet = policy_settings(told["settings"])
         for name in ("gateways", "number", "path_groups", "dial_time_out", "idle_time", "exposure_window"):
@@ -157,7 +157,7 @@
 
 
 def read_config(kernel, path: str) -> Config:
-    """Raises BadConfig."""
+    """Raises ConfigError."""
     try:
         data = kernel.read_file(path)
     except OSError as trouble:
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -25,7 +25,7 @@
 
     def apply(self, now: int, wall: int, told: dict) -> tuple[bool, list]:
         """(whole, [(row, address)]). `now` and `wall` are one moment on our clock and in Unix time,
-        microseconds. Raises BadLine, and then nothing of it is kept."""
+        microseconds. Raises JsonLineError, and then nothing of it is kept."""
         try:
             whole, seq = told["whole"], int(told["seq"])
             rows, starts = [], {}
@@ -74,7 +74,7 @@
         self.counts = {"applied": 0, "errors": 0}
 
     def apply_answer(self, told) -> int:
-        """The version that was told. Raises BadLine."""
+        """The version that was told. Raises JsonLineError."""
         whole, rows = self.instances.apply(self.loop.now(), self.loop.kernel.wall_clock(), told)
         if rows or whole:
             self.counts["applied"] += 1
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -1,5 +1,5 @@
 """Carries out one forward over PostgreSQL's protocol: a connection, the statement out, the answer in, one
-`Ending`.
+`ForwardResult`.
 
 The answer is held back until it is whole, so a forward can always be followed by another. What an ending says
 of "may it have run?" hangs on the last byte of the statement: see `gateway/forward_results.py`.
--- a/cobaltpond/edge/main.py
+++ b/cobaltpond/edge/main.py
@@ -59,7 +59,8 @@
         loop.on_timer_lag = self.record_timer_lag
 
     def client_connection_limit(self) -> int:
-        """Clients and instances share the descriptors, each up to a part; so does `instance_room`."""
+        """Clients and instances share the descriptors, each up to a part; so does
+        `instance_connection_limit`."""
         return min(
             self.config.client_connection_limit, self.config.connection_limit - self.endpoints.open_count
         )
--- a/cobaltpond/edge/platform.py
+++ b/cobaltpond/edge/platform.py
@@ -63,8 +63,8 @@
         self.host.post_event_first("on_news", *state, reply, "ok")
 
     def apply_objects(self, objects: list) -> None:
-        """Raises BadLine: guards against a feed that came spoilt, whose next lines may be lost; a new one
-        begins with the state."""
+        """Raises JsonLineError: guards against a feed that came spoilt, whose next lines may be lost; a new
+        one begins with the state."""
         for told in objects:
             try:
                 if told.get("type") == "ROLLOUT":
--- a/cobaltpond/gateway/body_buffer.py
+++ b/cobaltpond/gateway/body_buffer.py
@@ -53,7 +53,7 @@
         self.data_removed.set()
 
     def read(self):
-        """A generator-coroutine per chunk for one reader: `open()` first. b"" at the end."""
+        """A generator-coroutine per chunk for one reader: `rewind()` first. b"" at the end."""
         while self.position - self.start >= len(self.chunks):
             if self.cut:
                 raise BodyTruncatedError
--- a/cobaltpond/gateway/endpoints.py
+++ b/cobaltpond/gateway/endpoints.py
@@ -35,12 +35,13 @@
 class EndpointPool:
     def __init__(self, loop, limits, greet=None, most=None):
         """`limits`: the sheet's `instances`. `greet(connection)`: what a protocol needs before the first hit,
-        within the dial's time; raises NoConnection. `most()`: connections to all instances together, now."""
+        within the dial's time; raises NoConnectionError. `most()`: connections to all instances together,
+        now."""
         self.loop, self.limits, self.by_id, self.handshake, self.most = loop, limits, {}, greet, most
         self.open_count, self.dial_limiter = (
             0,
             None,
-        )  # `recovery.rate_limiter.Turns`, where new connections are paced
+        )  # `recovery.rate_limiter.DialRateLimiter`, where new connections are paced
 
     def is_reachable(self, place: InstanceEndpoint) -> bool:
         """Is a kept connection left for one more forward, or a new one allowed now?"""
@@ -113,7 +114,7 @@
             self.close(place, place.idle.popleft()[0])
 
     def acquire(self, place: InstanceEndpoint):
-        """A connection, and whether it was kept from an earlier hit. Raises NoConnection.
+        """A connection, and whether it was kept from an earlier hit. Raises NoConnectionError.
 
         A kept one is looked at before it is given out: guards against an instance that closed it meanwhile.
         One that closes between this look and the first byte is found by the write, see `forwards.py`. Until
--- a/cobaltpond/gateway/forward_results.py
+++ b/cobaltpond/gateway/forward_results.py
@@ -1,4 +1,4 @@
-"""How each way in which a forward can end maps onto one `Ending` of the decisions, and why.
+"""How each way in which a forward can end maps onto one `ForwardResult` of the decisions, and why.
 
 The rules hang on one question: may the hit have run? "unreachable", "full" and "moot" say that it has not;
 all others leave it open. When in doubt it is open.
--- a/cobaltpond/gateway/forwards.py
+++ b/cobaltpond/gateway/forwards.py
@@ -1,4 +1,4 @@
-"""Carries out one forward: a connection, the hit's bytes out, the answer in, one `Ending` at the end.
+"""Carries out one forward: a connection, the hit's bytes out, the answer in, one `ForwardResult` at the end.
 
 The point of no return: an answer is held back until it is whole, or until `door.hold` bytes of it are here.
 Until then nothing has gone to the client, and the hit may still be forwarded again by whatever the decisions
--- a/cobaltpond/gateway/frontend.py
+++ b/cobaltpond/gateway/frontend.py
@@ -51,8 +51,8 @@
             self.half_close()
 
     def write(self, data: bytes):
-        """Raises TimedOut where the client takes nothing for `door.write_time`: guards against slow
-        readers."""
+        """Raises DeadlineExceededError where the client takes nothing for `door.write_time`: guards against
+        slow readers."""
         view = memoryview(data)
         while view:
             with Deadline(self.loop, self.frontend.settings.door.write_time):
@@ -161,7 +161,7 @@
         self.members, self.admission_limits = (
             members,
             None,
-        )  # `gateway.admission_limits.Limited`, where the sheet has limits
+        )  # `gateway.admission_limits.AdmissionLimits`, where the sheet has limits
         self.routes, self.visits, self.parting = Routes(sheet), {}, {}
         self.draining, self.counts = False, {}
         self.shares = CustomerShares(
--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -33,7 +33,8 @@
         self.epoch, self.revision, self.rows, self.starts = None, 0, {}, {}
 
     def apply(self, now: int, told: dict) -> tuple[bool, list]:
-        """(whole, rows for the decisions with their addresses). Raises Gap, or BadLine on what is no list."""
+        """(whole, rows for the decisions with their addresses). Raises ListGapError, or JsonLineError on what
+        is no list."""
         try:
             whole = told["base"] is None
             if not whole and (told["epoch"], told["base"]) != (self.epoch, self.revision):
@@ -162,7 +163,7 @@
 
     def reconcile(self, told: dict) -> dict:
         """A whole list of another epoch than the one held, or kept, is looked at before it is obeyed. What is
-        no list at all is left to `Held.apply`."""
+        no list at all is left to `InstanceList.apply`."""
         epoch = (
             self.instance_list.epoch if self.instance_list.epoch is not None else self.kept_list.get("epoch")
         )
--- a/cobaltpond/gateway/pending_hit.py
+++ b/cobaltpond/gateway/pending_hit.py
@@ -2,7 +2,7 @@
 
 
 class PendingHit:
-    """A final answer is owed until `end`. A door's own kind adds what came and how the answer is worded:
+    """A final answer is owed until `finalize`. A door's own kind adds what came and how the answer is worded:
     `deliver`, `bounce(retry_after)` and `error(late)`, each of which ends it and sends the answer."""
 
     def __init__(self, number: int, name: str, door):
--- a/cobaltpond/gateway/routes.py
+++ b/cobaltpond/gateway/routes.py
@@ -35,8 +35,8 @@
                 self.exact.setdefault((route.method, route.path.encode()), (order, self.groups[route.group]))
 
     def group_of(self, method: str, target: bytes) -> PathGroupSettings:
-        """The first route of the sheet that fits. Raises BadMessage (404, or 405 where only the method is
-        off)."""
+        """The first route of the sheet that fits. Raises HttpMessageError (404, or 405 where only the method
+        is off)."""
         path = target.partition(b"?")[0]
         fits = [self.exact[name] for name in ((method, path), ("*", path)) if name in self.exact]
         fits += [
@@ -52,7 +52,7 @@
         )
 
     def read(self, head: MessageHead) -> RoutedRequest:
-        """Raises BadMessage: what is wrong with a head is said before the hit is taken."""
+        """Raises HttpMessageError: what is wrong with a head is said before the hit is taken."""
         group, door = self.group_of(head.method, head.target), self.door
         marks = head.all(MARK_FIELD)
         if group.kind == "tagged" and (len(marks) != 1 or not 0 < len(marks[0]) <= 255):
--- a/cobaltpond/leases/protocol.py
+++ b/cobaltpond/leases/protocol.py
@@ -40,8 +40,8 @@
 
 @dataclass(frozen=True)
 class Lease:
-    """`amount`: units a period, from the moment it is taken to `until` on the holder's clock. `fence`: grows
-    with each lease that this start of the owner hands out."""
+    """`amount`: units a period, from the moment it is taken to `until` on the holder's clock.
+    `fencing_token`: grows with each lease that this start of the owner hands out."""
 
     key: str
     owner: int
@@ -53,7 +53,7 @@
 @dataclass
 class Owner:
     """One member's side as an owner. `declared`: members of the sheet; `life`: of a lease, microseconds;
-    `start`: of this process, part of every fence; `begun`: since when what we know has no gap."""
+    `start`: of this process, part of every fence; `known_since`: since when what we know has no gap."""
 
     number: int
     declared: int
--- a/cobaltpond/limits/compiled.py
+++ b/cobaltpond/limits/compiled.py
@@ -14,7 +14,8 @@
 
 
 class TokenBuckets:
-    """Of one limit (or its guarantee): value -> [level, when]. `rate` may change, see `Limits.lend`."""
+    """Of one limit (or its guarantee): value -> [level, when]. `rate` may change, see
+    `CompiledLimits.lend`."""
 
     def __init__(self, rate: int, most: int, keys: int):
         self.rate, self.most, self.keys, self.rows = rate, most, keys, {}
--- a/cobaltpond/loop/kernel.py
+++ b/cobaltpond/loop/kernel.py
@@ -164,8 +164,8 @@
 
     def spawn(self, argv, output, mark="") -> ChildProcess:
         """Starts a process that leads its own session and group; what it prints goes to the end of a file. A
-        mark lets a later start of this program find it again, see `adopt`. Raises Unreachable where it cannot
-        start."""
+        mark lets a later start of this program find it again, see `adopt_process`. Raises UnreachableError
+        where it cannot start."""
         import subprocess  # not on the path of `run`, which may start nothing
 
         try:
@@ -308,7 +308,7 @@
         return state.f_bavail * state.f_frsize
 
     def lock_file(self, path):
-        """Holds a file for this process alone while the result is kept. Raises Refused where another has
+        """Holds a file for this process alone while the result is kept. Raises RefusedError where another has
         it."""
         file = open(path, "ab")
         try:
--- a/cobaltpond/loop/sockets.py
+++ b/cobaltpond/loop/sockets.py
@@ -32,7 +32,8 @@
 
 class Stream(Handle):
     def connected(self) -> bool:
-        """Is the dial through? Raises Refused, Unreachable or HandlesUsedUp where it has failed."""
+        """Is the dial through? Raises RefusedError, UnreachableError or HandlesExhaustedError where it has
+        failed."""
         trouble = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if trouble:
             wrong = translate_os_error(OSError(trouble, os.strerror(trouble)))
@@ -83,7 +84,8 @@
 
 class Listener(Handle):
     def accept(self) -> Stream | None:
-        """Raises HandlesUsedUp where the process has no descriptor left; the caller stays in the backlog."""
+        """Raises HandlesExhaustedError where the process has no descriptor left; the caller stays in the
+        backlog."""
         try:
             sock, _ = self.sock.accept()
         except (BlockingIOError, ConnectionAbortedError):
--- a/cobaltpond/loop/streams.py
+++ b/cobaltpond/loop/streams.py
@@ -18,7 +18,7 @@
         return self.handle.closed
 
     def read(self, size=CHUNK):
-        """The next bytes; b"" at the end. Raises PeerLost."""
+        """The next bytes; b"" at the end. Raises ConnectionLostError."""
         while (data := self.handle.recv(size)) is None:
             yield Readable(self.handle)
         return data
@@ -28,7 +28,7 @@
         return self.handle.recv(size)
 
     def write(self, data):
-        """Returns when the operating system has taken all of it. Raises PeerLost."""
+        """Returns when the operating system has taken all of it. Raises ConnectionLostError."""
         view = memoryview(data)
         while view:
             sent = self.handle.send(view)
@@ -49,7 +49,8 @@
 
 
 def dial(loop, address, time_out):
-    """A connection. Raises Refused, Unreachable, HandlesUsedUp, or TimedOut after `time_out` microseconds."""
+    """A connection. Raises RefusedError, UnreachableError, HandlesExhaustedError, or DeadlineExceededError
+    after `time_out` microseconds."""
     handle = loop.kernel.dial(address)
     try:
         with Deadline(loop, time_out):
--- a/cobaltpond/loop/tasks.py
+++ b/cobaltpond/loop/tasks.py
@@ -1,10 +1,10 @@
 """Generators as coroutines. A task yields what it waits for; the loop resumes it when that has come.
 
 Waits: `Readable(handle)`, `Writable(handle)`, `Sleep(delay)`, an `Event`, a `Task` (until it ends).
-Subroutines are called with `yield from`. A task is cancelled by throwing `Cancelled` into it where it waits,
-so that its `finally` blocks run; a `Deadline` wraps any waits and throws `TimedOut` where they take too long.
-An exception that a task does not catch goes to whoever waits for it, else to `loop.on_death` with the task:
-never into nothing.
+Subroutines are called with `yield from`. A task is cancelled by throwing `TaskCancelledError` into it where
+it waits, so that its `finally` blocks run; a `Deadline` wraps any waits and throws `DeadlineExceededError`
+where they take too long. An exception that a task does not catch goes to whoever waits for it, else to
+`loop.on_death` with the task: never into nothing.
 """
 
 import heapq
@@ -156,7 +156,8 @@
 
 
 class Deadline:
-    """`with Deadline(loop, delay):` inside a task; at most one TimedOut is thrown, and only inside it."""
+    """`with Deadline(loop, delay):` inside a task; at most one DeadlineExceededError is thrown, and only
+    inside it."""
 
     def __init__(self, loop, delay):
         self.loop, self.delay = loop, delay
--- a/cobaltpond/members/gossip.py
+++ b/cobaltpond/members/gossip.py
@@ -15,7 +15,7 @@
 
 
 class Gossip:
-    """`post`: called with what the module is to hear, as `Host.post`."""
+    """`post`: called with what the module is to hear, as `GatewayDecisionHost.post_event`."""
 
     def __init__(self, post):
         self.post_event = post
--- a/cobaltpond/members/service.py
+++ b/cobaltpond/members/service.py
@@ -13,10 +13,10 @@
 
 
 class Members:
-    """`peers`: `gateway.peers.Peers`, whose datagrams of ours come to `take`. `about`: gives what this
-    gateway says of itself (revision, out, admitted, flags) as a map; `trial`: gives its counts of a trial, as
-    `wire.trial_field` takes them, of path groups as `groups` names them; `window`: how old evidence may be.
-    `view`: another kind of view (baselines, in measurements)."""
+    """`peers`: `gateway.peers.Peers`, whose datagrams of ours come to `receive_datagram`. `about`: gives what
+    this gateway says of itself (revision, out, admitted, flags) as a map; `trial`: gives its counts of a
+    trial, as `wire.trial_field` takes them, of path groups as `groups` names them; `window`: how old evidence
+    may be. `view`: another kind of view (baselines, in measurements)."""
 
     def __init__(
         self,
--- a/cobaltpond/members/trial_evidence.py
+++ b/cobaltpond/members/trial_evidence.py
@@ -9,8 +9,8 @@
 
 
 class TrialEvidence:
-    """`window`: so old a count is worth nothing, in microseconds; `post`: as `Host.post`; `began`: our own
-    start."""
+    """`window`: so old a count is worth nothing, in microseconds; `post`: as
+    `GatewayDecisionHost.post_event`; `began`: our own start."""
 
     def __init__(self, window: int, post, chance, began: int):
         self.window, self.post_event, self.chance, self.began = window, post, chance, began
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -48,9 +48,9 @@
 
 
 class View(Probing, Sending, Receiving):
-    """`zones`: name of each gateway's zone by number, ours included. `chance`: as `Chance` of the decisions.
-    What is to be sent collects in `out` as (number, datagram), what has changed in `changes` as (member,
-    state before)."""
+    """`zones`: name of each gateway's zone by number, ours included. `chance`: as `RandomSource` of the
+    decisions. What is to be sent collects in `out` as (number, datagram), what has changed in `changes` as
+    (member, state before)."""
 
     def __init__(
         self, number: int, zones: dict[int, str], settings: ProbeSettings, chance, start: int, now: int
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -83,7 +83,7 @@
 
 
 def decode_datagram(sender: int, receiver: int, data: bytes) -> tuple[int, int, int, dict]:
-    """(kind, sequence, stamp, {tag: value}). Raises Odd."""
+    """(kind, sequence, stamp, {tag: value}). Raises DatagramError."""
     if len(data) < HEADER_SIZE or len(data) > MAX_BYTES:
         raise DatagramError("length")
     version, kind, check, to, sequence, stamp = unpack_from(HEAD, data)
@@ -107,7 +107,7 @@
 
 
 def facts_of(fields: dict) -> dict:
-    """Raises Odd: who says nothing of itself is nobody."""
+    """Raises DatagramError: who says nothing of itself is nobody."""
     value = fields.get(SELF, b"")
     if len(value) < calcsize(FACTS):
         raise DatagramError("field")
@@ -122,7 +122,7 @@
 
 
 def rows_of(fields: dict) -> list[tuple]:
-    """(number, start, incarnation, state, who says so). Raises Odd."""
+    """(number, start, incarnation, state, who says so). Raises DatagramError."""
     value = fields.get(ROWS, b"")
     if len(value) % ROW_SIZE:
         raise DatagramError("field")
@@ -133,7 +133,7 @@
 
 
 def number_of(fields: dict, tag: int, form: str) -> int | None:
-    """The one number of a field, None where there is no such field. Raises Odd."""
+    """The one number of a field, None where there is no such field. Raises DatagramError."""
     value = fields.get(tag)
     if value is None:
         return None
@@ -148,7 +148,7 @@
 
 
 def news_of(fields: dict) -> tuple | None:
-    """(build, stage, phase, cap, age). Raises Odd."""
+    """(build, stage, phase, cap, age). Raises DatagramError."""
     value = fields.get(NEWS)
     if value is None:
         return None
@@ -159,7 +159,7 @@
 
 
 def drains_of(fields: dict) -> list[int]:
-    """Tags of instances (`decisions/sample_message.py`). Raises Odd."""
+    """Tags of instances (`decisions/sample_message.py`). Raises DatagramError."""
     value = fields.get(DRAINS, b"")
     if len(value) % 4 or len(value) > 4 * DRAINS_MOST:
         raise DatagramError("field")
@@ -185,7 +185,7 @@
 
 
 def trial_of(fields: dict) -> list[tuple]:
-    """Raises Odd."""
+    """Raises DatagramError."""
     value, size = fields.get(TRIAL, b""), calcsize(TRIAL_FORM)
     if len(value) % size or len(value) > size * TRIAL_MOST:
         raise DatagramError("field")
@@ -213,7 +213,7 @@
 
 
 def warm_of(fields: dict) -> list[tuple]:
-    """Raises Odd."""
+    """Raises DatagramError."""
     value, size = fields.get(WARM, b""), calcsize(WARM_FORM)
     if len(value) % size or len(value) > size * WARM_MOST:
         raise DatagramError("field")
@@ -236,7 +236,7 @@
 
 
 def leases_of(fields: dict) -> list[tuple]:
-    """Raises Odd."""
+    """Raises DatagramError."""
     value, size = fields.get(LEASES, b""), calcsize(LEASES_FORM)
     if len(value) % size or len(value) > size * LEASES_MOST:
         raise DatagramError("field")
--- a/cobaltpond/recovery/desk_state.py
+++ b/cobaltpond/recovery/desk_state.py
@@ -71,9 +71,9 @@
 
 @dataclass
 class DeskStateRecovery:
-    """`told`: the mark that the journal told last, None without a journal's record. `expected`: who is asked
-    after, any hashable names. `caps`: of the stages. `bound`: collecting ends after so long, whoever is
-    missing."""
+    """`journal_mark`: the mark that the journal told last, None without a journal's record. `expected`: who
+    is asked after, any hashable names. `caps`: of the stages. `bound`: collecting ends after so long, whoever
+    is missing."""
 
     journal_mark: tuple[int, int] | None
     expected: tuple
--- a/cobaltpond/recovery/rate_limiter.py
+++ b/cobaltpond/recovery/rate_limiter.py
@@ -1,9 +1,9 @@
 """What the whole fleet together may ask of one target, and which part of it is ours. Free of I/O.
 
-Two shapes. Who wants the same thing once, at its start, waits for a drawn moment (`Spread`). Who wants it
-again and again has turns (`Turns`): a period in which each gateway has one, at an offset drawn from its seed,
-and a turn that is not taken at once is lost. Saved ones would be spent together, by hundreds, in the moment
-in which a zone comes back.
+Two shapes. Who wants the same thing once, at its start, waits for a drawn moment (`StartJitter`). Who wants
+it again and again has turns (`DialRateLimiter`): a period in which each gateway has one, at an offset drawn
+from its seed, and a turn that is not taken at once is lost. Saved ones would be spent together, by hundreds,
+in the moment in which a zone comes back.
 """
 
 TURN_SHARE, TURN_LEAST = 0.05, 20_000  # of the period: how long a turn waits to be taken
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -34,7 +34,7 @@
 
 class Recovery:
     """`gateway`: the running `gateway.main.GatewayProcess`; its sheet has a `recovery`. `chance`: as
-    `Chance`."""
+    `RandomSource`."""
 
     def __init__(self, gateway, chance):
         self.gateway, self.loop, self.log, self.chance = gateway, gateway.loop, gateway.log, chance
--- a/cobaltpond/recovery/snapshot.py
+++ b/cobaltpond/recovery/snapshot.py
@@ -29,8 +29,8 @@
 
 
 def parse_snapshot(data: bytes | None, *, number: int, settings: int, wall: int, worth: int) -> dict:
-    """{"head", "rows", "keys", "weight"}. Raises Unfit. `settings`: the sheet's digest; `wall`: the calendar
-    now; `worth`: how old one may be, microseconds."""
+    """{"head", "rows", "keys", "weight"}. Raises SnapshotError. `settings`: the sheet's digest; `wall`: the
+    calendar now; `worth`: how old one may be, microseconds."""
     if data is None:
         raise SnapshotError("there is none")
     if len(data) > MOST_BYTES:
@@ -68,7 +68,7 @@
 
 
 def check_list_epoch(head: dict, epoch) -> None:
-    """Once the list has been heard. Raises Unfit."""
+    """Once the list has been heard. Raises SnapshotError."""
     if head.get("epoch") != epoch:
         raise SnapshotError(f"of list {head.get('epoch')!r}, not {epoch!r}")
 
--- a/cobaltpond/recovery/warm_start.py
+++ b/cobaltpond/recovery/warm_start.py
@@ -57,7 +57,7 @@
         return self.answers >= ASKED or now >= self.end
 
     def apply_answer(self, sender: int, rows: list[tuple]) -> None:
-        """One datagram of an answer; it may have more than one. `rows` as `remarkable` gives them."""
+        """One datagram of an answer; it may have more than one. `rows` as `notable_rows` gives them."""
         if sender not in self.asked:
             return
         if self.asked[sender] is not None:
--- a/cobaltpond/rpc/client.py
+++ b/cobaltpond/rpc/client.py
@@ -44,8 +44,8 @@
 
 
 def call(loop, address, method: str, target: str, body: bytes, dial_time: int):
-    """One request, one whole answer: (status, body). Raises what FAILED names, or TimedOut of the dial; wrap
-    it in a Deadline for the rest."""
+    """One request, one whole answer: (status, body). Raises what CALL_ERRORS names, or DeadlineExceededError
+    of the dial; wrap it in a Deadline for the rest."""
     connection = yield from dial(loop, address, dial_time)
     try:
         host = f"{address[0]}:{address[1]}".encode()
@@ -72,14 +72,15 @@
 
 
 class LineStream:
-    """A long answer of JSON lines. `open` first; then `next` gives lists of objects until the peer ends
-    it."""
+    """A long answer of JSON lines. `connect` first; then `next_objects` gives lists of objects until the peer
+    ends it."""
 
     def __init__(self, loop, address):
         self.loop, self.address, self.connection = loop, address, None
 
     def connect(self, target: str, dial_time: int):
-        """Raises what FAILED names, TimedOut, or PeerLost where the answer is no 200."""
+        """Raises what CALL_ERRORS names, DeadlineExceededError, or ConnectionLostError where the answer is no
+        200."""
         self.connection = yield from dial(self.loop, self.address, dial_time)
         host = f"{self.address[0]}:{self.address[1]}".encode()
         yield from self.connection.write(http1.request("GET", target, [(b"host", host)]))
@@ -106,9 +107,9 @@
 
 def follow_stream(loop, address, target, take, silence: int, dial_time: int, waits: Backoff, broken, also=()):
     """A stream of JSON lines, taken up again for ever. `target()` is asked at each try; `take(objects)` gets
-    what comes; `broken(trouble)` hears of what FAILED names, TimedOut and `also`, which `take` may raise.
-    Silence of `silence` microseconds counts as a broken stream: guards against a peer that is gone without a
-    word."""
+    what comes; `broken(trouble)` hears of what CALL_ERRORS names, DeadlineExceededError and `also`, which
+    `take` may raise. Silence of `silence` microseconds counts as a broken stream: guards against a peer that
+    is gone without a word."""
     while True:
         stream = LineStream(loop, address)
         try:
--- a/cobaltpond/rpc/server.py
+++ b/cobaltpond/rpc/server.py
@@ -29,7 +29,7 @@
     body: bytes
 
     def json_object(self) -> dict:
-        """Raises Refusal (400) where the body is no JSON object."""
+        """Raises RpcError (400) where the body is no JSON object."""
         try:
             value = json.loads(self.body)
         except ValueError:
@@ -67,7 +67,7 @@
 
 def serve_rpc(loop, listener, handler, name: str, most: int = 2048, idle: int = 120_000_000, log=None):
     """A task without end. `handler(request)` is a generator-coroutine or a plain function; it gives (status,
-    fields, body) or a Stream, or raises Refusal. Whatever else it raises is a 500, and is logged."""
+    fields, body) or a ResponseStream, or raises RpcError. Whatever else it raises is a 500, and is logged."""
 
     def answer(connection):
         parser, head, body = http1.RequestParser(LIMITS), None, []
--- a/cobaltpond/scenario/bench_import.py
+++ b/cobaltpond/scenario/bench_import.py
@@ -15,7 +15,7 @@
 
 
 def import_bench_file(day: dict, name: str) -> dict:
-    """Raises BadDay."""
+    """Raises BenchFileError."""
     try:
         return convert(day, name)
     except (KeyError, IndexError, TypeError, ValueError, ZeroDivisionError) as trouble:
--- a/cobaltpond/scenario/events.py
+++ b/cobaltpond/scenario/events.py
@@ -4,7 +4,7 @@
 
 
 class Events:
-    """A part of `run.DayRun`, which has the state."""
+    """A part of `runner.ScenarioRun`, which has the state."""
 
     def script(self, begin):
         plan = self.plan
--- a/cobaltpond/scenario/plan.py
+++ b/cobaltpond/scenario/plan.py
@@ -16,7 +16,7 @@
 
 def read_plan(path: str, text: str, seed: int | None = None, more: dict | None = None) -> dict:
     """The plan of a day script. `more`: calls beyond the day's own (name -> (part, MANY)); they stand in the
-    plan under their names. Raises BadSheet."""
+    plan under their names. Raises SettingsError."""
     calls = DeclarationReader({**SCENARIO_CALLS, **(more or {})}, LIMIT_FUNCTIONS).run(path, text)
 
     def one(name):
--- a/cobaltpond/scenario/shutdown.py
+++ b/cobaltpond/scenario/shutdown.py
@@ -5,7 +5,7 @@
 
 
 class Shutdown:
-    """A part of `run.DayRun`, which has the state."""
+    """A part of `runner.ScenarioRun`, which has the state."""
 
     def inspect_end(self):
         """What the desk says, and with agents: does exactly one instance of the build that is meant run in
--- a/cobaltpond/scenario/startup.py
+++ b/cobaltpond/scenario/startup.py
@@ -6,7 +6,7 @@
 
 
 class Startup:
-    """A part of `run.DayRun`, which has the state."""
+    """A part of `runner.ScenarioRun`, which has the state."""
 
     def start_gateway(self, number):
         self.record_act("started", gateway=number)
--- a/cobaltpond/settings/deployment.py
+++ b/cobaltpond/settings/deployment.py
@@ -46,7 +46,7 @@
     hosts: tuple[HostSettings, ...] = ()
     members: MembershipSettings | None = None
     recovery: RecoverySettings | None = None
-    limits: tuple = ()  # of `settings.limits.Limit`
+    limits: tuple = ()  # of `settings.limits.LimitSettings`
     tick: int = 1000
     over_share_benefit: float = 0.1
 
--- a/cobaltpond/settings/reader.py
+++ b/cobaltpond/settings/reader.py
@@ -85,7 +85,7 @@
 
 
 def read_settings(path: str, text: str):
-    """A `Sheet` from the text of a file. Raises BadSheet."""
+    """A `DeploymentSettings` from the text of a file. Raises SettingsError."""
     from cobaltpond.settings import sections as p
     from cobaltpond.settings.deployment import DeploymentSettings
     from cobaltpond.settings.limits import LIMIT_FUNCTIONS, LimitSettings
--- a/cobaltpond/settings/sections.py
+++ b/cobaltpond/settings/sections.py
@@ -17,7 +17,7 @@
 
 
 class Section(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One call; what is wrong beyond a field's own bounds is said by `wrong`."""
+    """One call; what is wrong beyond a field's own bounds is said by `validation_error`."""
 
     def validation_error(self, sheet: dict) -> str | None:
         return None
--- a/cobaltpond/sim/member_cluster.py
+++ b/cobaltpond/sim/member_cluster.py
@@ -18,7 +18,7 @@
 
 
 class MemberProcess:
-    """The main part of such a process. `said`: names and arguments of what the module would hear."""
+    """The main part of such a process. `posted`: names and arguments of what the module would hear."""
 
     def __init__(self, loop, society, number, log):
         self.loop, self.society, self.stop_asked, self.posted = loop, society, False, []
--- a/cobaltpond/sim/network.py
+++ b/cobaltpond/sim/network.py
@@ -14,7 +14,7 @@
 
 BUFFER = 128 << 10  # bytes of one flow that may be on their way or unread
 SYN_AGAIN = (1_000_000, 3_000_000, 7_000_000, 15_000_000)  # after the first: RFC 6298, 2 and 5
-NO_ANSWER = 31_000_000  # then a dial ends with Unreachable
+NO_ANSWER = 31_000_000  # then a dial ends with UnreachableError
 
 
 class Network:
--- a/cobaltpond/sim/world.py
+++ b/cobaltpond/sim/world.py
@@ -21,7 +21,7 @@
 
 
 class World:
-    """`seed`: whatever `seeded` takes. `time`: microseconds, the same for all but those whose clocks
+    """`seed`: whatever `seeded_random` takes. `time`: microseconds, the same for all but those whose clocks
     drift."""
 
     def __init__(self, seed, begin: int = 1_000_000_000):
@@ -55,7 +55,7 @@
         call()
 
     def run(self, over, until: int) -> None:
-        """Steps until `over()` or the time. Raises Stuck."""
+        """Steps until `over()` or the time. Raises SimulationStuckError."""
         while not over():
             if self.time > until:
                 raise SimulationStuckError(f"not over after {until - self.begin} us")
--- a/cobaltpond/standins/build_server.py
+++ b/cobaltpond/standins/build_server.py
@@ -35,7 +35,7 @@
 
 
 class BuildServer:
-    """`ways`: what goes wrong, by path or for all (`*`), each for so many requests: cut (after `n` bytes),
+    """`faults`: what goes wrong, by path or for all (`*`), each for so many requests: cut (after `n` bytes),
     lie (a length that is not so), slow, redirect, junk, status, none."""
 
     def __init__(self, loop, listener):
--- a/cobaltpond/standins/host_cluster.py
+++ b/cobaltpond/standins/host_cluster.py
@@ -57,7 +57,7 @@
 
 
 class HostCluster:
-    """`record`: what happened at the registry: (time, instance, build, state, start)."""
+    """`registry_log`: what happened at the registry: (time, instance, build, state, start)."""
 
     def __init__(self, loop, folder, hosts=6, layout="beside", servers=2, gateways=1):
         self.loop, self.folder, self.children, self.places = (
--- a/cobaltpond/wal/journal.py
+++ b/cobaltpond/wal/journal.py
@@ -39,8 +39,9 @@
 
 
 class Journal:
-    """`state`: the last snapshot's value or None; `records`: those since; `cut`: None, or (file, offset,
-    bytes cut off, why). Raises Refused (of the kernel) where another process has the folder."""
+    """`snapshot_state`: the last snapshot's value or None; `records`: those since; `truncation`: None, or
+    (file, offset, bytes cut off, why). Raises Refused (of the kernel) where another process has the
+    folder."""
 
     def __init__(self, kernel, folder: str, most: int = 1 << 20):
         self.kernel, self.folder, self.most = kernel, folder, most
@@ -99,14 +100,14 @@
             raise JournalError(self.broken) from trouble
 
     def append(self, value) -> None:
-        """Takes a record in; it counts once `sync` has returned. Raises Broken."""
+        """Takes a record in; it counts once `sync` has returned. Raises JournalError."""
         data = encode_record(self.count, value)
         self.guarded(lambda: self.file.write(data))
         self.count += 1
         self.bytes += len(data)
 
     def sync(self) -> None:
-        """Raises Broken."""
+        """Raises JournalError."""
         self.guarded(self.file.sync)
 
     @property
--- a/cobaltpond/wire/http1.py
+++ b/cobaltpond/wire/http1.py
@@ -116,7 +116,7 @@
         self.in_head, self.head_bytes, self.begun = True, 0, False
 
     def feed(self, data: bytes) -> list:
-        """The events of these bytes. Raises BadMessage; events before the fault are lost with it."""
+        """The events of these bytes. Raises HttpMessageError; events before the fault are lost with it."""
         try:
             while data:
                 piece = data
@@ -203,7 +203,7 @@
             self.in_head, self.head_bytes, self.begun = True, 0, False
 
     def closed(self) -> list:
-        """Raises BadMessage where the answer was cut."""
+        """Raises HttpMessageError where the answer was cut."""
         if self.begun and not self.in_head and self.until_close:
             self.begun = False
             return [("end", None)]
--- a/cobaltpond/wire/json_lines.py
+++ b/cobaltpond/wire/json_lines.py
@@ -8,7 +8,7 @@
 
 
 def parse_object(data: bytes) -> dict:
-    """Raises BadLine; also on what is nested so deep that reading it would end the task that asked."""
+    """Raises JsonLineError; also on what is nested so deep that reading it would end the task that asked."""
     try:
         one = json.loads(data)
     except (ValueError, RecursionError) as trouble:
--- a/cobaltpond/wire/pg.py
+++ b/cobaltpond/wire/pg.py
@@ -34,7 +34,7 @@
 
 
 def error_response(code: str, text: str, detail: str | None = None, fatal: bool = False) -> bytes:
-    """An ErrorResponse; after a fatal one the connection closes, after another `READY` is due."""
+    """An ErrorResponse; after a fatal one the connection closes, after another `READY_FOR_QUERY` is due."""
     severity = "FATAL" if fatal else "ERROR"
     fields = [("S", severity), ("V", severity), ("C", code), ("M", text)] + (
         [("D", detail)] if detail else []
@@ -66,8 +66,9 @@
 
 
 class ClientMessageParser:
-    """What a client sends. Events are (kind, value): ("tls", None): answer `PLAIN_ONLY`; ("cancel", None);
-    ("startup", parameters); ("query", statement); ("end", None); and last, once, ("wrong", Nonsense)."""
+    """What a client sends. Events are (kind, value): ("tls", None): answer `ENCRYPTION_REFUSED`; ("cancel",
+    None); ("startup", parameters); ("query", statement); ("end", None); and last, once, ("wrong",
+    PgProtocolError)."""
 
     def __init__(self):
         self.rest, self.started, self.wishes, self.over = b"", False, 0, False
@@ -147,9 +148,9 @@
 class ServerMessageParser:
     """What an instance sends on one connection: first its welcome, then one answer after each `expect`.
 
-    `feed` says whether the state has moved on. Raises Nonsense on what can't be a whole answer; the
+    `feed` says whether the state has moved on. Raises PgProtocolError on what can't be a whole answer; the
     connection is of no further use then. What comes behind a whole answer and does not belong to it is no
-    reason to doubt that answer: `fit` then says that the connection may not be used again.
+    reason to doubt that answer: `is_clean` then says that the connection may not be used again.
     """
 
     def __init__(self):
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -185,7 +185,7 @@
 
 
 def test_settings_with_any_part_missing_or_nonsense_are_refused_with_a_reason_or_taken():
-    """Never a fault in mid-start: either BadConfig, or a gateway whose decisions begin."""
+    """Never a fault in mid-start: either ConfigError, or a gateway whose decisions begin."""
 
     def changed(settings, path, value):
         copy = json.loads(json.dumps(settings))
