--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -244,5 +244,5 @@
         open(f"cobaltpond/decisions/{name}.py").read()
         for name in ("rules", "choosing", "judging", "voting", "records")
     )
-    picked = set(re.findall(r'sheet(?:\.get\(|\[)"([a-z_]+)"', text)) - {"customers"}
+    picked = set(re.findall(r'(?:sheet|settings)(?:\.get\(|\[)"([a-z_]+)"', text)) - {"customers"}
     assert picked and not picked - set(read_settings("x", EXAMPLE).policy_settings(1)), picked
