--- a/cobaltpond/edge/__init__.py
+++ b/cobaltpond/edge/__init__.py
@@ -1,2 +1,4 @@
-"""The gateway on the platform: PostgreSQL's protocol to clients and instances, the platform's calls to all
-else."""
+"""Gateway for PostgreSQL traffic.
+
+It speaks PostgreSQL's protocol to clients and instances, and the platform's HTTP calls to everything else.
+"""
--- a/cobaltpond/edge/__main__.py
+++ b/cobaltpond/edge/__main__.py
@@ -1,4 +1,7 @@
-"""python -m cobaltpond.edge: one gateway in the foreground. Exit code 2: the configuration is of no use."""
+"""Runs one gateway in the foreground: `python -m cobaltpond.edge`.
+
+The environment variable EDGE_CONFIG names the configuration file.
+"""
 
 import sys
 
@@ -9,6 +12,7 @@
 
 
 def main() -> int:
+    """Returns the exit code: 2 where the configuration is unusable or its address can't be bound, else 0."""
     kernel = EpollKernel()
     path = kernel.environment_variable("EDGE_CONFIG")
     if not path:
@@ -16,13 +20,13 @@
         return 2
     try:
         config = read_config(kernel, path)
-    except ConfigError as trouble:
-        print(f"cobaltpond: {trouble}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"cobaltpond: {error}", file=sys.stderr)
         return 2
     try:
         run_edge(kernel, path, config, Log(sys.stderr, config.name, kernel.wall_clock))
-    except UnreachableError as trouble:
-        print(f"cobaltpond: {trouble}", file=sys.stderr)
+    except UnreachableError as error:
+        print(f"cobaltpond: {error}", file=sys.stderr)
         return 2
     return 0
 
--- /dev/null
+++ b/cobaltpond/edge/client_connection.py
@@ -0,0 +1,240 @@
+"""One client's connection: reads its commands, opens a hit for each, and writes the responses.
+
+An invalid message gets one FATAL error and a close, and nothing that the client sent is forwarded. Whatever a
+client can make the gateway buffer is bounded: a message by its length, commands behind an open one by count,
+responses that it does not read by size and time.
+"""
+
+from cobaltpond.gateway.pending_hit import PendingHit
+from cobaltpond.loop import Connection, ConnectionLostError, Writable
+from cobaltpond.wire import pg
+from cobaltpond.wire.statement import PLAIN_NAME, PlatformStatement, StatementError
+
+MAX_QUEUED_COMMANDS = 16  # commands that wait behind an open one
+MAX_UNSENT_BYTES = 1 << 20  # responses that a client has not read yet
+
+
+class ClientConnection:
+    """One client's connection, accepted by `frontend`, a `Frontend`."""
+
+    def __init__(self, frontend, connection: Connection):
+        self.frontend, self.loop, self.connection = frontend, frontend.loop, connection
+        self.parser, self.queued_commands, self.hit = pg.ClientMessageParser(), [], None
+        self.connected_at = self.last_active = frontend.loop.now()
+        self.has_asked, self.unsent, self.writer, self.closing_since, self.discarded_bytes = (
+            False,
+            b"",
+            None,
+            None,
+            0,
+        )
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether nothing is in progress, neither a hit nor a read or write."""
+        return (
+            self.hit is None
+            and self.writer is None
+            and self.closing_since is None
+            and not self.parser.has_partial
+        )
+
+    def receive(self, data: bytes) -> None:
+        """Handles bytes of the client."""
+        self.last_active = self.loop.now()
+        for kind, value in self.parser.feed(data):
+            self.handle_event(kind, value)
+            if self.closing_since is not None:
+                break
+
+    def is_quiet(self) -> bool:
+        """Whether every byte of the client has been answered, including bytes still unread in the socket.
+
+        Unread bytes are read now. Otherwise a close could cross a request in flight, which would be lost or
+        discarded after we have closed our side.
+        """
+        if self.hit is not None or self.queued_commands or self.closing_since is not None:
+            return False
+        try:
+            data = self.connection.read_now()
+        except ConnectionLostError:
+            return True
+        if data:
+            self.receive(data)
+        return not data and not self.parser.has_partial
+
+    def send_data(self, data: bytes) -> None:
+        """Sends bytes. What the socket doesn't accept is buffered, within a bound, and written by a task."""
+        self.last_active = self.loop.now()
+        if self.writer is not None:  # keeps the order behind bytes being written
+            self.unsent += data
+        else:
+            try:
+                sent = self.connection.write_now(data)
+            except ConnectionLostError:
+                self.connection.close()
+                return
+            self.unsent = data[sent:]
+            if self.unsent:
+                self.writer = self.loop.spawn(self.write_rest(), "door-rest")
+        # a client that sends commands and never reads would fill the memory
+        if len(self.unsent) > MAX_UNSENT_BYTES:
+            self.frontend.count("unread")
+            self.connection.abort()
+
+    def write_rest(self):
+        """Task that writes the buffered bytes."""
+        try:
+            while self.unsent:
+                sent = self.connection.write_now(self.unsent)
+                if sent:  # a slow client that makes progress is not cut off
+                    self.unsent, self.last_active = self.unsent[sent:], self.loop.now()
+                else:
+                    yield Writable(self.connection.handle)
+        except ConnectionLostError:
+            self.unsent = b""
+            self.connection.close()
+        self.writer = None
+        if self.closing_since is not None:
+            self.closing_since = self.loop.now()
+            self.connection.handle.finish()
+
+    def half_close(self) -> None:
+        """Closes our side first; the connection is closed once the client has closed its side, has sent too
+        much, or time is up.
+
+        Closing at once with unread bytes would reset the connection and lose the response.
+        """
+        if self.closing_since is None:
+            self.closing_since = self.loop.now()
+            self.queued_commands.clear()
+            if self.writer is None:
+                self.connection.handle.finish()
+
+    def refuse(self, code: str, text: str) -> None:
+        """Sends one FATAL error and closes. A hit that is open here gets it as its final response."""
+        self.frontend.count("unfit")
+        self.abandon_open_hit()
+        if self.closing_since is None:
+            self.send_data(pg.error_response(code, text, fatal=True))
+            self.half_close()
+
+    def refuse_connection(self, data: bytes) -> None:
+        """Sends a FATAL refusal and closes, for a connection without an open hit."""
+        self.send_data(data)
+        self.half_close()
+
+    def abandon_open_hit(self) -> None:
+        """Gives up the open hit, if there is one: its client has left."""
+        hit, self.hit = self.hit, None
+        if hit is not None:
+            self.frontend.abandon_hit(hit)
+
+    def handle_event(self, kind, value) -> None:
+        """Handles one event of `ClientMessageParser`."""
+        if kind == "query":
+            if self.hit is None and not self.queued_commands:
+                self.handle_query(value)
+            elif len(self.queued_commands) < MAX_QUEUED_COMMANDS:
+                self.queued_commands.append(value)
+            else:
+                self.refuse("54000", f"more than {MAX_QUEUED_COMMANDS} commands wait behind an open one")
+        elif kind == "startup":
+            self.send_data(pg.startup_response())
+        elif kind == "tls":
+            self.send_data(pg.ENCRYPTION_REFUSED)
+        elif kind == "wrong":
+            self.refuse(value.code, str(value))
+        else:  # Terminate or a cancel request: neither gets a response
+            self.abandon_open_hit()
+            self.half_close()
+
+    def handle_query(self, text: bytes) -> None:
+        """Handles one simple query: answers it, refuses it, or opens a hit for it."""
+        frontend = self.frontend
+        self.has_asked = True
+        if not text.strip(b" \t\r\n;"):
+            self.send_data(pg.EMPTY_QUERY_RESPONSE)
+            return
+        try:
+            statement = PlatformStatement(text)
+            group = frontend.groups.get(statement.group)
+            if group is None:
+                raise StatementError("no such path group")
+            if statement.customer not in frontend.customers and not PLAIN_NAME.fullmatch(statement.customer):
+                raise StatementError("no such tenant")
+            if not 0 < statement.time_left:
+                raise StatementError("no time to answer in")
+            if group["kind"] == "tagged" and statement.key is None:
+                raise StatementError("this path group needs a key")
+            if statement.id in frontend.open_ids:
+                raise StatementError("a hit of that id is open")
+        except StatementError as error:
+            self.refuse("42601", str(error))
+            return
+        time_left = min(statement.time_left, group["client_timeout"], frontend.time_remaining())
+        if frontend.host.is_full() or time_left <= 0:
+            frontend.count("turned away")
+            self.send_data(
+                pg.error_response(
+                    "53300", "no room for a further hit" if time_left > 0 else "this gateway ends"
+                )
+                + pg.READY_FOR_QUERY
+            )
+            return
+        self.hit = PgHit(self, statement)
+        frontend.open_ids[statement.id] = self.hit
+        customer = statement.customer if statement.customer in frontend.customers else None
+        slack = frontend.host.slack
+        frontend.host.accept_hit(
+            self.hit,
+            statement.group,
+            customer,
+            int(statement.ref, 16) >> 11,
+            time_left,
+            None,
+            statement.is_retry,
+            time_left - slack // 2,
+        )
+
+    def finish_query(self) -> None:
+        """The open hit has its final response: handles the next commands in order."""
+        self.hit = None
+        while self.queued_commands and self.hit is None and self.closing_since is None:
+            self.handle_query(self.queued_commands.pop(0))
+        if self.frontend.draining and self.is_quiet():
+            self.half_close()
+
+
+class PgHit(PendingHit):
+    """A hit that came over PostgreSQL's protocol."""
+
+    def __init__(self, client: ClientConnection, statement: PlatformStatement):
+        super().__init__(client.frontend.host.next_number(), statement.id.decode(), client.frontend)
+        self.client, self.statement = client, statement
+
+    def answer(self, outcome: str, data: bytes) -> None:
+        """Ends the hit with `outcome` and sends the response."""
+        self.finalize(outcome)
+        self.client.send_data(data)
+        self.client.finish_query()
+
+    def deliver(self, value: bytes) -> None:
+        """Sends an instance's response: its messages before ReadyForQuery."""
+        self.answer("delivered", value + pg.READY_FOR_QUERY)
+
+    def reject(self, retry_after: int) -> None:
+        """Refuses the hit. `retry_after` in microseconds; 0 gives no advice."""
+        detail = str(-(-retry_after // 1000)) if retry_after else None
+        self.answer("bounced", pg.error_response("53300", "not taken on now", detail) + pg.READY_FOR_QUERY)
+
+    def fail(self, late: bool) -> None:
+        """Answers with an error; `late`: the time was up."""
+        self.answer(
+            "errored",
+            pg.error_response(
+                "57014" if late else "58000",
+                "no answer in time; it may have run" if late else "it failed; it may have run",
+            )
+            + pg.READY_FOR_QUERY,
+        )
--- a/cobaltpond/edge/config.py
+++ b/cobaltpond/edge/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: one JSON file, checked, with the settings as the decisions' runsheet."""
+"""Reads and checks the platform's JSON configuration, and converts its settings to policy settings."""
 
 from dataclasses import dataclass
 from math import isfinite
@@ -7,18 +7,20 @@
 from cobaltpond.wire.address import split_address
 from cobaltpond.wire.json_lines import JsonLineError, parse_object
 
-MOST = 8 << 20  # bytes of the file
-# Parts of the limit of descriptors. Some are kept for desk, list, peers and the moment in which one replaces
-# another; clients and instances share the rest, each up to a part. Clients hold at most a third of all for
-# hits, a forward takes one each: what is more in the clients' part is for those who ask little and stay.
-KEPT_LEAST, KEPT, CLIENTS, INSTANCES = 24, 1 / 12, 0.7, 0.6
+MAX_CONFIG_BYTES = 8 << 20  # largest configuration file
+# Shares of the limit of file descriptors. A reserve stays for the desk, the list, the peers and the moment in
+# which one of them replaces another; clients and instances use the rest, each up to its share. Open hits keep
+# at most a third of all descriptors on the client side, since each of their forwards takes another one; the
+# rest of the clients' share serves connections that send little and stay open.
+MIN_RESERVED_DESCRIPTORS, RESERVED_SHARE, CLIENT_SHARE, INSTANCE_SHARE = 24, 1 / 12, 0.7, 0.6
 
 
-# A second answer may come some milliseconds after the first (the fleet days' page): so long a connection
-# rests before the next hit goes over it. The protocol's page gives every time limit as much.
-REST = 50_000
-KINDS = ("repeatable", "tagged", "mutating")
-NO_FIGURES = {
+# An instance may repeat a response some milliseconds after the first one (the platform's documentation of
+# fleet days says so), so a connection rests for this long before the next hit is sent over it. The protocol
+# allows as much slack in every time limit.
+MAX_REST_TIME_US = 50_000
+GROUP_KINDS = ("repeatable", "tagged", "mutating")
+NON_NUMERIC_SETTINGS = {
     "name",
     "kind",
     "scope",
@@ -45,12 +47,12 @@
 
 
 class ConfigError(Exception):
-    """What is wrong with the configuration, in one line."""
+    """The configuration is unusable; the text gives the reason in one line."""
 
 
 @dataclass(frozen=True)
 class InstanceLimits:
-    """What `gateway.endpoints.EndpointPool` goes by. Times in microseconds."""
+    """Limits of `gateway.endpoints.EndpointPool`: a count of connections and times in microseconds."""
 
     connections: int
     dial_time: int
@@ -60,7 +62,12 @@
 
 @dataclass(frozen=True)
 class Config:
-    """Addresses as (host, port). `known` and `news` are JSON as the platform writes them."""
+    """A checked configuration.
+
+    Addresses are (host, port) pairs. `sockets` limits the file descriptors. `known_list` and `release_state`
+    are JSON objects as the platform writes them, None where the file has none; `peer_listen` and `peers_all`
+    are None without peers.
+    """
 
     name: str
     listen: tuple
@@ -73,100 +80,120 @@
     peer_listen: tuple | None
     peers: tuple
     peers_all: tuple | None
-    known: dict | None
-    news: dict | None
+    known_list: dict | None
+    release_state: dict | None
     policy_settings: dict
 
     @property
     def connection_limit(self) -> int:
-        """Connections of clients and to instances, together."""
-        return max(16, self.sockets - max(KEPT_LEAST, int(self.sockets * KEPT)))
+        """Maximum number of connections to clients and instances together."""
+        return max(16, self.sockets - max(MIN_RESERVED_DESCRIPTORS, int(self.sockets * RESERVED_SHARE)))
 
     @property
     def client_connection_limit(self) -> int:
-        return int(self.connection_limit * CLIENTS)
+        """Maximum number of client connections."""
+        return int(self.connection_limit * CLIENT_SHARE)
 
     @property
     def instance_connection_limit(self) -> int:
-        return int(self.connection_limit * INSTANCES)
+        """Maximum number of connections to instances."""
+        return int(self.connection_limit * INSTANCE_SHARE)
 
     @property
     def instances(self) -> InstanceLimits:
-        # what has idled nine tenths of its time is closed here, before the machine does it with a hit on its
-        # way
+        """Limits of the connections to instances."""
+        # A connection is closed here after nine tenths of the idle time, before the instance closes it while
+        # a hit is on its way.
         return InstanceLimits(
             self.instance_connection_limit,
             self.policy_settings["dial_time_out"],
             self.policy_settings["idle_time"] * 9 // 10,
-            min(REST, self.policy_settings["idle_time"] // 2),
+            min(MAX_REST_TIME_US, self.policy_settings["idle_time"] // 2),
         )
 
 
-def check_figures(whose: str, told: dict) -> None:
-    """Raises ConfigError where a figure of the settings is none, or is negative or not finite."""
-    for name, value in told.items():
-        figures = value if name in ("stage_shares", "stage_caps") else [] if name in NO_FIGURES else [value]
-        if not isinstance(figures, list) or not all(
-            isinstance(one, (int, float)) and isfinite(one) and one >= 0 for one in figures
+def check_numbers(owner: str, values: dict) -> None:
+    """Checks that all numeric settings are finite and not negative.
+
+    `owner` names the settings in the error text. Raises ConfigError.
+    """
+    for name, value in values.items():
+        numbers = (
+            value
+            if name in ("stage_shares", "stage_caps")
+            else []
+            if name in NON_NUMERIC_SETTINGS
+            else [value]
+        )
+        if not isinstance(numbers, list) or not all(
+            isinstance(number, (int, float)) and isfinite(number) and number >= 0 for number in numbers
         ):
-            raise ConfigError(f"{whose}: {name} makes no sense as {str(value)[:60]!r}")
+            raise ConfigError(f"{owner}: {name} has the invalid value {str(value)[:60]!r}")
 
 
-def parse_config(told: dict) -> Config:
-    """Raises ConfigError."""
+def parse_config(document: dict) -> Config:
+    """Converts the decoded JSON document. Raises ConfigError."""
     try:
-        sheet = policy_settings(told["settings"])
+        settings = policy_settings(document["settings"])
         for name in ("gateways", "number", "path_groups", "dial_time_out", "idle_time", "exposure_window"):
-            if not sheet.get(name) and sheet.get(name) != 0:
+            if not settings.get(name) and settings.get(name) != 0:
                 raise ConfigError(f"the settings lack {name}")
-        check_figures("the settings", sheet)
-        for group in sheet["path_groups"]:
-            if not isinstance(group.get("name"), str) or group.setdefault("kind", "mutating") not in KINDS:
-                raise ConfigError(f"a class without a name, or of a kind that is not known: {group}"[:200])
-            check_figures(f"class {group['name']}", group)
+        check_numbers("the settings", settings)
+        for group in settings["path_groups"]:
+            if (
+                not isinstance(group.get("name"), str)
+                or group.setdefault("kind", "mutating") not in GROUP_KINDS
+            ):
+                raise ConfigError(f"a class has no name or an unknown kind: {group}"[:200])
+            check_numbers(f"class {group['name']}", group)
             if not (group.get("target_latency") and group.get("client_timeout")):
                 raise ConfigError(f"class {group['name']} lacks an aim or a deadline")
-        names = [group["name"] for group in sheet["path_groups"]]
-        tenants = [customer["name"] for customer in sheet["customers"]]
-        if len(set(names)) < len(names) or not all(isinstance(name, str) for name in tenants):
-            raise ConfigError("two classes of one name, or a tenant without one")
-        sheet.setdefault("answer_slack", 0)
-        rollouts, seed, limits = told["rollouts"], told.get("seed"), told.get("limits") or {}
+        group_names = [group["name"] for group in settings["path_groups"]]
+        customer_names = [customer["name"] for customer in settings["customers"]]
+        if len(set(group_names)) < len(group_names) or not all(
+            isinstance(name, str) for name in customer_names
+        ):
+            raise ConfigError("two classes share a name, or a tenant has none")
+        settings.setdefault("answer_slack", 0)
+        rollouts, seed, limits = document["rollouts"], document.get("seed"), document.get("limits") or {}
         return Config(
-            name=str(told["name"]),
-            listen=split_address(told["listen"]),
-            discovery=split_address(told["discovery"]),
+            name=str(document["name"]),
+            listen=split_address(document["listen"]),
+            discovery=split_address(document["discovery"]),
             desk=split_address(rollouts["address"]),
             seed=int(seed, 16) if isinstance(seed, str) else int(seed or 0),
             sockets=int(limits.get("sockets") or 1024),
             memory_mb=float(limits.get("memory_mb") or 0),
             cores=float(limits.get("cores") or 0),
-            peer_listen=split_address(told["peer_listen"]) if told.get("peer_listen") else None,
-            peers=tuple(split_address(peer) for peer in told.get("peers") or ()),
-            peers_all=split_address(told["peers_all"]) if told.get("peers_all") else None,
-            known=told.get("known"),
-            news=rollouts.get("news"),
-            policy_settings=sheet,
+            peer_listen=split_address(document["peer_listen"]) if document.get("peer_listen") else None,
+            peers=tuple(split_address(peer) for peer in document.get("peers") or ()),
+            peers_all=split_address(document["peers_all"]) if document.get("peers_all") else None,
+            known_list=document.get("known"),
+            release_state=rollouts.get("news"),
+            policy_settings=settings,
         )
     except ConfigError:
         raise
-    except KeyError as trouble:
-        raise ConfigError(f"the configuration lacks {trouble}") from None
-    except (TypeError, ValueError, AttributeError, OverflowError) as trouble:
-        raise ConfigError(f"the configuration makes no sense: {trouble!r}") from None
+    except KeyError as error:
+        raise ConfigError(f"the configuration lacks {error}") from None
+    except (TypeError, ValueError, AttributeError, OverflowError) as error:
+        raise ConfigError(f"the configuration is invalid: {error!r}") from None
 
 
 def read_config(kernel, path: str) -> Config:
-    """Raises ConfigError."""
+    """Reads and parses the file at `path`.
+
+    Raises ConfigError, also where the file is missing or too large.
+    """
     try:
         data = kernel.read_file(path)
-    except OSError as trouble:
-        raise ConfigError(f"{path}: {trouble.strerror}") from None
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from None
     if data is None:
         raise ConfigError(f"{path}: no such file")
-    if len(data) > MOST:
-        raise ConfigError(f"{path}: more than {MOST} bytes")
+    if len(data) > MAX_CONFIG_BYTES:
+        raise ConfigError(f"{path}: more than {MAX_CONFIG_BYTES} bytes")
     try:
         return parse_config(parse_object(data))
-    except JsonLineError as trouble:
-        raise ConfigError(f"{path}: {trouble}") from None
+    except JsonLineError as error:
+        raise ConfigError(f"{path}: {error}") from None
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -1,5 +1,4 @@
-"""The list of instances as the platform's discovery tells it: all of it once, then watches one after
-another."""
+"""Follows the platform's list of instances: one whole list, then one long-polling watch after another."""
 
 from cobaltpond.edge.source_switch import SourceSwitch
 from cobaltpond.loop import Deadline, DeadlineExceededError, Queue, Sleep
@@ -7,34 +6,45 @@
 from cobaltpond.wire.address import split_address
 from cobaltpond.wire.json_lines import JsonLineError, parse_object
 
-STATES = {"up": "up", "draining": "draining", "removed": "gone"}
-WATCH = 2_000_000  # how long a watch may wait for something new
-ANSWER = 1_000_000  # how late an answer that need not wait may come
-PAUSE = 50_000  # after an answer that came early and told nothing
-ASK_AGAIN, LONGEST_PAUSE = 100_000, 100_000  # less than the grace that rules give what was told
-HOSTS = "/discovery/hosts"
-OLDER = 6_000_000  # a source that tells only of older versions for so long has lost
-# them: whatever it was late with counts as told by then
+INSTANCE_STATES = {"up": "up", "draining": "draining", "removed": "gone"}
+WATCH_TIME_US = 2_000_000  # how long a watch may wait for a change
+RESPONSE_TIMEOUT_US = 1_000_000  # for a response that doesn't wait for a change
+EMPTY_RESPONSE_PAUSE_US = 50_000  # after an early response without a change
+# Both are shorter than the grace period that the rules allow before an announced change counts.
+HEDGE_INTERVAL_US, MAX_RETRY_DELAY_US = 100_000, 100_000
+HOSTS_PATH = "/discovery/hosts"
+# A source that reports only old versions for this long has lost its state. Whatever it was late with counts
+# as announced by then.
+STALE_SOURCE_TIME_US = 6_000_000
 
 
 class DiscoveredInstances:
-    """What discovery said, as rows for the decisions. Free of I/O."""
+    """Converts the responses of discovery to rows for the decisions. Does no I/O."""
 
     def __init__(self):
-        self.seq, self.starts = 0, {}
+        self.seq, self.start_times = 0, {}
 
-    def apply(self, now: int, wall: int, told: dict) -> tuple[bool, list]:
-        """(whole, [(row, address)]). `now` and `wall` are one moment on our clock and in Unix time,
-        microseconds. Raises JsonLineError, and then nothing of it is kept."""
+    def apply(self, now: int, wall_time: int, response: dict) -> tuple[bool, list]:
+        """Applies one response and returns (whole, [(row, address)]).
+
+        `whole` says that the rows replace the list. `now` (this process's clock) and `wall_time` (Unix time)
+        are the same moment in microseconds. Returns no rows for a version older than the newest one. Raises
+        JsonLineError and then keeps nothing of the response.
+        """
         try:
-            whole, seq = told["whole"], int(told["seq"])
-            rows, starts = [], {}
-            for entry in told["hosts"]:
-                id, born = str(entry["host"]), int(entry.get("born_ms") or 0)
-                # once for each start: a clock that is set must not make a restart of what did not restart
-                started = self.starts.get((id, born), now - (wall - born * 1000)) if born else None
-                if born:
-                    starts[id, born] = started
+            whole, seq = response["whole"], int(response["seq"])
+            rows, start_times = [], {}
+            for entry in response["hosts"]:
+                id, born_ms = str(entry["host"]), int(entry.get("born_ms") or 0)
+                # The start time is computed once for each start: after a change of the wall clock a running
+                # instance would look restarted.
+                started = (
+                    self.start_times.get((id, born_ms), now - (wall_time - born_ms * 1000))
+                    if born_ms
+                    else None
+                )
+                if born_ms:
+                    start_times[id, born_ms] = started
                 rows.append(
                     (
                         {
@@ -42,40 +52,54 @@
                             "build": int(entry.get("revision_no") or 0),
                             "cell": entry.get("block"),
                             "zone": entry.get("site"),
-                            "state": STATES[entry["health"]],
+                            "state": INSTANCE_STATES[entry["health"]],
                             "weight": entry.get("share") or 1,
                             "started": started,
                         },
                         split_address(entry["dial"]) if entry["health"] != "removed" else ("", 0),
                     )
                 )
-        except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as trouble:
-            raise JsonLineError(f"no list: {trouble!r}") from trouble
+        except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
+            raise JsonLineError(f"invalid instance list: {error!r}") from error
         if seq < self.seq:
-            return False, []  # another source has told more: nothing goes back to before that
+            return False, []  # another source has reported a newer version; the list never goes back
         self.seq = seq
         if whole:
-            self.starts = starts
+            self.start_times = start_times
         else:
             ids = {row["id"] for row, _ in rows}
-            self.starts = {mark: at for mark, at in self.starts.items() if mark[0] not in ids} | starts
+            self.start_times = {
+                instance_start: at
+                for instance_start, at in self.start_times.items()
+                if instance_start[0] not in ids
+            } | start_times
         return bool(whole), rows
 
 
 class Discovery:
-    def __init__(self, loop, host, address, log, asking: bool):
-        """`asking`: the decisions wait for answers, and so hear of those that bring nothing new."""
-        self.loop, self.host, self.address, self.log, self.asking = loop, host, address, log, asking
-        self.instances, self.has_heard, self.following = (
+    """Keeps the instance list of the gateway up to date, for ever."""
+
+    def __init__(self, loop, host, address, log, reports_every_response: bool):
+        """`reports_every_response`: the decisions poll the list, so they are told of responses without a
+        change too.
+        """
+        self.loop, self.host, self.address, self.log, self.reports_every_response = (
+            loop,
+            host,
+            address,
+            log,
+            reports_every_response,
+        )
+        self.instances, self.has_heard, self.source_switch = (
             DiscoveredInstances(),
             False,
             SourceSwitch(loop, "discovery"),
         )
         self.counts = {"applied": 0, "errors": 0}
 
-    def apply_answer(self, told) -> int:
-        """The version that was told. Raises JsonLineError."""
-        whole, rows = self.instances.apply(self.loop.now(), self.loop.kernel.wall_clock(), told)
+    def apply_answer(self, response) -> int:
+        """Applies a response and returns its version. Raises JsonLineError."""
+        whole, rows = self.instances.apply(self.loop.now(), self.loop.kernel.wall_clock(), response)
         if rows or whole:
             self.counts["applied"] += 1
             self.host.endpoints.update(whole, rows)
@@ -85,99 +109,128 @@
                 whole=whole,
                 rows=[f"{r['id']} {r['state']} build {r['build']}" for r, _ in rows][:20],
             )
-        if rows or whole or self.asking:
+        if rows or whole or self.reports_every_response:
             self.host.post_event_first("on_list", whole, [row for row, _ in rows])
-        return int(told["seq"])
+        return int(response["seq"])
+
+    def restore(self, known_list: dict | None) -> None:
+        """Restores the list that this gateway stored last; None does nothing.
 
-    def restore(self, known: dict | None) -> None:
-        """The list as this gateway last held it; it may be old, and nothing is built upon its version."""
-        if known:
+        It may be stale, so its version is not used.
+        """
+        if known_list:
             try:
-                self.apply_answer({**known, "whole": True})
-            except JsonLineError as trouble:
-                self.log.warning("known list unreadable", why=str(trouble))
+                self.apply_answer({**known_list, "whole": True})
+            except JsonLineError as error:
+                self.log.warning("known list unreadable", why=str(error))
             self.instances.seq = 0
 
     def start(self, address) -> None:
-        """Follows at this address from now on; the task that followed before ends once this one has heard."""
+        """Follows this address from now on.
+
+        The task that followed before ends once the new source has answered.
+        """
         self.address = address
-        self.following.start(self.follow(address))
+        self.source_switch.start(self.follow(address))
 
     def follow(self, address):
-        """For ever. An agent that says nothing, nonsense or only what is old is asked for the whole list
-        again. Each source is asked by the version that it told itself (None: for the whole list): what it
-        tells then fits on all that is newer than that, whoever told it."""
-        backoff, version, doubted = Backoff(20_000, LONGEST_PAUSE, self.loop.kernel.random_seed()), None, None
+        """Follows one source for ever.
+
+        After an error, an invalid response or an old version the whole list is fetched again. Each source is
+        asked by the version that it reported itself (None: for the whole list), so that its changes apply on
+        top of every newer version, whichever source reported that.
+        """
+        backoff, version, stale_since = (
+            Backoff(20_000, MAX_RETRY_DELAY_US, self.loop.kernel.random_seed()),
+            None,
+            None,
+        )
         while True:
-            asked, target = self.loop.now(), f"{HOSTS}?after={version}&wait_ms={WATCH // 1000}"
+            requested_at, target = (
+                self.loop.now(),
+                f"{HOSTS_PATH}?after={version}&wait_ms={WATCH_TIME_US // 1000}",
+            )
             try:
                 if version is None:
                     status, body = yield from self.whole_list(address)
                 else:
-                    with Deadline(self.loop, WATCH + ANSWER):
-                        status, body = yield from call(self.loop, address, "GET", target, b"", ANSWER)
+                    with Deadline(self.loop, WATCH_TIME_US + RESPONSE_TIMEOUT_US):
+                        status, body = yield from call(
+                            self.loop, address, "GET", target, b"", RESPONSE_TIMEOUT_US
+                        )
                 if status != 200:
                     raise JsonLineError(f"status {status}")
-                before, version = version, self.apply_answer(parse_object(body))
+                previous, version = version, self.apply_answer(parse_object(body))
                 self.has_heard = True
-                self.following.source_answered()
-                doubted = (
-                    (self.loop.now() if doubted is None else doubted)
+                self.source_switch.source_answered()
+                stale_since = (
+                    (self.loop.now() if stale_since is None else stale_since)
                     if version < self.instances.seq
                     else None
                 )
-                if doubted is not None and self.loop.now() - doubted > OLDER:
-                    # guards against a discovery that has lost its versions: what it says is all there is now
-                    self.instances.seq, doubted, version = 0, None, None
-                elif before is not None and version <= before and self.loop.now() - asked < WATCH // 2:
-                    # nothing new, though it need not have answered yet: the whole list, after a pause shorter
-                    # than what may lie between two calls. Guards against old versions for ever, and a loop
-                    # without pauses
+                if stale_since is not None and self.loop.now() - stale_since > STALE_SOURCE_TIME_US:
+                    # Discovery has lost its versions (a restart without state): its list replaces ours.
+                    self.instances.seq, stale_since, version = 0, None, None
+                elif (
+                    previous is not None
+                    and version <= previous
+                    and self.loop.now() - requested_at < WATCH_TIME_US // 2
+                ):
+                    # There is no change, although the watch had time to wait for one: fetch the whole list
+                    # after a pause shorter than the gap that is allowed between two calls. Without this a
+                    # source that repeats an old version is polled in a busy loop, and the stale list stays
+                    # for ever.
                     version = None
-                    yield Sleep(PAUSE)
-                if before is not None:  # a whole list alone is no sign that watches come whole again
+                    yield Sleep(EMPTY_RESPONSE_PAUSE_US)
+                if previous is not None:  # a whole list alone doesn't prove that watches work again
                     backoff.reset()
-            except (*CALL_ERRORS, DeadlineExceededError) as trouble:
+            except (*CALL_ERRORS, DeadlineExceededError) as error:
                 self.counts["errors"] += 1
-                self.log.warning("discovery", why=f"{type(trouble).__name__}: {trouble}"[:200])
+                self.log.warning("discovery", why=f"{type(error).__name__}: {error}"[:200])
                 version = None
-                if self.asking:
+                if self.reports_every_response:
                     self.host.post_event_first("on_list_error")
                 yield Sleep(backoff.next_delay())
 
     def whole_list(self, address):
-        """(status, body) of whichever call answers first; asked again every `ASK_AGAIN`, as the agent is on
-        this machine and answers at once. Guards against one that was silent: it does not answer what it was
-        asked meanwhile, and what it has at its return counts as told at once."""
-        answers, calls = Queue(2 * ANSWER // ASK_AGAIN), []
+        """Fetches the whole list and returns (status, body) of the first response.
 
-        def one():
+        A further request is sent every HEDGE_INTERVAL_US until one is answered; a working agent runs on this
+        machine and answers at once. An agent that was silent never answers the requests of that time, and
+        whatever it has when it returns counts as announced at once, so waiting for an old request would leave
+        a stale list. Raises what the first failed request raised.
+        """
+        responses, tasks = Queue(2 * RESPONSE_TIMEOUT_US // HEDGE_INTERVAL_US), []
+
+        def send_request():
             try:
-                with Deadline(self.loop, ANSWER):
-                    told = yield from call(self.loop, address, "GET", HOSTS, b"", ANSWER)
-                answers.put_now((told, None))
-            except (*CALL_ERRORS, DeadlineExceededError) as trouble:
-                answers.put_now((None, trouble))
+                with Deadline(self.loop, RESPONSE_TIMEOUT_US):
+                    response = yield from call(
+                        self.loop, address, "GET", HOSTS_PATH, b"", RESPONSE_TIMEOUT_US
+                    )
+                responses.put_now((response, None))
+            except (*CALL_ERRORS, DeadlineExceededError) as error:
+                responses.put_now((None, error))
 
         try:
             while True:
-                calls.append(self.loop.spawn(one(), "discovery-ask"))
-                again = Deadline(self.loop, ASK_AGAIN)
+                tasks.append(self.loop.spawn(send_request(), "discovery-ask"))
+                hedge_timer = Deadline(self.loop, HEDGE_INTERVAL_US)
                 try:
-                    with again:
-                        told, trouble = yield from answers.get()
+                    with hedge_timer:
+                        response, error = yield from responses.get()
                 except DeadlineExceededError:
-                    if not again.passed:
+                    if not hedge_timer.passed:
                         raise
                     continue
-                if trouble is not None:
-                    raise trouble
-                return told
+                if error is not None:
+                    raise error
+                return response
         finally:
-            for task in calls:
+            for task in tasks:
                 task.cancel()
 
     def request_list(self, whole: bool):
-        """The decisions may ask where the settings say so; a watch stands here at all times."""
+        """Does nothing: a watch is always open, so requests of the decisions need no call."""
         return
         yield
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -1,8 +1,9 @@
-"""Carries out one forward over PostgreSQL's protocol: a connection, the statement out, the answer in, one
-`ForwardResult`.
+"""Runs one forward over PostgreSQL's protocol: connect, send the statement, read the response, report the
+result.
 
-The answer is held back until it is whole, so a forward can always be followed by another. What an ending says
-of "may it have run?" hangs on the last byte of the statement: see `gateway/forward_results.py`.
+The response is buffered until it is complete, so another forward can always follow a failed one. Whether a
+failed forward may have run depends on whether the last byte of its statement was written: see
+`gateway/forward_results.py`.
 """
 
 from cobaltpond.gateway.endpoints import InstanceEndpoint, NoConnectionError
@@ -11,187 +12,228 @@
 from cobaltpond.wire import pg
 
 USER, DATABASE = "web", "orders"
-REFUSALS = ("53300",)  # the instance promises that the hit did not run
-SHOWN = b"SHOW\0"  # how the answer to a probe ends
-PROBES = ("57P03",)  # what a probe is told by an instance that drains
+REFUSAL_CODES = ("53300",)  # SQLSTATEs by which an instance promises that the hit did not run
+SHOW_TAG = b"SHOW\0"  # command tag of the response to a probe
+DRAINING_CODES = ("57P03",)  # SQLSTATEs by which a draining instance answers a probe
 
 
 def handshake(connection):
-    """Startup and welcome, before any hit is written: a machine that accepts and says nothing has then not
-    got it."""
-    connection.answers = answers = pg.ServerMessageParser()
+    """Sends the startup message and waits for ReadyForQuery, before any hit is written.
+
+    An instance that accepts the connection and stays silent thereby fails before it has got the hit. Raises
+    NoConnectionError.
+    """
+    connection.parser = parser = pg.ServerMessageParser()
     try:
         yield from connection.write(pg.startup_message(USER, DATABASE))
-        while not answers.ready:
+        while not parser.ready:
             data = yield from connection.read()
             if not data:
                 raise NoConnectionError("no welcome")
-            answers.feed(data)
-            if answers.error_code is not None:
-                raise NoConnectionError("turned away" if answers.error_code in REFUSALS else "no welcome")
+            parser.feed(data)
+            if parser.error_code is not None:
+                raise NoConnectionError("turned away" if parser.error_code in REFUSAL_CODES else "no welcome")
     except (ConnectionLostError, pg.PgProtocolError):
         raise NoConnectionError("no welcome") from None
 
 
 class Forwards:
-    """`is_current(place, since)`: does what the decision at `since` was built on hold?"""
+    """Starts forwards and probes, and counts their results.
+
+    `is_current(endpoint, since)` says whether the state on which a decision at `since` was based still holds.
+    """
 
-    def __init__(self, loop, places, is_current):
-        self.loop, self.endpoints, self.is_current = loop, places, is_current
+    def __init__(self, loop, endpoints, is_current):
+        self.loop, self.endpoints, self.is_current = loop, endpoints, is_current
         self.observations = dict.fromkeys(FORWARD_RESULTS, 0)
 
     def run_forward(
-        self, hit, number: int, place: InstanceEndpoint, time_out: int, send_within: int | None, tell
+        self, hit, number: int, endpoint: InstanceEndpoint, time_out: int, send_within: int | None, on_result
     ):
-        """A task. `tell(ending, took, closed, report)` is called exactly once, also when it is cancelled."""
-        run = ForwardAttempt(self, place, hit.statement.waiting, hit.statement.tag, time_out, send_within)
-        yield from run.run(lambda: not hit.final, hit.deliver, tell)
-
-    def run_probe(self, place: InstanceEndpoint, tell):
-        """A task: one cheap question to an instance. `tell(ending, took, report)`."""
-        run = ForwardAttempt(self, place, lambda left: b"SHOW gauges", SHOWN, self.endpoints.limits.dial_time)
-        yield from run.run(
-            lambda: True, None, lambda ending, took, closed, report: tell(ending, took, report)
+        """Task of one forward. Times in microseconds; `send_within` None: no limit on when the statement is
+        written.
+
+        `on_result(outcome, duration, hit_closed, report)` is called exactly once, also where the task is
+        cancelled.
+        """
+        attempt = ForwardAttempt(
+            self, endpoint, hit.statement.with_time_left, hit.statement.tag, time_out, send_within
+        )
+        yield from attempt.run(lambda: not hit.final, hit.deliver, on_result)
+
+    def run_probe(self, endpoint: InstanceEndpoint, on_result):
+        """Task of one probe, a cheap query to an instance.
+
+        Calls `on_result(outcome, duration, report)` once.
+        """
+        attempt = ForwardAttempt(
+            self, endpoint, lambda time_left_ms: b"SHOW gauges", SHOW_TAG, self.endpoints.limits.dial_time
+        )
+        yield from attempt.run(
+            lambda: True,
+            None,
+            lambda outcome, duration, hit_closed, report: on_result(outcome, duration, report),
         )
 
 
 class ForwardAttempt:
-    """One forward under way."""
+    """One forward in progress, from the connection to its result."""
 
     def __init__(
         self,
         forwards: Forwards,
-        place: InstanceEndpoint,
+        endpoint: InstanceEndpoint,
         statement,
         tag: bytes,
         time_out: int,
         send_within=None,
     ):
-        self.forwards, self.loop, self.place, self.statement, self.tag = (
+        self.forwards, self.loop, self.endpoint, self.statement, self.tag = (
             forwards,
             forwards.loop,
-            place,
+            endpoint,
             statement,
             tag,
         )
-        self.began, self.time_out = forwards.loop.now(), time_out
-        self.send_by = None if send_within is None else self.began + send_within
-        self.connection, self.begun, self.wrote = None, False, False
+        self.started_at, self.time_out = forwards.loop.now(), time_out
+        self.send_by = None if send_within is None else self.started_at + send_within
+        self.connection, self.partly_written, self.fully_written = None, False, False
+
+    def run(self, is_wanted, deliver, on_result):
+        """Runs the forward to its result.
 
-    def run(self, wanted, deliver, tell):
-        """`wanted()`: does anybody still wait for it? `deliver(value)`: the whole answer."""
-        seen, closed, report = "called off", False, {}
+        `is_wanted()` says whether the hit is still open. `deliver(value)` gets the complete response; None
+        for a probe.
+        """
+        result_key, hit_closed, report = "called off", False, {}
         try:
             try:
                 with Deadline(self.loop, self.time_out):
-                    seen = yield from self.exchange(wanted)
+                    result_key = yield from self.exchange(is_wanted)
             except DeadlineExceededError:
-                seen = "too late" if self.wrote else "dial too slow"
-            answers = self.connection and self.connection.answers
-            if answers is not None and self.wrote:
-                # what SHOW asks for is the row itself; the answers to hits bring it beside the row
-                report = pg.parse_gauges(answers.shown if self.tag == SHOWN else answers.gauges)
-            if seen == "answer" and deliver is not None and wanted():
-                closed = True
-                deliver(answers.value)
-            if seen in ("answer", "refusal", "server error") and not answers.ready and answers.is_clean:
-                self.loop.spawn(self.read_to_end(self.place, self.connection), "settle")
+                result_key = "too late" if self.fully_written else "dial too slow"
+            parser = self.connection and self.connection.parser
+            if parser is not None and self.fully_written:
+                # A response to SHOW carries the gauges in its row; responses to hits carry them beside the
+                # row.
+                report = pg.parse_gauges(parser.shown_value if self.tag == SHOW_TAG else parser.gauges)
+            if result_key == "answer" and deliver is not None and is_wanted():
+                hit_closed = True
+                deliver(parser.value)
+            if result_key in ("answer", "refusal", "server error") and not parser.ready and parser.is_clean:
+                self.loop.spawn(self.read_to_end(self.endpoint, self.connection), "settle")
                 self.connection = None
         finally:
-            self.close(seen)  # before the decisions hear of it: no second copy is out
-            self.forwards.observations[seen] += 1
-            tell(FORWARD_RESULTS[seen][0], self.loop.now() - self.began, closed or not wanted(), report)
+            # closed before the decisions hear of it, so no second copy of the hit is in progress
+            self.close(result_key)
+            self.forwards.observations[result_key] += 1
+            on_result(
+                FORWARD_RESULTS[result_key][0],
+                self.loop.now() - self.started_at,
+                hit_closed or not is_wanted(),
+                report,
+            )
 
-    def exchange(self, wanted):
-        """A key of SEEN."""
-        places = self.forwards.endpoints
+    def exchange(self, is_wanted):
+        """Sends the statement and reads the response. Returns a key of FORWARD_RESULTS."""
+        endpoints = self.forwards.endpoints
         while True:
-            if not wanted():
+            if not is_wanted():
                 return "nothing to send"
             try:
-                self.connection, kept = yield from places.acquire(self.place)
-            except NoConnectionError as trouble:
-                return str(trouble)
-            answers = self.connection.answers
-            answers.expect(self.tag)
-            left = max(1, (self.began + self.time_out - self.loop.now()) // 1000)
+                self.connection, reused = yield from endpoints.acquire(self.endpoint)
+            except NoConnectionError as error:
+                return str(error)
+            parser = self.connection.parser
+            parser.expect(self.tag)
+            time_left_ms = max(1, (self.started_at + self.time_out - self.loop.now()) // 1000)
             try:
                 if (
-                    why := (yield from self.send(pg.query_message(self.statement(left)), wanted))
+                    failure_key := (
+                        yield from self.send(pg.query_message(self.statement(time_left_ms)), is_wanted)
+                    )
                 ) is not None:
-                    return why
+                    return failure_key
                 break
             except ConnectionLostError:
-                places.close(self.place, self.connection)
+                endpoints.close(self.endpoint, self.connection)
                 self.connection = None
-                if not kept:
+                if not reused:
                     return "cut while sending"
-        self.wrote = True
+        self.fully_written = True
         try:
-            while not answers.done:
+            while not parser.done:
                 data = yield from self.connection.read()
                 if not data:
-                    return "cut in the answer" if answers.has_begun else "cut before an answer"
-                answers.feed(data)
+                    return "cut in the answer" if parser.has_begun else "cut before an answer"
+                parser.feed(data)
         except pg.PgProtocolError:
             return "spoilt"
         except ConnectionLostError:
-            return "cut in the answer" if answers.has_begun else "cut before an answer"
-        if answers.error_code is None:
+            return "cut in the answer" if parser.has_begun else "cut before an answer"
+        if parser.error_code is None:
             return "answer"
-        return "refusal" if answers.error_code in REFUSALS + PROBES else "server error"
+        return "refusal" if parser.error_code in REFUSAL_CODES + DRAINING_CODES else "server error"
+
+    def send(self, data, is_wanted):
+        """Writes the statement. Returns None once the last byte is written, else a key of FORWARD_RESULTS.
 
-    def send(self, data, wanted):
-        """None once the last byte is out, else a key of SEEN. A dial takes time, and so does a machine that
-        takes no more bytes: guards drains, the exposure cap and the key's window against what was told or
-        passed meanwhile."""
+        Connecting takes time, and so does an instance that accepts no more bytes. Drains, the exposure cap
+        and the key's window are therefore checked again before each write, so that no hit is sent on outdated
+        state.
+        """
         while True:
-            if not wanted() or not self.forwards.is_current(self.place, self.began):
+            if not is_wanted() or not self.forwards.is_current(self.endpoint, self.started_at):
                 return "changed meanwhile"
             if self.send_by is not None and self.loop.kernel.now() >= self.send_by:
                 return "window over"
             data = data[self.connection.write_now(data) :]
             if not data:
                 return None
-            self.begun = True
-            bound = Deadline(
+            self.partly_written = True
+            write_deadline = Deadline(
                 self.loop, self.time_out if self.send_by is None else self.send_by - self.loop.now()
             )
             try:
-                with bound:
+                with write_deadline:
                     yield Writable(self.connection.handle)
             except DeadlineExceededError:
-                if not bound.passed:
+                if not write_deadline.passed:
                     raise
 
-    def read_to_end(self, place, connection):
-        """What is still to come behind an answer, within the time of a dial; then it is kept or closed."""
+    def read_to_end(self, endpoint, connection):
+        """Reads what follows a response up to ReadyForQuery, within the dial time; then keeps or closes the
+        connection.
+        """
         try:
             with Deadline(self.loop, self.forwards.endpoints.limits.dial_time):
-                while not connection.answers.ready:
+                while not connection.parser.ready:
                     data = yield from connection.read()
                     if not data:
                         break
-                    connection.answers.feed(data)
+                    connection.parser.feed(data)
         except (DeadlineExceededError, ConnectionLostError, pg.PgProtocolError):
             pass
         finally:
-            self.hand_back(place, connection)
+            self.return_connection(endpoint, connection)
 
-    def hand_back(self, place, connection):
-        if connection.answers.reusable:
-            self.forwards.endpoints.release(place, connection)
+    def return_connection(self, endpoint, connection):
+        """Returns a connection to the pool, or closes it where unread or invalid bytes make it unusable."""
+        if connection.parser.reusable:
+            self.forwards.endpoints.release(endpoint, connection)
         else:
-            self.forwards.endpoints.close(place, connection)
+            self.forwards.endpoints.close(endpoint, connection)
 
-    def close(self, seen):
+    def close(self, result_key):
+        """Releases the connection, if there is one, as the result requires."""
         connection, self.connection = self.connection, None
         if connection is None:
             return
-        if seen in ("changed meanwhile", "window over") and not self.begun:
-            self.forwards.endpoints.release(self.place, connection)  # nothing was written to it
-        elif seen in ("answer", "refusal", "server error"):
-            self.hand_back(self.place, connection)
+        if result_key in ("changed meanwhile", "window over") and not self.partly_written:
+            self.forwards.endpoints.release(self.endpoint, connection)  # nothing was written to it
+        elif result_key in ("answer", "refusal", "server error"):
+            self.return_connection(self.endpoint, connection)
         else:
-            # with a reset, what the instance has not got yet is never sent to it: see gateway/forwards.py
-            self.forwards.endpoints.close(self.place, connection, reset=True)
+            # After a reset the kernel drops the bytes that the instance has not received yet: see
+            # gateway/forwards.py.
+            self.forwards.endpoints.close(self.endpoint, connection, reset=True)
--- a/cobaltpond/edge/main.py
+++ b/cobaltpond/edge/main.py
@@ -1,4 +1,4 @@
-"""One gateway on the platform: puts the parts together, serves from the start, follows HUP and TERM."""
+"""One gateway on the platform: wires the components together, serves, and handles SIGHUP and SIGTERM."""
 
 from cobaltpond.edge.config import Config, ConfigError, read_config
 from cobaltpond.edge.discovery import Discovery
@@ -10,96 +10,112 @@
 from cobaltpond.gateway.peers import Peers
 from cobaltpond.loop import Loop, Sleep, run_component
 
-FIRST_LIST = 500_000  # how long the door waits for a first list
-LINGER = 500_000  # new connections may come so long after TERM
-LONGEST = 3_000_000  # KILL comes no sooner after TERM than this and 0.7 s, where a
-# client timeout is longer; else than the longest of them
-ANSWERED = 400_000  # of those 0.7 s: all answers are out by then, and
-FLUSH = 200_000  # so long those are waited for who read slowly
-BACKLOG = 512
-SAY = 5_000_000  # a line of figures so often
-READ_AGAIN = 2_000_000  # how long after HUP; what is told there counts 4 s after it
+# how long the listener waits for the first instance list
+FIRST_LIST_TIMEOUT_US = 500_000
+# how long new connections are accepted after SIGTERM
+LINGER_TIME_US = 500_000
+# SIGKILL comes no sooner than 0.7 s after the longest client timeout, or after this where one is longer
+MAX_TIMEOUT_AT_STOP_US = 3_000_000
+# all responses are sent within this part of those 0.7 s
+ANSWER_MARGIN_US = 400_000
+# how long the process then waits for clients that read slowly
+FLUSH_TIME_US = 200_000
+LISTEN_BACKLOG = 512
+# how often a line of figures is logged
+FIGURES_INTERVAL_US = 5_000_000
+# how long an unreadable file is read again after SIGHUP; the new addresses count as known 4 s after it
+RELOAD_RETRY_TIME_US = 2_000_000
 
 
 class Edge:
+    """All components of one gateway, and the main task that runs them."""
+
     def __init__(self, loop: Loop, path: str, config: Config, log):
         self.loop, self.path, self.config, self.log = loop, path, config, log
-        sheet = config.policy_settings
+        settings = config.policy_settings
         self.endpoints = EndpointPool(loop, config.instances, handshake, self.instance_connection_limit)
         self.forwards = Forwards(loop, self.endpoints, self.is_current)
         self.host = GatewayDecisionHost(
             loop,
-            sheet,
+            settings,
             config.seed & 0xFFFFFF,
             4 * config.sockets,
-            sheet["answer_slack"],
+            settings["answer_slack"],
             self.endpoints,
             self.forwards,
             log,
         )
         self.discovery = self.host.instance_source = Discovery(
-            loop, self.host, config.discovery, log, sheet.get("list_by") == "asking"
+            loop, self.host, config.discovery, log, settings.get("list_by") == "asking"
         )
         self.platform = self.host.desk_client = PlatformDesk(
-            loop, self.host, config.desk, sheet.get("vote_wait", 1_000_000), sheet["dial_time_out"], log
+            loop, self.host, config.desk, settings.get("vote_wait", 1_000_000), settings["dial_time_out"], log
         )
-        if config.peer_listen and sheet.get("may_tell") and config.peers:
+        if config.peer_listen and settings.get("may_tell") and config.peers:
             self.host.peers = Peers(
                 loop,
                 dict(enumerate(config.peers)),
                 config.peer_listen,
-                sheet["number"],
+                settings["number"],
                 self.host,
                 config.peers_all,
             )
         self.frontend = Frontend(
-            loop, self.host, sheet, self.client_connection_limit, config.client_connection_limit, log
+            loop, self.host, settings, self.client_connection_limit, config.client_connection_limit, log
         )
-        self.stop_asked, self.stop_at, self.late, self.reloads = False, 0, 0, 0
+        self.stop_requested, self.stop_requested_at, self.max_timer_lag, self.reload_count = False, 0, 0, 0
         loop.on_timer_lag = self.record_timer_lag
 
     def client_connection_limit(self) -> int:
-        """Clients and instances share the descriptors, each up to a part; so does
-        `instance_connection_limit`."""
+        """Current maximum of client connections.
+
+        Clients and instances share the file descriptors, each up to its part; see
+        `instance_connection_limit`.
+        """
         return min(
             self.config.client_connection_limit, self.config.connection_limit - self.endpoints.open_count
         )
 
     def instance_connection_limit(self) -> int:
+        """Current maximum of connections to instances."""
         return min(
             self.config.instance_connection_limit, self.config.connection_limit - len(self.frontend.clients)
         )
 
-    def record_timer_lag(self, late: int) -> None:
-        self.late = max(self.late, late)
+    def record_timer_lag(self, lag: int) -> None:
+        """Records how late a timer fired, in microseconds."""
+        self.max_timer_lag = max(self.max_timer_lag, lag)
+
+    def is_current(self, endpoint, since: int) -> bool:
+        """Says whether the state on which a decision at `since` was based still holds.
 
-    def is_current(self, place, since: int) -> bool:
-        """Does what a decision at `since` was built on hold: the instance (another start or build is another
-        place), and no lower cap?"""
-        row = place.row
-        listed = self.endpoints.by_id.get(row["id"]) is place and row["state"] == "up"
-        return listed and self.platform.lowered.get(row["build"], -1) < since
+        The instance must be listed (another start or build is another endpoint) and up, and its build's
+        exposure cap must not have fallen since.
+        """
+        row = endpoint.row
+        is_listed = self.endpoints.by_id.get(row["id"]) is endpoint and row["state"] == "up"
+        return is_listed and self.platform.cap_lowered_at.get(row["build"], -1) < since
 
     def run(self):
-        """The main task."""
+        """Main task: serves until a signal, then drains."""
         loop, config = self.loop, self.config
         self.host.start_decisions(seed=config.seed)
-        self.discovery.restore(config.known)
-        self.platform.restore(config.news)
+        self.discovery.restore(config.known_list)
+        self.platform.restore(config.release_state)
         self.discovery.start(config.discovery)
         self.platform.start(config.desk)
         loop.spawn(self.endpoints.sweep(), "sweep")
         loop.spawn(self.log_figures(), "say")
         if self.host.peers:
             loop.spawn(self.host.peers.listen(), "peers")
-        end = loop.now() + FIRST_LIST
-        while loop.now() < end and not self.discovery.has_heard and not self.stop_asked:
+        end = loop.now() + FIRST_LIST_TIMEOUT_US
+        while loop.now() < end and not self.discovery.has_heard and not self.stop_requested:
             yield Sleep(2_000)
-        if self.stop_asked:  # nobody was let in, and nothing is owed
-            self.log.info("stopped before the door was open")
+        if self.stop_requested:  # no client has connected, so there is nothing to drain
+            self.log.info("stopped before the listener was open")
             return
-        loop.kernel.freeze_memory()  # before the door opens: it takes a while
-        self.frontend.start_accepting(loop.kernel.listen(config.listen, BACKLOG))
+        loop.kernel.freeze_memory()  # done before the listener opens, because it takes a while
+        self.frontend.start_accepting(loop.kernel.listen(config.listen, LISTEN_BACKLOG))
         self.log.info(
             "door open",
             list=self.discovery.has_heard,
@@ -107,50 +123,58 @@
             cores=config.cores,
             sockets=config.sockets,
         )
-        while not self.stop_asked:
+        while not self.stop_requested:
             yield Sleep(20_000)
         self.log.info("stopping", open=self.host.open_hits)
-        longest = max(group["client_timeout"] for group in config.policy_settings["path_groups"])
-        yield from self.frontend.drain(LINGER, min(longest, LONGEST) + ANSWERED - LINGER, FLUSH, self.stop_at)
+        longest_timeout = max(group["client_timeout"] for group in config.policy_settings["path_groups"])
+        yield from self.frontend.drain(
+            LINGER_TIME_US,
+            min(longest_timeout, MAX_TIMEOUT_AT_STOP_US) + ANSWER_MARGIN_US - LINGER_TIME_US,
+            FLUSH_TIME_US,
+            self.stop_requested_at,
+        )
         self.log.info("stopped", open=self.host.open_hits, **self.frontend.counts)
 
     def stop(self, name: str = "") -> None:
-        """A signal."""
+        """Handles a signal: HUP reloads the configuration, any other one stops the gateway."""
         if name == "HUP":
-            self.reloads += 1
-            self.loop.spawn(self.reload(self.reloads), "reload")
-        elif not self.stop_asked:
-            # the time of the turn before: it came no sooner, so that a loop that lags does not end too late
-            self.stop_asked, self.stop_at = True, self.loop.polled_at
+            self.reload_count += 1
+            self.loop.spawn(self.reload(self.reload_count), "reload")
+        elif not self.stop_requested:
+            # The time of the last poll: the signal came no earlier, so a loop that lags doesn't end too late.
+            self.stop_requested, self.stop_requested_at = True, self.loop.polled_at
 
     def reload(self, number: int):
-        """The addresses of list and desk as the file has them now. The rest of a configuration takes a
-        restart. Guards against a file that is only half there yet: it is read again for a while, unless a
-        later signal does."""
-        end, wait = self.loop.now() + READ_AGAIN, 20_000
-        while number == self.reloads:
+        """Applies the list's and the desk's addresses from the file; other settings need a restart.
+
+        The file may be partly written when the signal comes, so an unreadable file is read again for a while,
+        unless a later signal starts another reload.
+        """
+        end, retry_delay = self.loop.now() + RELOAD_RETRY_TIME_US, 20_000
+        while number == self.reload_count:
             try:
                 config = read_config(self.loop.kernel, self.path)
-            except ConfigError as trouble:
+            except ConfigError as error:
                 if self.loop.now() >= end:
-                    self.log.error("configuration kept as it was", why=str(trouble))
+                    self.log.error("configuration kept as it was", why=str(error))
                     return
-                yield Sleep(wait)
-                wait = min(2 * wait, 200_000)
+                yield Sleep(retry_delay)
+                retry_delay = min(2 * retry_delay, 200_000)
                 continue
             self.log.info("reloaded", discovery=config.discovery, desk=config.desk)
-            for followed, address in ((self.discovery, config.discovery), (self.platform, config.desk)):
-                if address != followed.address:
-                    followed.start(address)
+            for source, address in ((self.discovery, config.discovery), (self.platform, config.desk)):
+                if address != source.address:
+                    source.start(address)
             return
 
     def log_figures(self):
+        """Task that logs the counters at an interval."""
         while True:
-            yield Sleep(SAY)
-            late, self.late = self.late, 0
+            yield Sleep(FIGURES_INTERVAL_US)
+            lag, self.max_timer_lag = self.max_timer_lag, 0
             self.log.info(
                 "figures",
-                late_us=late,
+                late_us=lag,
                 clients=len(self.frontend.clients),
                 open=self.host.open_hits,
                 hits=len(self.host.hits),
@@ -167,5 +191,5 @@
 
 
 def run_edge(kernel, path: str, config: Config, log) -> None:
-    """Until a signal to stop."""
+    """Runs a gateway until a signal stops it."""
     run_component(kernel, lambda loop: Edge(loop, path, config, log), log, "gateway")
--- a/cobaltpond/wire/address.py
+++ b/cobaltpond/wire/address.py
@@ -1,7 +1,7 @@
-"""Addresses as the parts write them: host:port."""
+"""Network addresses written as host:port."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Raises ValueError where it is none."""
+    """Splits "host:port" into (host, port). Raises ValueError where the port is no number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/cobaltpond/wire/http1.py
+++ b/cobaltpond/wire/http1.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 (RFC 9110, 9112) over llhttp (httptools): strict, bounded, bytes in and events out.
+"""HTTP/1.1 (RFC 9110, 9112) on top of llhttp (httptools): strict, bounded, bytes in and events out.
 
-llhttp was taken over h11 for its price: `bench/parsers.py` has the figures. What it lets through and RFC 9112
-or our limits do not is refused here: other versions than 1.0 and 1.1, no or several Host fields, upgrades and
-CONNECT, a head or body beyond its limit, too many fields. Two lengths, a length beside chunked, bare LF and
-folded lines are refused by llhttp itself; tests hold it to that.
+llhttp is used instead of h11 for its speed: `bench/parsers.py` measures both. What llhttp accepts but RFC
+9112 or our limits forbid is refused here: versions other than 1.0 and 1.1, no or several Host fields,
+upgrades and CONNECT, a head or body above its limit, too many fields. llhttp itself refuses two lengths, a
+length beside chunked, bare LF and folded lines; tests check that it does.
 """
 
 from dataclasses import dataclass, field
@@ -54,12 +54,12 @@
 
 
 class TruncatedMessageError(HttpMessageError):
-    """The peer closed before its message was whole."""
+    """The peer closed before its message was complete."""
 
 
 @dataclass(slots=True)
 class MessageHead:
-    """Start line and fields, in the order they came, names in lower case."""
+    """Start line and fields; the fields in the order of arrival, with names in lower case."""
 
     method: str = ""
     target: bytes = b""
@@ -73,12 +73,13 @@
         return next((value for known, value in self.fields if known == name), None)
 
     def all(self, name: bytes) -> list[bytes]:
+        """All values of a field in order; empty where it is missing."""
         return [value for known, value in self.fields if known == name]
 
 
 @dataclass(frozen=True, slots=True)
 class MessageLimits:
-    """Bytes and counts that a peer may make us keep."""
+    """Limits on what a peer may make us buffer: `fields` is a count, the others are bytes."""
 
     head: int = 16 << 10
     target: int = 4 << 10
@@ -87,12 +88,15 @@
 
 
 class _Parser:
-    """Events are (kind, value): ("head", Head), ("body", bytes), ("end", None)."""
+    """Common part of both parsers.
+
+    Events are (kind, value): ("head", MessageHead), ("body", bytes), ("end", None).
+    """
 
     def __init__(self, limits: MessageLimits):
         self.limits, self.events = limits, []
         self.head, self.in_head, self.head_bytes, self.body_bytes = None, True, 0, 0
-        self.trailers, self.wrong, self.begun = False, None, False
+        self.trailers, self.cause, self.begun = False, None, False
 
     def on_message_begin(self):
         self.head, self.in_head, self.body_bytes = MessageHead(), True, 0
@@ -116,46 +120,57 @@
         self.in_head, self.head_bytes, self.begun = True, 0, False
 
     def feed(self, data: bytes) -> list:
-        """The events of these bytes. Raises HttpMessageError; events before the fault are lost with it."""
+        """Parses bytes and returns their events.
+
+        Raises HttpMessageError; events before the fault are lost with it.
+        """
         try:
             while data:
                 piece = data
-                if self.in_head:  # a head may not run past its limit unseen
-                    room = self.limits.head - self.head_bytes
-                    if room <= 0:
+                if self.in_head:  # bounds the head even where it comes in one large piece
+                    remaining = self.limits.head - self.head_bytes
+                    if remaining <= 0:
                         raise HttpMessageError(431, f"a head of more than {self.limits.head} bytes")
-                    piece = data[:room]
+                    piece = data[:remaining]
                     self.head_bytes += len(piece)
                 data = data[len(piece) :]
                 self.parser.feed_data(piece)
         except httptools.HttpParserUpgrade:
             raise HttpMessageError(501, "no upgrades and no CONNECT here") from None
-        except httptools.HttpParserCallbackError as trouble:
-            wrong = trouble.__context__
+        except httptools.HttpParserCallbackError as error:
+            cause = error.__context__
             raise (
-                wrong if isinstance(wrong, HttpMessageError) else HttpMessageError(400, str(trouble))
+                cause if isinstance(cause, HttpMessageError) else HttpMessageError(400, str(error))
             ) from None
-        except httptools.HttpParserError as trouble:
-            raise HttpMessageError(400, str(trouble)) from None
+        except httptools.HttpParserError as error:
+            raise HttpMessageError(400, str(error)) from None
         events, self.events = self.events, []
         return events
 
 
 class RequestParser(_Parser):
+    """Parses the requests of one connection."""
+
     def __init__(self, limits: MessageLimits):
         super().__init__(limits)
         self.parser, self.url = httptools.HttpRequestParser(self), b""
 
     def on_message_begin(self):
+        """Callback of llhttp: a message begins."""
         super().on_message_begin()
         self.url = b""
 
     def on_url(self, url):
+        """Callback of llhttp: a piece of the target."""
         self.url += url
         if len(self.url) > self.limits.target:
             raise HttpMessageError(414, f"a target of more than {self.limits.target} bytes")
 
     def on_headers_complete(self):
+        """Callback of llhttp: the head is complete.
+
+        Raises HttpMessageError on what the RFC or the limits forbid.
+        """
         head, self.in_head, self.trailers = self.head, False, True
         head.method, head.target = self.parser.get_method().decode(), self.url
         head.version, head.keep_alive = self.parser.get_http_version(), self.parser.should_keep_alive()
@@ -173,13 +188,18 @@
 
 
 class ResponseParser(_Parser):
-    """`closed` tells it of the peer's end of file, which may end a body without a length."""
+    """Parses the responses of one connection.
+
+    `no_body`: the request was HEAD. `closed` is called at the peer's end of file, which may end a body
+    without a length.
+    """
 
     def __init__(self, limits: MessageLimits, no_body: bool = False):
         super().__init__(limits)
         self.parser, self.no_body, self.until_close = httptools.HttpResponseParser(self), no_body, False
 
     def on_headers_complete(self):
+        """Callback of llhttp: the head is complete."""
         head, self.in_head, self.trailers = self.head, False, True
         head.status, head.version = self.parser.get_status_code(), self.parser.get_http_version()
         head.keep_alive = self.parser.should_keep_alive()
@@ -189,12 +209,13 @@
             and head.get(b"content-length") is None
             and not head.all(b"transfer-encoding")
         )
-        if head.status >= 200:  # interim answers (100, 103) are passed over
+        if head.status >= 200:  # interim responses (100, 103) are skipped
             self.events.append(("head", head))
-            if self.no_body:  # an answer to HEAD ends with its head
+            if self.no_body:  # a response to HEAD ends with its head
                 super().on_message_complete()
 
     def on_message_complete(self):
+        """Callback of llhttp: the message is complete."""
         if self.no_body and self.head.status >= 200:
             return
         if self.head.status >= 200:
@@ -203,7 +224,10 @@
             self.in_head, self.head_bytes, self.begun = True, 0, False
 
     def closed(self) -> list:
-        """Raises HttpMessageError where the answer was cut."""
+        """Handles the peer's end of file and returns the last events.
+
+        Raises TruncatedMessageError on an incomplete response.
+        """
         if self.begun and not self.in_head and self.until_close:
             self.begun = False
             return [("end", None)]
@@ -211,7 +235,7 @@
 
 
 def request_head(method: str, target: bytes, fields: list) -> bytes:
-    """A request's head as it is given: the caller has put in how long its body is."""
+    """Encodes a request's head. The caller's `fields` state the length of the body."""
     lines = [
         method.encode() + b" " + target + b" HTTP/1.1",
         *(name + b": " + value for name, value in fields),
@@ -220,7 +244,7 @@
 
 
 def request(method: str, target: str | bytes, fields: list, body: bytes | None = b"") -> bytes:
-    """A request with a length; `body` None: the caller sends a chunked body after it."""
+    """Encodes a request with its length. `body` None: the caller sends a chunked body after it."""
     target = target if isinstance(target, bytes) else target.encode()
     lines = [method.encode() + b" " + target + b" HTTP/1.1"]
     lines += [name + b": " + value for name, value in fields]
@@ -232,14 +256,20 @@
 
 
 def response(status: int, fields: list, body: bytes | None = b"", keep: bool = True) -> bytes:
-    """An answer with a length; `body` None: the caller sends a chunked body after it."""
+    """Encodes a response with its length. `body` None: the caller sends a chunked body after it.
+
+    `keep` False adds `connection: close`.
+    """
     if body is None:
         return response_head(status, fields, keep, chunked=True)
     return response_head(status, [*fields, (b"content-length", b"%d" % len(body))], keep) + body
 
 
 def response_head(status: int, fields: list, keep: bool = True, chunked: bool = False) -> bytes:
-    """The head of an answer as it is given: the caller has put in how long its body is."""
+    """Encodes a response's head.
+
+    The caller's `fields` state the length of the body, unless it is `chunked`.
+    """
     lines = [b"HTTP/1.1 %d %s" % (status, REASONS.get(status, "Status").encode())]
     lines += [name + b": " + value for name, value in fields]
     lines += [b"transfer-encoding: chunked"] * chunked + [b"connection: close"] * (not keep)
@@ -247,12 +277,12 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """One chunk of a chunked body; b"" ends it (RFC 9112, 7.1)."""
+    """Encodes one chunk of a chunked body; b"" ends the body (RFC 9112, 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def end_to_end_fields(fields: list, also: frozenset | set = frozenset()) -> list:
-    """Fields without those of this one connection (RFC 9110, 7.6.1) and without `also`."""
+    """Fields without the hop-by-hop ones (RFC 9110, 7.6.1) and without those named in `also`."""
     named = {
         name.strip().lower()
         for known, value in fields
--- a/cobaltpond/wire/json_lines.py
+++ b/cobaltpond/wire/json_lines.py
@@ -1,40 +1,46 @@
-"""One JSON object a line, as the list and the release desk send them; bounded."""
+"""JSON lines, one object per line, as the list and the release desk send them; bounded."""
 
 import json
 
 
 class JsonLineError(Exception):
-    """A line that is no JSON object, or longer than the limit."""
+    """A line is no JSON object, or is longer than the limit."""
 
 
 def parse_object(data: bytes) -> dict:
-    """Raises JsonLineError; also on what is nested so deep that reading it would end the task that asked."""
+    """Parses one JSON object.
+
+    Raises JsonLineError, also on nesting so deep that the recursion limit is hit, which would otherwise end
+    the calling task.
+    """
     try:
-        one = json.loads(data)
-    except (ValueError, RecursionError) as trouble:
-        raise JsonLineError(f"no JSON: {data[:80]!r}") from trouble
-    if not isinstance(one, dict):
+        value = json.loads(data)
+    except (ValueError, RecursionError) as error:
+        raise JsonLineError(f"no JSON: {data[:80]!r}") from error
+    if not isinstance(value, dict):
         raise JsonLineError(f"no object: {data[:80]!r}")
-    return one
+    return value
 
 
 class JsonLineParser:
-    """Cuts a stream of bytes into objects; what is torn waits for its rest."""
+    """Splits a stream of bytes into objects; an incomplete line waits for its rest, up to `most` bytes."""
 
     def __init__(self, most: int = 4 << 20):
         self.most, self.rest = most, b""
 
     def feed(self, data: bytes) -> list[dict]:
-        whole, _, rest = (self.rest + data).rpartition(b"\n")
+        """Returns the objects that these bytes complete. Raises JsonLineError."""
+        complete_lines, _, rest = (self.rest + data).rpartition(b"\n")
         if len(rest) > self.most:
             raise JsonLineError(f"a line of more than {self.most} bytes")
         self.rest = rest
         objects = []
-        for line in whole.split(b"\n"):
+        for line in complete_lines.split(b"\n"):
             if line.strip():
                 objects.append(parse_object(line))
         return objects
 
 
-def encode_line(one: dict) -> bytes:
-    return json.dumps(one, separators=(",", ":")).encode() + b"\n"
+def encode_line(value: dict) -> bytes:
+    """Encodes one object as a line."""
+    return json.dumps(value, separators=(",", ":")).encode() + b"\n"
--- a/cobaltpond/wire/orca.py
+++ b/cobaltpond/wire/orca.py
@@ -2,44 +2,46 @@
 
 import json
 
-NAMES = {"cpu_utilization": "util", "rps_fractional": "qps", "eps": "eps"}
+SHORT_NAMES = {"cpu_utilization": "util", "rps_fractional": "qps", "eps": "eps"}
 HEADER = b"endpoint-load-metrics"
-MOST = 32
+MAX_METRICS = 32
 
 
 def parse_load_report(value: bytes | None) -> dict[str, float]:
-    """Name to value; unknown forms and odd numbers give nothing: a report is a hint, never a reason to fail.
+    """Parses a report into name -> value; None or an unknown form gives an empty map.
 
-    `TEXT cpu_utilization=0.3, named_metrics.inflight=4` or `JSON {"named_metrics": {"inflight": 4}}`.
+    Invalid numbers are skipped: a report is a hint, never a reason to fail. Both forms are understood: `TEXT
+    cpu_utilization=0.3, named_metrics.inflight=4` and `JSON {"named_metrics": {"inflight": 4}}`.
     """
     form, _, rest = (value or b"").decode("latin-1").strip().partition(" ")
-    found = {}
+    raw_values = {}
     if form == "TEXT":
-        for pair in rest.split(",")[:MOST]:
+        for pair in rest.split(",")[:MAX_METRICS]:
             name, _, number = pair.strip().partition("=")
-            found[name] = number
+            raw_values[name] = number
     elif form == "JSON":
         try:
-            whole = json.loads(rest)
-            for name, number in whole.items():
+            document = json.loads(rest)
+            for name, number in document.items():
                 if isinstance(number, dict):
-                    found.update((f"{name}.{inner}", x) for inner, x in number.items())
+                    raw_values.update((f"{name}.{inner}", x) for inner, x in number.items())
                 else:
-                    found[name] = number
+                    raw_values[name] = number
         except (ValueError, AttributeError):
             return {}
     report = {}
-    for name, number in list(found.items())[:MOST]:
+    for name, number in list(raw_values.items())[:MAX_METRICS]:
         try:
             number = float(number)
         except (TypeError, ValueError):
             continue
         if 0 <= number < 1e12:
-            report[NAMES.get(name) or name.removeprefix("named_metrics.")] = number
+            report[SHORT_NAMES.get(name) or name.removeprefix("named_metrics.")] = number
     return report
 
 
 def format_load_report(report: dict[str, float]) -> bytes:
-    other = {short: long for long, short in NAMES.items()}
-    pairs = [f"{other.get(name, 'named_metrics.' + name)}={number:g}" for name, number in report.items()]
+    """Formats a report in the TEXT form."""
+    orca_names = {short: long for long, short in SHORT_NAMES.items()}
+    pairs = [f"{orca_names.get(name, 'named_metrics.' + name)}={number:g}" for name, number in report.items()]
     return ("TEXT " + ", ".join(pairs)).encode()
--- a/cobaltpond/wire/pg.py
+++ b/cobaltpond/wire/pg.py
@@ -1,28 +1,27 @@
-"""PostgreSQL's frontend/backend protocol, version 3, simple queries only: bytes in, events out, both sides,
+"""PostgreSQL's frontend/backend protocol, version 3, simple queries only: both sides, bytes in, events out,
 no I/O.
 
-Written from chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. Lengths are judged before
-anything is kept: a message that could not be acceptable ends the conversation at its fifth byte. psycopg and
-its like were weighed and left: they are clients with sockets of their own, and the half that a server needs
-they do not have.
+Written from chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. Lengths are checked before
+anything is buffered: a message that can't be acceptable ends the connection at its fifth byte. psycopg and
+similar libraries don't fit: they are clients with their own sockets and lack the server side.
 """
 
 import math
 import struct
 
-STARTUP_MOST = 10_000  # PostgreSQL's own limit of a startup message
-VALUE_MOST = 64 << 10  # bytes of a value as the platform bounds it
-QUERY_MOST = 2 * VALUE_MOST + 4096  # a value as hex, and the statement around it
-PASSED_OVER_MOST = 32  # notices and parameters that an answer may bring along
-TLS, GSS, CANCEL = 80877103, 80877104, 80877102
-ENCRYPTION_REFUSED = b"N"  # the answer to a wish for encryption
+MAX_STARTUP_BYTES = 10_000  # PostgreSQL's own limit of a startup message
+MAX_VALUE_BYTES = 64 << 10  # largest value that the platform sends
+MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 4096  # a value in hex, and the statement around it
+MAX_SKIPPED_MESSAGES = 32  # notices and parameter statuses in one response
+TLS_REQUEST, GSS_REQUEST, CANCEL_REQUEST = 80877103, 80877104, 80877102
+ENCRYPTION_REFUSED = b"N"  # the answer to a request for encryption
 READY_FOR_QUERY = b"Z\0\0\0\5I"
 EMPTY_QUERY_RESPONSE = b"I\0\0\0\4" + READY_FOR_QUERY
-_LENGTH, _TWO = struct.Struct(">I"), struct.Struct(">II")
+_UINT32, _TWO_UINT32 = struct.Struct(">I"), struct.Struct(">II")
 
 
 class PgProtocolError(Exception):
-    """What the peer sent is no acceptable message; `code` is the SQLSTATE that says so."""
+    """The peer's bytes are no acceptable message; `code` is the SQLSTATE that reports it."""
 
     def __init__(self, code: str, text: str):
         super().__init__(text)
@@ -30,11 +29,14 @@
 
 
 def message(kind: bytes, body: bytes) -> bytes:
-    return kind + _LENGTH.pack(len(body) + 4) + body
+    """Encodes a message of the type `kind`."""
+    return kind + _UINT32.pack(len(body) + 4) + body
 
 
 def error_response(code: str, text: str, detail: str | None = None, fatal: bool = False) -> bytes:
-    """An ErrorResponse; after a fatal one the connection closes, after another `READY_FOR_QUERY` is due."""
+    """Encodes an ErrorResponse; after a fatal one the connection closes, after another one `READY_FOR_QUERY`
+    must follow.
+    """
     severity = "FATAL" if fatal else "ERROR"
     fields = [("S", severity), ("V", severity), ("C", code), ("M", text)] + (
         [("D", detail)] if detail else []
@@ -43,8 +45,10 @@
 
 
 def startup_response() -> bytes:
-    """What follows a startup message: no password, and the few parameters that client libraries look for."""
-    known = {
+    """Encodes the answer to a startup message: no password, and the parameters that client libraries look
+    for.
+    """
+    parameters = {
         "server_version": "15.0",
         "server_encoding": "UTF8",
         "client_encoding": "UTF8",
@@ -52,202 +56,234 @@
         "integer_datetimes": "on",
         "DateStyle": "ISO, YMD",
     }
-    said = b"".join(message(b"S", f"{name}\0{value}\0".encode()) for name, value in known.items())
-    return message(b"R", b"\0\0\0\0") + said + message(b"K", b"\0" * 8) + READY_FOR_QUERY
+    statuses = b"".join(message(b"S", f"{name}\0{value}\0".encode()) for name, value in parameters.items())
+    return message(b"R", b"\0\0\0\0") + statuses + message(b"K", b"\0" * 8) + READY_FOR_QUERY
 
 
 def startup_message(user: str, database: str) -> bytes:
+    """Encodes a client's startup message."""
     body = b"\0\3\0\0" + f"user\0{user}\0database\0{database}\0\0".encode()
-    return _LENGTH.pack(len(body) + 4) + body
+    return _UINT32.pack(len(body) + 4) + body
 
 
 def query_message(statement: bytes) -> bytes:
-    return b"Q" + _LENGTH.pack(len(statement) + 5) + statement + b"\0"
+    """Encodes a simple query."""
+    return b"Q" + _UINT32.pack(len(statement) + 5) + statement + b"\0"
 
 
 class ClientMessageParser:
-    """What a client sends. Events are (kind, value): ("tls", None): answer `ENCRYPTION_REFUSED`; ("cancel",
-    None); ("startup", parameters); ("query", statement); ("end", None); and last, once, ("wrong",
-    PgProtocolError)."""
+    """Parses what a client sends.
+
+    Events are (kind, value): ("tls", None), to be answered with `ENCRYPTION_REFUSED`; ("cancel", None);
+    ("startup", parameters); ("query", statement); ("end", None) for Terminate; and last, once, ("wrong",
+    PgProtocolError).
+    """
 
     def __init__(self):
-        self.rest, self.started, self.wishes, self.over = b"", False, 0, False
+        self.pending, self.started, self.encryption_requests, self.failed = b"", False, 0, False
 
     @property
     def has_partial(self) -> bool:
-        """Is a message here in part?"""
-        return bool(self.rest)
+        """Whether a message has arrived in part."""
+        return bool(self.pending)
 
     def feed(self, data: bytes) -> list:
-        if self.over:
+        """Parses bytes and returns their events; after ("wrong", ...) always none."""
+        if self.failed:
             return []
-        if self.rest:
-            data = self.rest + data
-        events, at, size = [], 0, len(data)
+        if self.pending:
+            data = self.pending + data
+        events, offset, size = [], 0, len(data)
         try:
-            while at < size:
-                used, event = (self.command if self.started else self.opening)(data, at, size)
-                if not used:
+            while offset < size:
+                consumed, event = (self.parse_command if self.started else self.parse_startup)(
+                    data, offset, size
+                )
+                if not consumed:
                     break
-                at += used
+                offset += consumed
                 events.append(event)
-        except PgProtocolError as trouble:
-            self.over = True
-            events.append(("wrong", trouble))
-        self.rest = b"" if self.over else data[at:]
+        except PgProtocolError as error:
+            self.failed = True
+            events.append(("wrong", error))
+        self.pending = b"" if self.failed else data[offset:]
         return events
 
-    def command(self, data, at, size):
-        kind = data[at]
+    def parse_command(self, data, offset, size):
+        """Parses a message after the startup; returns (bytes consumed, event), or (0, None) on an incomplete
+        message.
+        """
+        kind = data[offset]
         if kind not in (0x51, 0x58):  # Q, X
             raise PgProtocolError("08P01", "only simple queries are taken here")
-        if size - at < 5:
+        if size - offset < 5:
             return 0, None
-        (length,) = _LENGTH.unpack_from(data, at + 1)
-        if not (5 <= length <= QUERY_MOST if kind == 0x51 else length == 4):
+        (length,) = _UINT32.unpack_from(data, offset + 1)
+        if not (5 <= length <= MAX_QUERY_BYTES if kind == 0x51 else length == 4):
             raise PgProtocolError("08P01", "a message of an impossible length")
-        if size - at < length + 1:
+        if size - offset < length + 1:
             return 0, None
         if kind == 0x58:
             return 5, ("end", None)
-        statement = data[at + 5 : at + length]
-        if data[at + length] or b"\0" in statement:
+        statement = data[offset + 5 : offset + length]
+        if data[offset + length] or b"\0" in statement:
             raise PgProtocolError("08P01", "a statement ends with its one zero byte")
         return length + 1, ("query", statement)
 
-    def opening(self, data, at, size):
-        if size - at < 4:
+    def parse_startup(self, data, offset, size):
+        """Parses a message up to the startup; returns (bytes consumed, event), or (0, None) on an incomplete
+        message.
+        """
+        if size - offset < 4:
             return 0, None
-        (length,) = _LENGTH.unpack_from(data, at)
-        if not 8 <= length <= STARTUP_MOST:
+        (length,) = _UINT32.unpack_from(data, offset)
+        if not 8 <= length <= MAX_STARTUP_BYTES:
             raise PgProtocolError("08P01", "a startup message of an impossible length")
-        if size - at < 8:
+        if size - offset < 8:
             return 0, None
-        (code,) = _LENGTH.unpack_from(data, at + 4)
-        if code in (TLS, GSS):
-            self.wishes += 1
-            if length != 8 or self.wishes > 2:
+        (code,) = _UINT32.unpack_from(data, offset + 4)
+        if code in (TLS_REQUEST, GSS_REQUEST):
+            self.encryption_requests += 1
+            if length != 8 or self.encryption_requests > 2:
                 raise PgProtocolError("08P01", "no sense in this wish for encryption")
             return 8, ("tls", None)
-        if code == CANCEL and length == 16:
-            return (16, ("cancel", None)) if size - at >= 16 else (0, None)
+        if code == CANCEL_REQUEST and length == 16:
+            return (16, ("cancel", None)) if size - offset >= 16 else (0, None)
         if code >> 16 != 3:
             raise PgProtocolError("0A000", "version 3 of the protocol is spoken here")
-        if size - at < length:
+        if size - offset < length:
             return 0, None
-        words = data[at + 8 : at + length].split(b"\0")
-        if len(words) < 4 or len(words) % 2 or words[-1] or words[-2]:
+        strings = data[offset + 8 : offset + length].split(b"\0")
+        if len(strings) < 4 or len(strings) % 2 or strings[-1] or strings[-2]:
             raise PgProtocolError("08P01", "a startup message names each parameter and its value")
-        told = dict(zip(words[:-2:2], words[1:-2:2], strict=True))
-        if not told.get(b"user"):
+        values = dict(zip(strings[:-2:2], strings[1:-2:2], strict=True))
+        if not values.get(b"user"):
             raise PgProtocolError("28000", "a startup message names its user")
         self.started = True
-        return length, ("startup", told)
+        return length, ("startup", values)
 
 
 class ServerMessageParser:
-    """What an instance sends on one connection: first its welcome, then one answer after each `expect`.
+    """Parses what an instance sends on one connection: the startup response, then one response after each
+    `expect`.
 
-    `feed` says whether the state has moved on. Raises PgProtocolError on what can't be a whole answer; the
-    connection is of no further use then. What comes behind a whole answer and does not belong to it is no
-    reason to doubt that answer: `is_clean` then says that the connection may not be used again.
+    `feed` raises PgProtocolError on bytes that can't be a complete response; the connection is unusable then.
+    Bytes after a complete response that don't belong to it leave that response valid, but `is_clean` becomes
+    False: the connection must not be used again.
     """
 
     def __init__(self):
-        self.rest, self.ready, self.is_clean, self.started = b"", False, True, False
+        self.pending, self.ready, self.is_clean, self.started = b"", False, True, False
         self.expect(None)
 
     def expect(self, tag: bytes | None) -> None:
-        """`tag`: how the answer's CommandComplete must read."""
+        """Prepares for the next response.
+
+        `tag`: the command tag of its CommandComplete; None for the startup response.
+        """
         self.tag, self.ready = tag, False
-        self.described = self.row = self.whole = False
-        self.error_code, self.text, self.gauges, self.passed, self.parts = None, "", None, 0, []
+        self.has_description = self.has_row = self.is_complete = False
+        self.error_code, self.error_text, self.gauges, self.skipped_messages, self.parts = (
+            None,
+            "",
+            None,
+            0,
+            [],
+        )
 
     @property
     def value(self) -> bytes:
-        """RowDescription, DataRow and CommandComplete as they came."""
+        """RowDescription, DataRow and CommandComplete as they were received."""
         return b"".join(self.parts)
 
     @property
-    def shown(self) -> bytes | None:
-        """The one column of the row, by itself."""
-        return self.parts[1][11:] if self.row else None
+    def shown_value(self) -> bytes | None:
+        """The row's only column; None before the row."""
+        return self.parts[1][11:] if self.has_row else None
 
     @property
     def done(self) -> bool:
-        return self.whole or self.error_code is not None
+        """Whether the response is complete, as a row or as an error."""
+        return self.is_complete or self.error_code is not None
 
     @property
     def has_begun(self) -> bool:
-        return self.described or bool(self.rest)
+        """Whether part of a response has arrived."""
+        return self.has_description or bool(self.pending)
 
     @property
     def reusable(self) -> bool:
-        return self.ready and self.is_clean and not self.rest
+        """Whether the connection may be used for another query."""
+        return self.ready and self.is_clean and not self.pending
 
     def feed(self, data: bytes) -> None:
-        if self.ready:  # nothing was asked for
+        """Parses bytes; the results are in the attributes. Raises PgProtocolError."""
+        if self.ready:  # these bytes follow no query
             self.is_clean = False
             return
-        if self.rest:
-            data = self.rest + data
-        at, size = 0, len(data)
+        if self.pending:
+            data = self.pending + data
+        offset, size = 0, len(data)
         try:
-            while at < size and not self.ready:
-                length = self.length(data, at, size)
-                if length is None or size - at <= length:
+            while offset < size and not self.ready:
+                length = self.message_length(data, offset, size)
+                if length is None or size - offset <= length:
                     break
-                self.handle_message(data[at], data, at, at + 1 + length)
-                at += 1 + length
+                self.handle_message(data[offset], data, offset, offset + 1 + length)
+                offset += 1 + length
         except PgProtocolError:
             if not self.done:
                 raise
-            self.is_clean = False  # the answer was whole before it
-            self.rest = b""
+            self.is_clean = False  # the response was complete before the fault
+            self.pending = b""
             return
-        self.rest = data[at:]
-        if self.ready and self.rest:
+        self.pending = data[offset:]
+        if self.ready and self.pending:
             self.is_clean = False
 
-    def length(self, data, at, size) -> int | None:
-        """Of the message that begins there, its own four bytes included; judged before the rest has come."""
-        if data[at] not in b"RSKZNTDCEI":
-            raise PgProtocolError("08P01", f"no message begins with {data[at]:#x}")
-        if size - at < 5:
+    def message_length(self, data, offset, size) -> int | None:
+        """Length of the message at `offset`, its own four bytes included; None while it is unknown.
+
+        It is checked before the rest has arrived. Raises PgProtocolError.
+        """
+        if data[offset] not in b"RSKZNTDCEI":
+            raise PgProtocolError("08P01", f"no message begins with {data[offset]:#x}")
+        if size - offset < 5:
             return None
-        (length,) = _LENGTH.unpack_from(data, at + 1)
-        if not 4 <= length <= VALUE_MOST + 64:
+        (length,) = _UINT32.unpack_from(data, offset + 1)
+        if not 4 <= length <= MAX_VALUE_BYTES + 64:
             raise PgProtocolError("08P01", f"a message of {length} bytes")
         return length
 
-    def handle_message(self, kind, data, at, end) -> None:
-        body = data[at + 5 : end]
-        if kind == 0x44 and self.described and not self.row and not self.done:  # D
+    def handle_message(self, kind, data, offset, end) -> None:
+        """Handles the complete message in data[offset:end]. Raises PgProtocolError."""
+        body = data[offset + 5 : end]
+        if kind == 0x44 and self.has_description and not self.has_row and not self.done:  # D
             count = int.from_bytes(body[:2], "big")
             size = int.from_bytes(body[2:6], "big")
-            if count != 1 or size != len(body) - 6 or size > VALUE_MOST:
+            if count != 1 or size != len(body) - 6 or size > MAX_VALUE_BYTES:
                 raise PgProtocolError("08P01", "no row of one value")
-            self.row = True
-            self.parts.append(data[at:end])
-        elif kind == 0x54 and self.tag is not None and not self.described and not self.done:  # T
+            self.has_row = True
+            self.parts.append(data[offset:end])
+        elif kind == 0x54 and self.tag is not None and not self.has_description and not self.done:  # T
             name = body.find(b"\0", 2)
             if body[:2] != b"\0\1" or name < 0 or len(body) != name + 19:
                 raise PgProtocolError("08P01", "no description of one column")
-            self.described = True
-            self.parts.append(data[at:end])
-        elif kind == 0x43 and self.row and not self.done:  # C
+            self.has_description = True
+            self.parts.append(data[offset:end])
+        elif kind == 0x43 and self.has_row and not self.done:  # C
             if body != self.tag:
                 raise PgProtocolError("08P01", f"the command ended as {body[:40]!r}")
-            self.whole = True
-            self.parts.append(data[at:end])
+            self.is_complete = True
+            self.parts.append(data[offset:end])
         elif kind == 0x5A:  # Z
             if body not in (b"I", b"T", b"E") or not (self.done or self.tag is None):
                 raise PgProtocolError("08P01", "ready before an answer")
             self.ready = self.started = True
         elif kind == 0x45 and not self.done:  # E
-            self.error_code, self.text = error_fields(body)
-        elif kind in (0x53, 0x4E) and self.passed < PASSED_OVER_MOST:  # S, N
-            self.passed += 1
+            self.error_code, self.error_text = parse_error(body)
+        elif kind in (0x53, 0x4E) and self.skipped_messages < MAX_SKIPPED_MESSAGES:  # S, N
+            self.skipped_messages += 1
             if kind == 0x53 and body.startswith(b"gauges\0"):
                 self.gauges = body[7:-1]
         elif kind == 0x52 and not self.started and body == b"\0\0\0\0":  # R
@@ -258,8 +294,11 @@
             raise PgProtocolError("08P01", f"{chr(kind)} out of turn")
 
 
-def error_fields(body: bytes) -> tuple[str, str]:
-    """SQLSTATE and message of an ErrorResponse."""
+def parse_error(body: bytes) -> tuple[str, str]:
+    """SQLSTATE and message (at most 200 characters) of an ErrorResponse.
+
+    Raises PgProtocolError without a SQLSTATE.
+    """
     fields = {}
     for part in body.split(b"\0"):
         if part:
@@ -271,15 +310,18 @@
 
 
 def parse_gauges(gauges: bytes | None) -> dict[str, float]:
-    """`inflight=7,util=0.61` as numbers; empty where any of it can't be read, is negative or not finite."""
-    told = {}
+    """Parses gauges such as `inflight=7,util=0.61`.
+
+    Returns an empty map for None, or where any of them is unreadable, negative or not finite.
+    """
+    values = {}
     for part in (gauges or b"").split(b","):
-        name, mark, value = part.partition(b"=")
+        name, separator, value = part.partition(b"=")
         try:
             number = float(value)
-            if not mark or not name or not math.isfinite(number) or number < 0 or len(told) >= 16:
+            if not separator or not name or not math.isfinite(number) or number < 0 or len(values) >= 16:
                 return {}
-            told[name.decode("ascii")] = number
-        except ValueError:  # UnicodeDecodeError is one
+            values[name.decode("ascii")] = number
+        except ValueError:  # includes UnicodeDecodeError
             return {}
-    return told
+    return values
--- a/cobaltpond/wire/statement.py
+++ b/cobaltpond/wire/statement.py
@@ -1,4 +1,4 @@
-"""The platform's two statements and the comment behind them: matched byte for byte, or not at all."""
+"""The two SQL statements that the platform's clients send, with their comment; matched byte for byte."""
 
 import re
 
@@ -8,40 +8,47 @@
     rb"INSERT INTO entries \(ref, payload\) VALUES \('(" + _HEX + rb")', '\\x(?:[0-9a-f]{2}){0,65536}'\)"
     rb" RETURNING payload"
 )
-_NAME = rb"[^,*'\x00-\x1f\x7f]"  # of a class or tenant: the settings have them as they like
+_NAME = rb"[^,*'\x00-\x1f\x7f]"  # name of a path group or customer, which the settings may choose freely
 _COMMENT = (
     rb" /\* id=(" + _HEX + rb"),c=(" + _NAME + rb"{1,80}),t=(" + _NAME + rb"{0,80}),d=([0-9]{1,9})"
     rb"(?:,k=(" + _HEX + rb"))?(,r=1)? \*/"
 )
-STATEMENT = re.compile(rb"(?:" + _SELECT + rb"|" + _INSERT + rb")" + _COMMENT)
-SELECTED, INSERTED = b"SELECT 1\0", b"INSERT 0 1\0"  # how their answers end
-SHOWN = b"SHOW\0"
-PLAIN_NAME = re.compile(r"[A-Za-z0-9_.-]*")  # of a tenant that the settings don't name
+STATEMENT_PATTERN = re.compile(rb"(?:" + _SELECT + rb"|" + _INSERT + rb")" + _COMMENT)
+SELECT_TAG, INSERT_TAG = b"SELECT 1\0", b"INSERT 0 1\0"  # command tags of their responses
+SHOW_TAG = b"SHOW\0"
+PLAIN_NAME = re.compile(r"[A-Za-z0-9_.-]*")  # name of a customer that the settings don't list
 
 
 class StatementError(Exception):
-    """Nothing an instance should see."""
+    """A statement that must not reach an instance."""
 
 
 class PlatformStatement:
-    """`id`, `ref` and `key` (None without one) as sent, `group` and `customer` in text, `left` in
-    microseconds, `again`: marked as a client's repeat; `tag`: how its answer must end."""
+    """One parsed statement.
 
-    __slots__ = ("head", "tail", "id", "ref", "group", "customer", "left", "key", "again", "tag")
+    `id`, `ref` and `key` (None without one) are bytes as sent, `group` and `customer` text, `time_left`
+    microseconds; `is_retry` says that the client marked it as a repeat; `tag` is the command tag of its
+    response.
+    """
+
+    __slots__ = ("head", "tail", "id", "ref", "group", "customer", "time_left", "key", "is_retry", "tag")
 
     def __init__(self, text: bytes):
-        found = STATEMENT.fullmatch(text)
-        if found is None:
+        """Raises StatementError where the text is none of the two statements."""
+        match = STATEMENT_PATTERN.fullmatch(text)
+        if match is None:
             raise StatementError("no statement of the two that are taken here")
-        selected, inserted, self.id, group, customer, left, self.key, again = found.groups()
-        self.ref, self.tag = selected or inserted, SELECTED if selected else INSERTED
+        selected, inserted, self.id, group, customer, time_left, self.key, is_retry = match.groups()
+        self.ref, self.tag = selected or inserted, SELECT_TAG if selected else INSERT_TAG
         try:
             self.group, self.customer = group.decode(), customer.decode()
         except UnicodeDecodeError:
             raise StatementError("a name that is no text") from None
-        self.left, self.again = int(left) * 1000, again is not None
-        self.head, self.tail = text[: found.start(6)], text[found.end(6) :]
+        self.time_left, self.is_retry = int(time_left) * 1000, is_retry is not None
+        self.head, self.tail = text[: match.start(6)], text[match.end(6) :]
 
-    def waiting(self, milliseconds: int) -> bytes:
-        """The statement with how long the gateway itself will wait in place of the client's time."""
+    def with_time_left(self, milliseconds: int) -> bytes:
+        """The statement with the client's time limit replaced by `milliseconds`, for which this gateway
+        waits.
+        """
         return b"%b%d%b" % (self.head, milliseconds, self.tail)
--- a/tests/pgworld.py
+++ b/tests/pgworld.py
@@ -130,7 +130,7 @@
     """A raw client; `read` gives (kind letter, body) of each message up to ReadyForQuery or the end."""
 
     def __init__(self, connection):
-        self.connection, self.rest = connection, b""
+        self.connection, self.pending = connection, b""
 
     def send(self, *queries, start=False):
         yield from self.connection.write(
@@ -140,13 +140,15 @@
 
     def messages(self):
         while True:
-            while len(self.rest) >= 5 and len(self.rest) > (size := int.from_bytes(self.rest[1:5], "big")):
-                message, self.rest = self.rest[: size + 1], self.rest[size + 1 :]
+            while len(self.pending) >= 5 and len(self.pending) > (
+                size := int.from_bytes(self.pending[1:5], "big")
+            ):
+                message, self.pending = self.pending[: size + 1], self.pending[size + 1 :]
                 return message[:1], message[5:]
             data = yield from self.connection.read()
             if not data:
                 return None, b""
-            self.rest += data
+            self.pending += data
 
     def read(self):
         got = []
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -90,7 +90,7 @@
             others.append((yield from settled(world, statement(2))))
         yield Sleep(400 * MS)
         for idle in world.edge.frontend.clients:
-            idle.active -= 3_000 * MS  # as if it had idled for that long
+            idle.last_active -= 3_000 * MS  # as if it had idled for that long
         client.connection.write_now(pg.query_message(statement(3)))
         close(world.edge.frontend)
         return told((yield from client.read()))
@@ -106,7 +106,7 @@
         idle, client = (yield from settled(world, statement(1))), (yield from settled(world, statement(2)))
         whole = pg.query_message(statement(7))
         yield from client.connection.write(whole[:half])
-        yield from world.until(lambda: any(c.asked.has_partial for c in world.edge.frontend.clients))
+        yield from world.until(lambda: any(c.parser.has_partial for c in world.edge.frontend.clients))
         world.edge.stop("TERM")
         assert (yield from idle.read())[-1][0] == b"end"  # what idles was closed; the half was not
         yield from client.connection.write(whole[half:])
--- a/tests/test_crossings_ends.py
+++ b/tests/test_crossings_ends.py
@@ -38,7 +38,7 @@
     tmp_path, monkeypatch
 ):
     monkeypatch.setattr(
-        main, "LINGER", 2_000 * MS
+        main, "LINGER_TIME_US", 2_000 * MS
     )  # new clients are served for so long, on a busy machine too
     world = PgWorld(answering(lambda text, _: good(text)), tmp=tmp_path)
 
@@ -141,7 +141,7 @@
         yield from client.send(statement(1))
         drain = world.loop.spawn(world.edge.frontend.drain(20 * MS, 1_200 * MS), "drain")
         yield Sleep(900 * MS)  # longer than a client has to close after our end of file
-        assert owner.unread and not drain.done
+        assert owner.unsent and not drain.done
         got = yield from client.read()
         yield from drain.join()
         return told(got), len(got[0][1]) == big, (yield from client.read())
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -108,8 +108,8 @@
 
 
 def test_a_discovery_that_has_lost_its_versions_is_believed_after_a_while(monkeypatch):
-    monkeypatch.setattr(discovery, "OLDER", 200 * MS)
-    monkeypatch.setattr(discovery, "WATCH", 100 * MS)
+    monkeypatch.setattr(discovery, "STALE_SOURCE_TIME_US", 200 * MS)
+    monkeypatch.setattr(discovery, "WATCH_TIME_US", 100 * MS)
     world = PgWorld(answering(lambda text, _: good(text)))
 
     def go():
@@ -148,8 +148,10 @@
 def test_a_watch_that_says_nothing_more_is_left_in_time_whatever_it_had_said(how, monkeypatch):
     """What it misses counts as told 6 s after it fell silent: the waits that lead there are cut to a tenth
     here."""
-    assert discovery.WATCH + 2 * discovery.ANSWER + 1_000_000 < 6_000_000  # with the longest pause between
-    for name in ("WATCH", "ANSWER"):
+    assert (
+        discovery.WATCH_TIME_US + 2 * discovery.RESPONSE_TIMEOUT_US + 1_000_000 < 6_000_000
+    )  # with the longest pause between
+    for name in ("WATCH_TIME_US", "RESPONSE_TIMEOUT_US"):
         monkeypatch.setattr(discovery, name, getattr(discovery, name) // 10)
     world, calls = PgWorld(answering(lambda text, _: good(text)), agent=5, known=True), []
 
@@ -244,7 +246,7 @@
 
 @pytest.mark.parametrize("how", [how for how in SILENT if how != "nonsense"])
 def test_a_feed_that_says_nothing_more_is_opened_anew(how, monkeypatch):
-    monkeypatch.setattr(platform, "SILENCE", 300 * MS)
+    monkeypatch.setattr(platform, "FEED_SILENCE_TIMEOUT_US", 300 * MS)
     world, opened = PgWorld(answering(lambda text, _: good(text)), tmp=None), []
 
     def script(connection):
@@ -267,7 +269,7 @@
     def go():
         world.listen_at(5, script)
         world.edge.platform.start(("127.0.0.1", world.base + 5))
-        yield from world.until(lambda: world.edge.platform.last[0] == 3)
+        yield from world.until(lambda: world.edge.platform.last_state[0] == 3)
         return opened[1] - opened[0]
 
     assert 300 * MS <= world.run(go()) < 900 * MS
@@ -290,7 +292,7 @@
 
     def after():
         world.say(State="reverting", MaxShare=0.0, AgeMs=10)
-        yield from world.until(lambda: desk.last[2] == "going back")
+        yield from world.until(lambda: desk.last_state[2] == "going back")
         return json_response(200, {**trial, "AgeMs": 3050})
 
     world.answers[2] = held
@@ -300,7 +302,7 @@
         yield from desk.cast_vote(2, 0, "none")
         yield Sleep(5 * MS)
         decisions = world.edge.host.decisions
-        return desk.last, decisions.phase, decisions.cap, decisions.cast_answer
+        return desk.last_state, decisions.phase, decisions.cap, decisions.cast_answer
 
     assert world.run(go()) == ((2, 0, "going back", 0.0), "going back", 0.0, "ok")
 
@@ -320,7 +322,7 @@
         before = desk.counts["wrong"]
         for name in order.split():
             held[name].write_now(HEAD + b"transfer-encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
-        yield from world.until(lambda: len(desk.following.tasks) == 1)
+        yield from world.until(lambda: len(desk.source_switch.tasks) == 1)
         yield Sleep(20 * MS)
         return desk.counts["wrong"] - before
 
@@ -336,11 +338,11 @@
         yield from connection.read()
         if not world.seen():
             world.say(State="reverting", MaxShare=0.0)
-            yield from world.until(lambda: world.edge.platform.last[2] == "going back")
+            yield from world.until(lambda: world.edge.platform.last_state[2] == "going back")
             world.say(Revision=2, State="canary", MaxShare=0.2)
-            yield from world.until(lambda: world.edge.platform.last[0] == 2)
+            yield from world.until(lambda: world.edge.platform.last_state[0] == 2)
             world.say(**{"Revision": 2, "State": "canary", **then})
-            yield from world.until(lambda: world.edge.platform.last[3] < 0.2)
+            yield from world.until(lambda: world.edge.platform.last_state[3] < 0.2)
         yield from connection.write(pg.startup_response())
         while data := (yield from connection.read()):
             world.got.append(data)
--- a/tests/test_edge_list.py
+++ b/tests/test_edge_list.py
@@ -20,7 +20,7 @@
         ),
         (
             lambda world: world.say(State="reverting", MaxShare=0.0),
-            lambda world: world.edge.platform.last[2] == "going back",
+            lambda world: world.edge.platform.last_state[2] == "going back",
         ),
     ],
 )
@@ -137,7 +137,7 @@
         world.feeds[0].send_object(line)
         yield from world.until(lambda: len(world.feeds) == 2)
         world.say(State="canary", Revision=2, MaxShare=0.2)
-        yield from world.until(lambda: world.edge.platform.last == (2, 0, "trial", 0.2))
+        yield from world.until(lambda: world.edge.platform.last_state == (2, 0, "trial", 0.2))
 
     world.run(go())
 
--- a/tests/test_pg.py
+++ b/tests/test_pg.py
@@ -9,7 +9,7 @@
 from pgworld import row, statement
 
 from cobaltpond.wire import pg
-from cobaltpond.wire.statement import INSERTED, SELECTED, PlatformStatement, StatementError
+from cobaltpond.wire.statement import INSERT_TAG, SELECT_TAG, PlatformStatement, StatementError
 
 fixed = settings(derandomize=True, deadline=None, max_examples=150)
 
@@ -30,7 +30,7 @@
 )
 def test_clients_read_the_same_however_they_are_cut(queries, cuts):
     data = (
-        struct.pack(">II", 8, pg.TLS)
+        struct.pack(">II", 8, pg.TLS_REQUEST)
         + pg.startup_message("web", "orders")
         + b"".join(map(pg.query_message, queries))
     )
@@ -46,11 +46,11 @@
     for cut in range(len(data) + 1):
         answers = pg.ServerMessageParser()
         answers.feed(pg.startup_response())
-        answers.expect(SELECTED)
+        answers.expect(SELECT_TAG)
         for part in (data[:cut], data[cut:]):
             if part:
                 answers.feed(part)
-        assert answers.reusable and answers.whole and answers.value == row(b"value")
+        assert answers.reusable and answers.is_complete and answers.value == row(b"value")
         assert pg.parse_gauges(answers.gauges) == {"inflight": 7.0, "util": 0.5}
 
 
@@ -58,9 +58,9 @@
     answers = pg.ServerMessageParser()
     answers.feed(pg.startup_response())
     answers.expect(b"SHOW\0")
-    assert answers.shown is None
+    assert answers.shown_value is None
     answers.feed(row(b"util=0.5,inflight=3", b"SHOW") + pg.READY_FOR_QUERY)
-    assert answers.whole and pg.parse_gauges(answers.shown) == {"util": 0.5, "inflight": 3.0}
+    assert answers.is_complete and pg.parse_gauges(answers.shown_value) == {"util": 0.5, "inflight": 3.0}
 
 
 @fixed
@@ -72,12 +72,12 @@
     assert all(kind != "wrong" for kind, _ in events[:-1]) and asked.feed(b"") == []
     answers = pg.ServerMessageParser()
     answers.feed(pg.startup_response())
-    answers.expect(SELECTED)
+    answers.expect(SELECT_TAG)
     try:
         answers.feed(data)
     except pg.PgProtocolError:
         pass
-    assert not answers.whole
+    assert not answers.is_complete
 
 
 @pytest.mark.parametrize(
@@ -90,8 +90,8 @@
         b"GET / HTTP/1.1\r\n",
         b"a" * 8,
         struct.pack(">II", 8, 2 << 16),
-        struct.pack(">II", 9, pg.TLS),
-        struct.pack(">II", 8, pg.TLS) * 3,
+        struct.pack(">II", 9, pg.TLS_REQUEST),
+        struct.pack(">II", 8, pg.TLS_REQUEST) * 3,
         struct.pack(">II", 14, 3 << 16) + b"user\0\0",
         struct.pack(">II", 15, 3 << 16) + b"user\0\0\0",
     ],
@@ -111,7 +111,7 @@
         b"X\0\0\0\5",
         b"P\0\0\0\x10",
         b"\0",
-        b"Q" + struct.pack(">I", pg.QUERY_MOST + 1),
+        b"Q" + struct.pack(">I", pg.MAX_QUERY_BYTES + 1),
         b"Q\0\0\0\6ab",
         b"Q\0\0\0\7a\0\0",
     ],
@@ -119,8 +119,8 @@
 def test_a_length_is_judged_before_anything_is_kept(data):
     asked = pg.ClientMessageParser()
     asked.feed(pg.startup_message("web", "orders"))
-    assert [kind for kind, _ in asked.feed(data)] == ["wrong"] and asked.rest == b""
-    assert asked.feed(b"x" * 100_000) == [] and asked.rest == b""
+    assert [kind for kind, _ in asked.feed(data)] == ["wrong"] and asked.pending == b""
+    assert asked.feed(b"x" * 100_000) == [] and asked.pending == b""
 
 
 def spoil(at, by):
@@ -137,7 +137,7 @@
         spoil(5, b"\0\2"),
         row(tag=b"SELECT 2"),
         row(tag=b"INSERT 0 1"),
-        row(b"x" * (pg.VALUE_MOST + 100)),
+        row(b"x" * (pg.MAX_VALUE_BYTES + 100)),
         pg.message(b"D", b"\0\1\0\0\0\1x"),
         pg.READY_FOR_QUERY,
         row()[:40] + row(),
@@ -153,10 +153,10 @@
 def test_a_spoilt_answer_is_never_whole(data):
     answers = pg.ServerMessageParser()
     answers.feed(pg.startup_response())
-    answers.expect(SELECTED)
+    answers.expect(SELECT_TAG)
     with pytest.raises(pg.PgProtocolError):
         answers.feed(data)
-    assert not answers.whole and len(answers.rest) < 1000
+    assert not answers.is_complete and len(answers.pending) < 1000
 
 
 @pytest.mark.parametrize(
@@ -173,9 +173,9 @@
 def test_a_good_answer_with_more_than_belongs_to_it_is_good_and_the_connection_is_not(more):
     answers = pg.ServerMessageParser()
     answers.feed(pg.startup_response())
-    answers.expect(SELECTED)
+    answers.expect(SELECT_TAG)
     answers.feed(row(b"value") + more)
-    assert answers.whole and answers.value == row(b"value") and not answers.reusable
+    assert answers.is_complete and answers.value == row(b"value") and not answers.reusable
 
 
 @pytest.mark.parametrize(
@@ -199,10 +199,10 @@
 
 
 def test_statements_pass_with_nothing_but_the_wait_changed():
-    for group, tag in (("look", SELECTED), ("hold", INSERTED)):
+    for group, tag in (("look", SELECT_TAG), ("hold", INSERT_TAG)):
         text = statement(7, group, 480)
         read = PlatformStatement(text)
-        assert (read.group, read.customer, read.left, read.id, read.tag, read.again) == (
+        assert (read.group, read.customer, read.time_left, read.id, read.tag, read.is_retry) == (
             group,
             "ann",
             480_000,
@@ -210,9 +210,9 @@
             tag,
             False,
         )
-        assert read.waiting(33) == text.replace(b"d=480", b"d=33")
+        assert read.with_time_left(33) == text.replace(b"d=480", b"d=33")
     assert read.key == b"00000000000000aa"
-    assert PlatformStatement(statement(7).replace(b" */", b",r=1 */")).again
+    assert PlatformStatement(statement(7).replace(b" */", b",r=1 */")).is_retry
 
 
 @pytest.mark.parametrize(
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -5,7 +5,7 @@
 import pytest
 from pgworld import SETTINGS, PgWorld, answering, exchanging, good, row, statement, tag_of, told
 
-from cobaltpond.edge.discovery import ANSWER, WATCH, DiscoveredInstances
+from cobaltpond.edge.discovery import RESPONSE_TIMEOUT_US, WATCH_TIME_US, DiscoveredInstances
 from cobaltpond.loop import Deadline, Sleep
 from cobaltpond.wire import pg
 
@@ -144,7 +144,10 @@
 def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts():
     """6 s after it fell silent, or 2 s after a call's own wait, a change counts as told: a watch of 2 s, a
     second of patience and a whole list at once stay below that."""
-    assert WATCH + ANSWER + ANSWER < 6_000_000 and ANSWER < 2_000_000
+    assert (
+        WATCH_TIME_US + RESPONSE_TIMEOUT_US + RESPONSE_TIMEOUT_US < 6_000_000
+        and RESPONSE_TIMEOUT_US < 2_000_000
+    )
     world = PgWorld(answering(lambda text, _: good(text)))
 
     def go():
@@ -162,7 +165,7 @@
         )
         return world.loop.now() - began
 
-    assert world.run(go(), bound=20_000_000) < WATCH + 2 * ANSWER
+    assert world.run(go(), bound=20_000_000) < WATCH_TIME_US + 2 * RESPONSE_TIMEOUT_US
 
 
 def test_what_the_agent_has_is_known_before_the_door_opens_though_the_configuration_s_list_is_old():
