--- a/cobaltpond/edge/frontend.py
+++ b/cobaltpond/edge/frontend.py
@@ -8,7 +8,7 @@
 from cobaltpond.wire import pg
 
 SILENT_CLIENT_TIMEOUT_US = 2_200_000  # closes a connection without a command; clients may expect 3 s
-# a client that wants to send a command has done so by then; before it no eviction
+# no eviction before this: a client that means to send a command has sent it by then
 NEW_CONNECTION_GRACE_US = 150_000
 IDLE_TIMEOUT_US = 2_000_000  # an idle connection may be closed after this
 IDLE_TIMEOUT_WHEN_FULL_US = 300_000  # or after this where a new connection would have to wait
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,6 +5,6 @@
 
 
 @pytest.fixture(params=["sockets", "virtual"])
-def either(request, monkeypatch):
-    """The same on the virtual kernel, where the order does not hang on what lies in a real socket."""
+def each_kernel(request, monkeypatch):
+    """Runs the test on real sockets and on the virtual kernel, where the order of events is deterministic."""
     monkeypatch.setattr(PgWorld, "virtual", request.param == "virtual")
--- a/tests/pgworld.py
+++ b/tests/pgworld.py
@@ -1,5 +1,6 @@
-"""One process with a gateway of the platform, scripted instances, discovery and desk, and raw clients, on
-loopback."""
+"""Test bed in one process, on loopback: a PostgreSQL gateway, scripted instances, discovery, desk and raw
+clients.
+"""
 
 import json
 import struct
@@ -68,16 +69,24 @@
 )
 
 
-def statement(number=1, group="look", left=1500, customer="ann", key="00000000000000aa") -> bytes:
+def statement(number=1, group="look", time_left_ms=1500, customer="ann", key="00000000000000aa") -> bytes:
+    """One of the platform's statements; `time_left_ms` is the client's limit in milliseconds."""
     form = SELECT if group == "look" else INSERT
     return (
         form
-        % {"ref": f"{number:016x}", "id": f"{number:016x}", "c": group, "t": customer, "d": left, "k": key}
+        % {
+            "ref": f"{number:016x}",
+            "id": f"{number:016x}",
+            "c": group,
+            "t": customer,
+            "d": time_left_ms,
+            "k": key,
+        }
     ).encode()
 
 
 def row(value=b"fine", tag=b"SELECT 1") -> bytes:
-    """An instance's answer up to CommandComplete."""
+    """An instance's response up to CommandComplete."""
     column = b"payload\0" + struct.pack(">IhIhih", 0, 0, 17, -1, -1, 1)
     return (
         pg.message(b"T", b"\0\1" + column)
@@ -86,48 +95,56 @@
     )
 
 
-def tag_of(text: bytes) -> bytes:
+def command_tag(text: bytes) -> bytes:
+    """The command tag with which a response to this statement ends."""
     return b"SELECT 1" if text.startswith(b"SELECT") else b"INSERT 0 1"
 
 
-def good(text: bytes) -> bytes:
-    return row(b"fine", tag_of(text)) + pg.READY_FOR_QUERY
+def good_answer(text: bytes) -> bytes:
+    """A complete response with the value b"fine"."""
+    return row(b"fine", command_tag(text)) + pg.READY_FOR_QUERY
+
 
+def query_script(on_query, before_startup_response=None):
+    """Instance script that runs a generator for each query.
 
-def exchanging(on_query, before_welcome=None):
-    """A script: `on_query(world, connection, text)` is a generator run for each query, once it is in
-    `world.got`, and `before_welcome(world)` one for each startup."""
+    `on_query(world, connection, text)` runs once the query is in `world.received`;
+    `before_startup_response(world)` runs at each startup.
+    """
 
     def script(world, connection):
-        asked = pg.ClientMessageParser()
+        parser = pg.ClientMessageParser()
         while data := (yield from connection.read()):
-            for kind, value in asked.feed(data):
+            for kind, value in parser.feed(data):
                 if kind == "startup":
-                    if before_welcome is not None:
-                        yield from before_welcome(world)
+                    if before_startup_response is not None:
+                        yield from before_startup_response(world)
                     yield from connection.write(pg.startup_response())
                 elif kind == "query":
-                    world.got.append(value)
+                    world.received.append(value)
                     yield from on_query(world, connection, value)
 
     return script
 
 
-def answering(answer):
-    """A script: `answer(text, number)` gives the bytes for a query, None to say nothing, or "reset"."""
+def answer_script(answer):
+    """Instance script: `answer(text, number)` gives the bytes for a query, None for silence, or "reset"."""
 
     def on_query(world, connection, text):
-        reply = answer(text, len(world.got))
+        reply = answer(text, len(world.received))
         if reply == "reset":
             connection.abort()
         elif reply is not None:
             yield from connection.write(reply)
 
-    return exchanging(on_query)
+    return query_script(on_query)
 
 
 class Client:
-    """A raw client; `read` gives (kind letter, body) of each message up to ReadyForQuery or the end."""
+    """A raw client.
+
+    `read` returns (kind letter, body) of each message up to ReadyForQuery or the end of the connection.
+    """
 
     def __init__(self, connection):
         self.connection, self.pending = connection, b""
@@ -138,7 +155,7 @@
             + b"".join(pg.query_message(q) for q in queries)
         )
 
-    def messages(self):
+    def read_message(self):
         while True:
             while len(self.pending) >= 5 and len(self.pending) > (
                 size := int.from_bytes(self.pending[1:5], "big")
@@ -153,7 +170,7 @@
     def read(self):
         got = []
         while True:
-            kind, body = yield from self.messages()
+            kind, body = yield from self.read_message()
             if kind is None:
                 return [*got, (b"end", b"")]
             if kind == b"Z":
@@ -161,8 +178,8 @@
             got.append((kind, body))
 
 
-def told(messages) -> tuple:
-    """("delivered", value), (SQLSTATE, detail), or ("empty",)."""
+def outcome_of(messages) -> tuple:
+    """Condenses a response: ("delivered", value), (SQLSTATE, detail), ("empty",) or ("nothing",)."""
     for kind, body in messages:
         if kind == b"D":
             return "delivered", body[6:]
@@ -175,20 +192,41 @@
 
 
 class PgWorld(Around):
-    virtual = False  # on the virtual kernel, where a test can do with it
-    """`agent`: which of the addresses after the door's is discovery's; at 5 and 6 a test may listen itself
-    (`listen_at`). `answers`: what an address says instead, `(request)` by its number."""
+    """The test bed, with one instance for each script.
+
+    `discovery_offset` selects the address of discovery, counted from the gateway's port; a test may listen on
+    5 and 6 itself (`listen_at`). `response_overrides` maps an address's offset to a handler `(request)` that
+    replaces the usual one.
+    """
+
+    virtual = False  # True: run on the virtual kernel
 
     def __init__(
-        self, *scripts, tmp=None, sockets=256, settings=None, news=None, known=False, agent=1, here=True
+        self,
+        *scripts,
+        tmp=None,
+        sockets=256,
+        settings=None,
+        news=None,
+        known_list=False,
+        discovery_offset=1,
+        start_edge=True,
     ):
-        self.deaths, self.log, self.got, self.votes, self.asked, self.feeds = [], Log(), [], [], [], []
+        self.deaths, self.log, self.received, self.votes, self.requests, self.feeds = (
+            [],
+            Log(),
+            [],
+            [],
+            [],
+            [],
+        )
         self.machine = Machine(1) if self.virtual else None
         kernel = self.machine.process("case", ["case"]) if self.virtual else EpollKernel()
-        self.loop = Loop(kernel, lambda task, trouble: self.deaths.append((task.name, trouble)))
+        self.loop = Loop(kernel, lambda task, error: self.deaths.append((task.name, error)))
         self.lock, base = reserve_ports(self.loop.kernel, 7)
         self.door = ("127.0.0.1", base)
-        self.answers, self.discovery_says = {}, None  # what stands in for an answer
+        # the body of an error 500 that discovery answers with
+        self.response_overrides, self.discovery_error = {}, None
         self.news = news or {"Revision": 1, "Wave": 0, "State": "stable", "MaxShare": 1.0, "AgeMs": 0}
         self.hosts, self.seq, self.changes = [], 1, []
         for n, script in enumerate(scripts):
@@ -207,54 +245,59 @@
                     "revision_no": 1,
                 }
             )
-            self.loop.spawn(serve(self.loop, listener, self.scripted(script), 64, f"i{n}"), f"i{n}")
+            self.loop.spawn(serve(self.loop, listener, self.bind_script(script), 64, f"i{n}"), f"i{n}")
         for offset in (1, 2, 3, 4):  # discovery and desk, at two addresses each
             listener = self.loop.kernel.listen(("127.0.0.1", base + offset), 64)
             handler = self.on_discovery if offset % 2 else self.on_desk
             self.loop.spawn(
-                serve_rpc(self.loop, listener, self.at(handler, offset), f"at-{offset}"), f"at-{offset}"
+                serve_rpc(self.loop, listener, self.record_requests(handler, offset), f"at-{offset}"),
+                f"at-{offset}",
             )
         self.base, self.path = base, str(tmp / "config.json") if tmp else "none"
-        self.told = {
+        self.configuration = {
             "name": "n0",
             "listen": f"127.0.0.1:{base}",
-            "discovery": f"127.0.0.1:{base + agent}",
+            "discovery": f"127.0.0.1:{base + discovery_offset}",
             "seed": "2a",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets},
             "rollouts": {"address": f"127.0.0.1:{base + 2}", "news": self.news},
-            "known": {"seq": 1, "whole": True, "hosts": self.hosts} if known else None,
+            "known": {"seq": 1, "whole": True, "hosts": self.hosts} if known_list else None,
             "settings": {**SETTINGS, **(settings or {})},
         }
-        if here:  # else it is started by the test, as a process
-            self.edge = Edge(self.loop, self.path, parse_config(self.told), self.log)
+        if start_edge:  # otherwise the test starts the gateway as a process
+            self.edge = Edge(self.loop, self.path, parse_config(self.configuration), self.log)
             self.main = self.loop.spawn(self.edge.run(), "gateway")
 
-    def scripted(self, script):
+    def bind_script(self, script):
+        """Binds a script to this test bed."""
+
         def answer(connection):
             yield from script(self, connection)
 
         return answer
 
-    def at(self, handler, offset):
+    def record_requests(self, handler, offset):
+        """Wraps a handler so that (offset, path, is a watch) of each request is recorded."""
+
         def handle(request):
-            self.asked.append((offset, request.path, "after" in request.query))
-            return self.answers.get(offset, handler)(request)
+            self.requests.append((offset, request.path, "after" in request.query))
+            return self.response_overrides.get(offset, handler)(request)
 
         return handle
 
     def listen_at(self, offset, script):
-        """`script(connection)` answers each connection to that address byte by byte."""
+        """Listens on a further address; `script(connection)` answers each connection byte by byte."""
         listener = self.loop.kernel.listen(("127.0.0.1", self.base + offset), 64)
         self.loop.spawn(serve(self.loop, listener, script, 64, f"at-{offset}"), f"at-{offset}")
 
-    def hup(self, **addresses):
-        """The file names these addresses from now on; a signal says so."""
+    def reload_configuration(self, **addresses):
+        """Writes these addresses to the configuration file and sends SIGHUP."""
         with open(self.path, "w") as file:
-            json.dump({**self.told, **addresses}, file)
+            json.dump({**self.configuration, **addresses}, file)
         self.edge.stop("HUP")
 
-    def tell(self, **changes):
-        """A change of one host."""
+    def publish_host(self, **changes):
+        """Publishes a change of one host through discovery."""
         old = next(h for h in self.hosts if h["host"] == changes["host"])
         new = {**old, **changes}
         self.hosts = [new if h is old else h for h in self.hosts]
@@ -262,14 +305,15 @@
         self.changes.append((self.seq, new))
 
     def on_discovery(self, request):
-        if self.discovery_says is not None:
-            raise RpcError(500, self.discovery_says)
+        if self.discovery_error is not None:
+            raise RpcError(500, self.discovery_error)
         if "after" not in request.query:
             return json_response(200, {"seq": self.seq, "whole": True, "hosts": self.hosts})
         return self.watch(int(request.query["after"]), self.loop.now() + int(request.query["wait_ms"]) * 1000)
 
     def watch(self, after, end):
-        while self.seq <= after and self.loop.now() < end and self.discovery_says is None:
+        """Answers a watch once there is a change after the version `after`, or at the time `end`."""
+        while self.seq <= after and self.loop.now() < end and self.discovery_error is None:
             yield Sleep(2_000)
         hosts = [host for seq, host in self.changes if seq > after]
         return json_response(200, {"seq": self.seq, "whole": False, "hosts": hosts})
@@ -283,7 +327,8 @@
         self.feeds.append(feed)
         return feed
 
-    def say(self, **changes):
+    def publish_state(self, **changes):
+        """Publishes a changed release state through the feed."""
         self.news = {**self.news, **changes}
         self.feeds[-1].send_object({"type": "ROLLOUT", "object": self.news})
 
@@ -303,16 +348,17 @@
     def connect(self):
         return Client((yield from dial(self.loop, self.door, SECOND)))
 
-    def ask(self, *queries):
-        """What each query of one new connection was told."""
+    def query(self, *queries):
+        """Sends the queries over one new connection and returns the outcome of each."""
         client, got = (yield from self.connect()), []
         yield from client.send(start=True)
         yield from client.read()
-        for one in queries:
-            yield from client.send(one)
-            got.append(told((yield from client.read())))
+        for statement_text in queries:
+            yield from client.send(statement_text)
+            got.append(outcome_of((yield from client.read())))
         client.connection.close()
         return got
 
-    def seen(self):
+    def forward_results(self):
+        """How often each result of a forward was counted."""
         return {k: v for k, v in self.edge.forwards.observations.items() if v}
--- a/tests/test_crossings_instances.py
+++ b/tests/test_crossings_instances.py
@@ -1,23 +1,25 @@
-"""Crossing events at connections to instances: kept connections that end, and instances that restart."""
+"""Race conditions at connections to instances: kept connections that close, and instances that restart."""
 
 import socket
 import struct
 
 import pytest
-from pgcrossings import MS, OK, answering_then, policy, settled
-from pgworld import PgWorld, answering, exchanging, good, row, statement, tag_of, told
+from pgcrossings import MS, OK, answer_and_act_script, idle_client, policy_limits
+from pgworld import PgWorld, answer_script, command_tag, good_answer, outcome_of, query_script, row, statement
 
 from cobaltpond.loop import ConnectionLostError, Sleep
 from cobaltpond.wire import pg
 
 
-def test_several_kept_connections_that_die_at_once_cost_no_request(either):
-    """All are closed by the instance in the step in which a request that must not run twice comes."""
-    kept = []
+def test_kept_connections_that_close_together_lose_no_request(each_kernel):
+    """The instance closes all kept connections in the step in which a request arrives that must not run
+    twice: it must go over a new connection.
+    """
+    connections = []
 
     def script(world, connection):
-        kept.append(connection)
-        yield from answering(lambda text, _: good(text))(world, connection)
+        connections.append(connection)
+        yield from answer_script(lambda text, _: good_answer(text))(world, connection)
 
     world = PgWorld(script)
 
@@ -31,71 +33,79 @@
             client.connection.write_now(pg.query_message(statement(n)))
         for client in clients:
             yield from client.read()
-        yield Sleep(80 * MS)  # all have rested
+        yield Sleep(80 * MS)  # all have rested long enough to be reused
         assert len(world.edge.endpoints.by_id["s-0"].idle) == 3
-        for connection in list(kept):
+        for connection in list(connections):
             connection.close()
         clients[0].connection.write_now(pg.query_message(statement(9, "pay")))
-        return told((yield from clients[0].read()))
+        return outcome_of((yield from clients[0].read()))
 
-    assert world.run(go()) == OK and len(kept) == 4 and world.seen() == {"answer": 4}
+    assert world.run(go()) == OK and len(connections) == 4 and world.forward_results() == {"answer": 4}
 
 
-def test_a_connection_that_has_idled_its_time_is_not_written_to_though_no_sweep_has_closed_it(either):
-    """The machine closes it no later than that, and what is written then may have run."""
+def test_expired_idle_connection_is_not_used_even_without_a_sweep(each_kernel):
+    """The instance closes a connection no later than after its idle time, and a hit that is written then may
+    have run.
+    """
 
     def script(world, connection):
-        asked, last = pg.ClientMessageParser(), world.loop.now()
+        parser, last = pg.ClientMessageParser(), world.loop.now()
         while data := (yield from connection.read()):
-            for kind, value in asked.feed(data):
+            for kind, value in parser.feed(data):
                 if kind == "query" and world.loop.now() - last > 300 * MS:
                     connection.abort()
                     return
-                yield from connection.write(pg.startup_response() if kind == "startup" else good(value))
+                yield from connection.write(
+                    pg.startup_response() if kind == "startup" else good_answer(value)
+                )
                 last = world.loop.now()
 
-    world = PgWorld(script, settings=policy(connIdle=300.0))
+    world = PgWorld(script, settings=policy_limits(connIdle=300.0))
 
     def go():
         next(task for task in world.loop.tasks if task.name == "sweep").cancel()
-        client = yield from settled(world, statement(1))
+        client = yield from idle_client(world, statement(1))
         yield Sleep(310 * MS)
         assert world.edge.endpoints.by_id["s-0"].idle
         yield from client.send(statement(2, "pay"))
-        return told((yield from client.read()))
+        return outcome_of((yield from client.read()))
 
     assert world.run(go()) == OK
 
 
-def test_a_second_answer_while_the_end_of_the_first_is_awaited_is_nobody_s(either):
-    """Row and command are whole, so the answer is passed on; the end of the exchange comes with a copy before
-    it."""
+def test_duplicate_response_before_ready_for_query_is_discarded(each_kernel):
+    """A response is delivered once its row and command are complete.
+
+    A duplicate before ReadyForQuery must not become the response of the next hit.
+    """
 
     def on_query(world, connection, text):
-        own = row(text[text.find(b"id=") + 15 :][:4], tag_of(text))
+        own = row(text[text.find(b"id=") + 15 :][:4], command_tag(text))
         yield from connection.write(own)
-        yield from world.until(lambda: sum(world.edge.frontend.counts.values()) >= len(world.got))
+        yield from world.until(lambda: sum(world.edge.frontend.counts.values()) >= len(world.received))
         yield from connection.write(own + pg.READY_FOR_QUERY)
 
-    world = PgWorld(exchanging(on_query))
-    assert world.run(world.ask(*(statement(n) for n in range(1, 5)))) == [
+    world = PgWorld(query_script(on_query))
+    assert world.run(world.query(*(statement(n) for n in range(1, 5)))) == [
         ("delivered", b"%04x" % n) for n in range(1, 5)
     ]
 
 
 @pytest.mark.parametrize("client_first", [False, True])
-def test_an_answer_in_the_turn_in_which_its_client_has_gone_goes_to_nobody(client_first, either):
+def test_response_in_the_turn_of_the_client_close_is_discarded(client_first, each_kernel):
     clients = []
     world = PgWorld(
-        answering_then(good, lambda number: number == 1 and clients[0].connection.close(), client_first)
+        answer_and_act_script(
+            good_answer, lambda number: number == 1 and clients[0].connection.close(), client_first
+        )
     )
 
     def go():
         clients.append((yield from world.connect()))
         yield from clients[0].send(statement(1), start=True)
-        yield from world.until(lambda: world.got and not world.edge.host.hits)
+        yield from world.until(lambda: world.received and not world.edge.host.hits)
         yield Sleep(80 * MS)
-        return (yield from world.ask(statement(2)))
+        return (yield from world.query(statement(2)))
 
     assert world.run(go()) == [OK]
     assert world.edge.endpoints.open_count == 1 and [
@@ -103,82 +113,87 @@
     ] == [0]
 
 
-def test_the_list_tells_of_a_restart_while_the_attempt_dials(either):
-    """What is dialled is the new start, which nobody has decided on: nothing is written to it by the old
-    decision."""
+def test_restart_announced_during_the_dial_stops_the_forward(each_kernel):
+    """The dial reaches the new start, on which no decision has been made: the old decision must write nothing
+    to it.
+    """
 
     def script(world, connection):
         yield from connection.read()
-        if not world.seen():
-            world.tell(host="s-0", born_ms=world.loop.kernel.wall_clock() // 1000 - 60_000)
+        if not world.forward_results():
+            world.publish_host(host="s-0", born_ms=world.loop.kernel.wall_clock() // 1000 - 60_000)
             yield from world.until(lambda: world.edge.endpoints.by_id["s-0"].row["started"] is not None)
         yield from connection.write(pg.startup_response())
-        asked = pg.ClientMessageParser()
-        asked.started = True
+        parser = pg.ClientMessageParser()
+        parser.started = True
         while data := (yield from connection.read()):
-            for _, value in asked.feed(data):
-                world.got.append(value)
-                yield from connection.write(good(value))
+            for _, value in parser.feed(data):
+                world.received.append(value)
+                yield from connection.write(good_answer(value))
 
     world = PgWorld(script)
-    answers = world.run(world.ask(statement(1)))
-    assert world.seen()["changed meanwhile"] == 1 and answers in ([OK], [("53300", "400")])
-    assert len(world.got) == answers.count(OK)
+    answers = world.run(world.query(statement(1)))
+    assert world.forward_results()["changed meanwhile"] == 1 and answers in ([OK], [("53300", "400")])
+    assert len(world.received) == answers.count(OK)
 
 
-@pytest.mark.parametrize("told_of", [True, False])
-def test_a_restart_while_a_request_is_in_flight_and_the_list_s_word_comes_or_never_does(told_of, either):
-    """Its connection ends: it may have run, so it does not run again; the next one goes to the new start."""
+@pytest.mark.parametrize("is_announced", [True, False])
+def test_restart_during_a_request_with_and_without_a_list_update(is_announced, each_kernel):
+    """The connection of an open request closes: it may have run, so it is not sent again, and the next one
+    goes to the new start.
+    """
 
     def script(world, connection):
         def reply(text, number):
             if number == 1:
-                if told_of:
-                    world.tell(host="s-0", born_ms=world.loop.kernel.wall_clock() // 1000 - 60_000)
+                if is_announced:
+                    world.publish_host(host="s-0", born_ms=world.loop.kernel.wall_clock() // 1000 - 60_000)
                 return "reset"
-            return good(text)
+            return good_answer(text)
 
-        yield from answering(reply)(world, connection)
+        yield from answer_script(reply)(world, connection)
 
     world = PgWorld(script)
 
     def go():
-        first = yield from world.ask(statement(1, "pay"))
-        if told_of:
+        first = yield from world.query(statement(1, "pay"))
+        if is_announced:
             yield from world.until(lambda: world.edge.endpoints.by_id["s-0"].row["started"] is not None)
         decisions = world.edge.host.decisions
         yield from world.until(lambda: all(i.ejected_until < world.loop.now() for i in decisions.fleet.up))
-        return first, (yield from world.ask(statement(2)))
+        return first, (yield from world.query(statement(2)))
 
-    assert world.run(go()) == ([("58000", None)], [OK]) and len(world.got) == 2
+    assert world.run(go()) == ([("58000", None)], [OK]) and len(world.received) == 2
     assert world.edge.endpoints.open_count == 1
 
 
-def test_the_list_tells_of_a_restart_while_an_answer_of_the_start_before_is_out(either):
-    """It is delivered all the same, and its connection is of no further use."""
+def test_restart_announced_during_a_response_still_delivers_it(each_kernel):
+    """The response of the old start is delivered, and its connection must not be kept."""
 
     def script(world, connection):
-        asked = pg.ClientMessageParser()
+        parser = pg.ClientMessageParser()
         while data := (yield from connection.read()):
-            for kind, value in asked.feed(data):
-                if kind == "query" and not world.got:
-                    world.tell(host="s-0", born_ms=world.loop.kernel.wall_clock() // 1000 - 60_000)
+            for kind, value in parser.feed(data):
+                if kind == "query" and not world.received:
+                    world.publish_host(host="s-0", born_ms=world.loop.kernel.wall_clock() // 1000 - 60_000)
                     yield from world.until(
                         lambda: world.edge.endpoints.by_id["s-0"].row["started"] is not None
                     )
                 if kind == "query":
-                    world.got.append(value)
-                yield from connection.write(pg.startup_response() if kind == "startup" else good(value))
+                    world.received.append(value)
+                yield from connection.write(
+                    pg.startup_response() if kind == "startup" else good_answer(value)
+                )
 
     world = PgWorld(script)
-    assert world.run(world.ask(statement(1))) == [OK] and world.edge.endpoints.open_count == 0
+    assert world.run(world.query(statement(1))) == [OK] and world.edge.endpoints.open_count == 0
 
 
-def test_a_reset_of_a_client_in_the_turn_of_its_request_is_a_client_that_has_gone():
-    world = PgWorld(answering(lambda text, _: good(text)))
+def test_client_reset_in_the_turn_of_its_request_counts_as_a_close():
+    world = PgWorld(answer_script(lambda text, _: good_answer(text)))
 
     def go():
-        client = yield from settled(world)
+        client = yield from idle_client(world)
         client.connection.write_now(pg.query_message(statement(1)))
         client.connection.handle.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.connection.close()
@@ -186,6 +201,6 @@
         try:
             yield from client.read()
         except ConnectionLostError:
-            return (yield from world.ask(statement(2)))
+            return (yield from world.query(statement(2)))
 
-    assert world.run(go()) == [OK] and len(world.got) == 1
+    assert world.run(go()) == [OK] and len(world.received) == 1
--- a/tests/test_edge_list.py
+++ b/tests/test_edge_list.py
@@ -1,10 +1,10 @@
-"""The edge's list of instances: the feed, restarts, and a new configuration."""
+"""Tests of the gateway's instance list: the watch, restarts, the desk's feed, and a new configuration."""
 
 import json
 
 import pytest
 from pgcrossings import OK
-from pgworld import PgWorld, answering, good, statement
+from pgworld import PgWorld, answer_script, good_answer, statement
 
 from cobaltpond.edge.discovery import DiscoveredInstances
 from cobaltpond.wire import pg
@@ -12,55 +12,58 @@
 
 
 @pytest.mark.parametrize(
-    "change, heard",
+    "change, is_applied",
     [
         (
-            lambda world: world.tell(host="s-0", health="draining"),
+            lambda world: world.publish_host(host="s-0", health="draining"),
             lambda world: world.edge.endpoints.by_id["s-0"].row["state"] == "draining",
         ),
         (
-            lambda world: world.say(State="reverting", MaxShare=0.0),
+            lambda world: world.publish_state(State="reverting", MaxShare=0.0),
             lambda world: world.edge.platform.last_state[2] == "going back",
         ),
     ],
 )
-def test_what_is_told_while_a_dial_lasts_is_kept(change, heard):
-    """The instance is slow to welcome; meanwhile it is to drain, or its build's cap falls: no hit may reach
-    it."""
+def test_change_announced_during_a_dial_stops_the_forward(change, is_applied):
+    """The instance delays its startup response.
+
+    Meanwhile it starts to drain, or its build's cap falls: a hit that was decided before must not be sent to
+    it.
+    """
 
     def slow(world, connection):
         yield from connection.read()
-        if not heard(world):
+        if not is_applied(world):
             change(world)
-            yield from world.until(lambda: heard(world))
+            yield from world.until(lambda: is_applied(world))
         yield from connection.write(pg.startup_response())
         while data := (yield from connection.read()):
-            world.got.append(data)
+            world.received.append(data)
 
     world = PgWorld(slow, news={"Revision": 1, "Wave": 0, "State": "canary", "MaxShare": 1.0, "AgeMs": 0})
-    ((code, _),) = world.run(world.ask(statement(1)))
-    assert code == "53300" and world.got == [] and world.seen() == {"changed meanwhile": 1}
+    ((code, _),) = world.run(world.query(statement(1)))
+    assert code == "53300" and world.received == [] and world.forward_results() == {"changed meanwhile": 1}
 
 
-def test_a_restarted_instance_or_another_build_gets_no_old_connection():
-    world = PgWorld(answering(lambda text, _: good(text)))
+def test_restart_or_new_build_discards_kept_connections():
+    world = PgWorld(answer_script(lambda text, _: good_answer(text)))
 
     def go():
-        yield from world.ask(statement(1))
-        ((kept, _),) = world.edge.endpoints.by_id["s-0"].idle
-        world.tell(host="s-0", revision_no=2)
-        yield from world.until(lambda: kept.closed)
-        second = yield from world.ask(statement(2))
-        ((kept, _),) = world.edge.endpoints.by_id["s-0"].idle
-        world.tell(host="s-0", revision_no=2, born_ms=1_700_000_000_000)
-        yield from world.until(lambda: kept.closed)
+        yield from world.query(statement(1))
+        ((idle_connection, _),) = world.edge.endpoints.by_id["s-0"].idle
+        world.publish_host(host="s-0", revision_no=2)
+        yield from world.until(lambda: idle_connection.closed)
+        second = yield from world.query(statement(2))
+        ((idle_connection, _),) = world.edge.endpoints.by_id["s-0"].idle
+        world.publish_host(host="s-0", revision_no=2, born_ms=1_700_000_000_000)
+        yield from world.until(lambda: idle_connection.closed)
         return second
 
     assert world.run(go()) == [OK]
 
 
-def test_start_times_are_worked_out_once_a_start_and_nonsense_changes_nothing():
-    listed, host = (
+def test_start_time_is_fixed_per_start_and_invalid_lists_change_nothing():
+    instances, host = (
         DiscoveredInstances(),
         {
             "host": "a",
@@ -73,13 +76,15 @@
             "revision_no": 3,
         },
     )
-    whole, ((row_, address),) = listed.apply(
+    whole, ((row_, address),) = instances.apply(
         50_000_000, 3_000_000, {"seq": 4, "whole": True, "hosts": [host]}
     )
     assert whole and address == ("1.2.3.4", 5) and row_["started"] == 48_000_000
-    # the wall clock was set: the same start stays where it was
+    # the wall clock was changed: the same start keeps its start time
     assert (
-        listed.apply(51_000_000, 9_000_000, {"seq": 5, "whole": False, "hosts": [host]})[1][0][0]["started"]
+        instances.apply(51_000_000, 9_000_000, {"seq": 5, "whole": False, "hosts": [host]})[1][0][0][
+            "started"
+        ]
         == 48_000_000
     )
     for wrong in (
@@ -92,29 +97,29 @@
         {"seq": 6, "whole": True, "hosts": [host, {**host, "health": "odd"}]},
     ):
         with pytest.raises(JsonLineError):
-            listed.apply(0, 0, wrong)
-    assert listed.seq == 5
-    assert listed.apply(52_000_000, 0, {"seq": 3, "whole": False, "hosts": [host]}) == (
+            instances.apply(0, 0, wrong)
+    assert instances.seq == 5
+    assert instances.apply(52_000_000, 0, {"seq": 3, "whole": False, "hosts": [host]}) == (
         False,
         [],
-    )  # overtaken
+    )  # older than the newest version
     gone = {**host, "health": "removed", "dial": ""}
-    assert listed.apply(0, 0, {"seq": 6, "whole": False, "hosts": [gone]})[1][0][0]["state"] == "gone"
+    assert instances.apply(0, 0, {"seq": 6, "whole": False, "hosts": [gone]})[1][0][0]["state"] == "gone"
 
 
-def test_after_a_broken_watch_the_whole_list_is_asked_for():
-    world = PgWorld(answering(lambda text, _: good(text)))
+def test_whole_list_is_fetched_after_a_failed_watch():
+    world = PgWorld(answer_script(lambda text, _: good_answer(text)))
 
     def go():
-        yield from world.until(lambda: any(watch for _, path, watch in world.asked))
-        world.discovery_says = "nonsense"
+        yield from world.until(lambda: any(watch for _, path, watch in world.requests))
+        world.discovery_error = "nonsense"
         yield from world.until(lambda: world.edge.discovery.counts["errors"])
-        world.discovery_says = None
-        count = len(world.asked)
+        world.discovery_error = None
+        count = len(world.requests)
         yield from world.until(
-            lambda: any(path == "/discovery/hosts" and not watch for _, path, watch in world.asked[count:])
+            lambda: any(path == "/discovery/hosts" and not watch for _, path, watch in world.requests[count:])
         )
-        world.tell(host="s-0", health="draining")
+        world.publish_host(host="s-0", health="draining")
         yield from world.until(lambda: world.edge.endpoints.by_id["s-0"].row["state"] == "draining")
 
     world.run(go())
@@ -128,34 +133,35 @@
         {"type": "DISPUTE", "object": 7},
     ],
 )
-def test_a_spoilt_line_of_the_feed_drops_it_and_the_state_is_asked_for_anew(line):
-    world = PgWorld(answering(lambda text, _: good(text)))
+def test_corrupt_feed_line_reopens_the_feed(line):
+    world = PgWorld(answer_script(lambda text, _: good_answer(text)))
 
     def go():
         yield from world.until(lambda: len(world.feeds) == 1 and world.edge.platform.has_heard)
         world.feeds[0].send_object({})
         world.feeds[0].send_object(line)
         yield from world.until(lambda: len(world.feeds) == 2)
-        world.say(State="canary", Revision=2, MaxShare=0.2)
+        world.publish_state(State="canary", Revision=2, MaxShare=0.2)
         yield from world.until(lambda: world.edge.platform.last_state == (2, 0, "trial", 0.2))
 
     world.run(go())
 
 
-def test_a_new_configuration_moves_list_and_desk_and_an_unreadable_one_changes_nothing(tmp_path):
-    world = PgWorld(answering(lambda text, _: good(text)), tmp=tmp_path)
+def test_reload_moves_list_and_desk_and_ignores_an_unreadable_file(tmp_path):
+    world = PgWorld(answer_script(lambda text, _: good_answer(text)), tmp=tmp_path)
 
     def go():
         yield from world.until(lambda: world.edge.platform.has_heard)
         (tmp_path / "config.json").write_text("{")
-        world.edge.stop("HUP")  # it is read again for a while: it may be only half there
+        world.edge.stop("HUP")  # the file is read again for a while, as it may be partly written
         yield from world.until(lambda: any(level == "error" for level, _, _ in world.log.lines))
         assert world.edge.discovery.address[1] == world.base + 1
-        for list_at, desk_at in ((5, 5), (3, 4)):  # first where nobody listens: all that came before must end
+        # nobody listens on the first address; the tasks before must end
+        for list_at, desk_at in ((5, 5), (3, 4)):
             (tmp_path / "config.json").write_text(
                 json.dumps(
                     {
-                        **world.told,
+                        **world.configuration,
                         "discovery": f"127.0.0.1:{world.base + list_at}",
                         "rollouts": {"address": f"127.0.0.1:{world.base + desk_at}"},
                     }
@@ -163,18 +169,18 @@
             )
             world.edge.stop("HUP")
         yield from world.until(
-            lambda: {3, 4} <= {offset for offset, _, _ in world.asked} and len(world.feeds) == 2
+            lambda: {3, 4} <= {offset for offset, _, _ in world.requests} and len(world.feeds) == 2
         )
-        yield from world.until(lambda: world.feeds[0].ended)  # the old feed is let go
+        yield from world.until(lambda: world.feeds[0].ended)  # the old feed is closed
         yield from world.until(
             lambda: sorted(task.name for task in world.loop.tasks if task.name in ("discovery", "feed"))
             == ["discovery", "feed"]
         )
         yield from world.edge.platform.cast_vote(1, 0, "hold")
-        return (yield from world.ask(statement(1)))
+        return (yield from world.query(statement(1)))
 
     assert world.run(go()) == [OK]
-    assert world.asked[-1][0] == 4 and world.votes == [{"Revision": 1, "Wave": 0, "Decision": "pause"}]
+    assert world.requests[-1][0] == 4 and world.votes == [{"Revision": 1, "Wave": 0, "Decision": "pause"}]
     assert [event for level, event, _ in world.log.lines if level == "error"] == [
         "configuration kept as it was"
     ]
--- a/tests/test_pg.py
+++ b/tests/test_pg.py
@@ -1,5 +1,6 @@
-"""PostgreSQL's protocol and the platform's statements: cut anywhere, bad lengths, noise, what may not
-pass."""
+"""Tests of the PostgreSQL codec and the platform's statements: split input, bad lengths, noise, refused
+forms.
+"""
 
 import struct
 
@@ -11,24 +12,26 @@
 from cobaltpond.wire import pg
 from cobaltpond.wire.statement import INSERT_TAG, SELECT_TAG, PlatformStatement, StatementError
 
-fixed = settings(derandomize=True, deadline=None, max_examples=150)
+deterministic = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-def pieces(data, cuts):
+def split_at(data, cuts):
+    """Splits bytes at these positions."""
     cuts = sorted({0, len(data), *(c % (len(data) + 1) for c in cuts)})
     return [data[a:b] for a, b in zip(cuts, cuts[1:], strict=False)]
 
 
-def fed(asked, parts):
-    return [event for part in parts for event in asked.feed(part)]
+def feed_all(client_parser, parts):
+    """All events of a sequence of pieces."""
+    return [event for part in parts for event in client_parser.feed(part)]
 
 
-@fixed
+@deterministic
 @given(
     st.lists(st.binary(min_size=1, max_size=60).map(lambda b: b.replace(b"\0", b"x")), max_size=4),
     st.lists(st.integers(0, 400), max_size=12),
 )
-def test_clients_read_the_same_however_they_are_cut(queries, cuts):
+def test_client_messages_parse_the_same_however_they_are_split(queries, cuts):
     data = (
         struct.pack(">II", 8, pg.TLS_REQUEST)
         + pg.startup_message("web", "orders")
@@ -36,48 +39,51 @@
     )
     data += pg.message(b"X", b"")
     whole = pg.ClientMessageParser().feed(data)
-    assert fed(pg.ClientMessageParser(), pieces(data, cuts)) == whole
+    assert feed_all(pg.ClientMessageParser(), split_at(data, cuts)) == whole
     assert [value for kind, value in whole if kind == "query"] == queries and whole[-1] == ("end", None)
     assert whole[1][1][b"user"] == b"web"
 
 
-def test_an_answer_reads_the_same_cut_at_every_byte():
+def test_response_parses_the_same_split_at_every_byte():
     data = pg.message(b"S", b"gauges\0inflight=7,util=0.5\0") + row(b"value") + pg.READY_FOR_QUERY
     for cut in range(len(data) + 1):
-        answers = pg.ServerMessageParser()
-        answers.feed(pg.startup_response())
-        answers.expect(SELECT_TAG)
+        server_parser = pg.ServerMessageParser()
+        server_parser.feed(pg.startup_response())
+        server_parser.expect(SELECT_TAG)
         for part in (data[:cut], data[cut:]):
             if part:
-                answers.feed(part)
-        assert answers.reusable and answers.is_complete and answers.value == row(b"value")
-        assert pg.parse_gauges(answers.gauges) == {"inflight": 7.0, "util": 0.5}
+                server_parser.feed(part)
+        assert server_parser.reusable and server_parser.is_complete and server_parser.value == row(b"value")
+        assert pg.parse_gauges(server_parser.gauges) == {"inflight": 7.0, "util": 0.5}
 
 
-def test_what_show_asks_for_is_the_row_itself():
-    answers = pg.ServerMessageParser()
-    answers.feed(pg.startup_response())
-    answers.expect(b"SHOW\0")
-    assert answers.shown_value is None
-    answers.feed(row(b"util=0.5,inflight=3", b"SHOW") + pg.READY_FOR_QUERY)
-    assert answers.is_complete and pg.parse_gauges(answers.shown_value) == {"util": 0.5, "inflight": 3.0}
+def test_show_response_is_read_from_the_row():
+    server_parser = pg.ServerMessageParser()
+    server_parser.feed(pg.startup_response())
+    server_parser.expect(b"SHOW\0")
+    assert server_parser.shown_value is None
+    server_parser.feed(row(b"util=0.5,inflight=3", b"SHOW") + pg.READY_FOR_QUERY)
+    assert server_parser.is_complete and pg.parse_gauges(server_parser.shown_value) == {
+        "util": 0.5,
+        "inflight": 3.0,
+    }
 
 
-@fixed
+@deterministic
 @given(st.binary(max_size=300), st.booleans())
-def test_any_bytes_are_read_or_refused(data, started):
-    asked = pg.ClientMessageParser()
-    asked.started = started
-    events = asked.feed(data)
-    assert all(kind != "wrong" for kind, _ in events[:-1]) and asked.feed(b"") == []
-    answers = pg.ServerMessageParser()
-    answers.feed(pg.startup_response())
-    answers.expect(SELECT_TAG)
+def test_arbitrary_bytes_are_parsed_or_refused(data, started):
+    client_parser = pg.ClientMessageParser()
+    client_parser.started = started
+    events = client_parser.feed(data)
+    assert all(kind != "wrong" for kind, _ in events[:-1]) and client_parser.feed(b"") == []
+    server_parser = pg.ServerMessageParser()
+    server_parser.feed(pg.startup_response())
+    server_parser.expect(SELECT_TAG)
     try:
-        answers.feed(data)
+        server_parser.feed(data)
     except pg.PgProtocolError:
         pass
-    assert not answers.is_complete
+    assert not server_parser.is_complete
 
 
 @pytest.mark.parametrize(
@@ -96,9 +102,9 @@
         struct.pack(">II", 15, 3 << 16) + b"user\0\0\0",
     ],
 )
-def test_bad_openings_are_told_apart_at_once(data):
-    ((kind, trouble),) = pg.ClientMessageParser().feed(data)[-1:]
-    assert kind == "wrong" and len(trouble.code) == 5
+def test_bad_startup_is_refused_at_once(data):
+    ((kind, error),) = pg.ClientMessageParser().feed(data)[-1:]
+    assert kind == "wrong" and len(error.code) == 5
 
 
 @pytest.mark.parametrize(
@@ -116,14 +122,15 @@
         b"Q\0\0\0\7a\0\0",
     ],
 )
-def test_a_length_is_judged_before_anything_is_kept(data):
-    asked = pg.ClientMessageParser()
-    asked.feed(pg.startup_message("web", "orders"))
-    assert [kind for kind, _ in asked.feed(data)] == ["wrong"] and asked.pending == b""
-    assert asked.feed(b"x" * 100_000) == [] and asked.pending == b""
+def test_length_is_checked_before_anything_is_buffered(data):
+    client_parser = pg.ClientMessageParser()
+    client_parser.feed(pg.startup_message("web", "orders"))
+    assert [kind for kind, _ in client_parser.feed(data)] == ["wrong"] and client_parser.pending == b""
+    assert client_parser.feed(b"x" * 100_000) == [] and client_parser.pending == b""
 
 
-def spoil(at, by):
+def corrupt(at, by):
+    """A response whose bytes at `at` are replaced by `by`."""
     data = row(b"value") + pg.READY_FOR_QUERY
     return data[:at] + by + data[at + len(by) :]
 
@@ -131,10 +138,10 @@
 @pytest.mark.parametrize(
     "data",
     [
-        spoil(0, b"\x13"),
-        spoil(1, b"\xff\xff\xff\xff"),
-        spoil(1, b"\0\0\0\0"),
-        spoil(5, b"\0\2"),
+        corrupt(0, b"\x13"),
+        corrupt(1, b"\xff\xff\xff\xff"),
+        corrupt(1, b"\0\0\0\0"),
+        corrupt(5, b"\0\2"),
         row(tag=b"SELECT 2"),
         row(tag=b"INSERT 0 1"),
         row(b"x" * (pg.MAX_VALUE_BYTES + 100)),
@@ -150,13 +157,13 @@
         pg.message(b"N", b"x") * 40,
     ],
 )
-def test_a_spoilt_answer_is_never_whole(data):
-    answers = pg.ServerMessageParser()
-    answers.feed(pg.startup_response())
-    answers.expect(SELECT_TAG)
+def test_corrupt_response_is_never_complete(data):
+    server_parser = pg.ServerMessageParser()
+    server_parser.feed(pg.startup_response())
+    server_parser.expect(SELECT_TAG)
     with pytest.raises(pg.PgProtocolError):
-        answers.feed(data)
-    assert not answers.is_complete and len(answers.pending) < 1000
+        server_parser.feed(data)
+    assert not server_parser.is_complete and len(server_parser.pending) < 1000
 
 
 @pytest.mark.parametrize(
@@ -170,12 +177,12 @@
         pg.message(b"Z", b"?"),
     ],
 )
-def test_a_good_answer_with_more_than_belongs_to_it_is_good_and_the_connection_is_not(more):
-    answers = pg.ServerMessageParser()
-    answers.feed(pg.startup_response())
-    answers.expect(SELECT_TAG)
-    answers.feed(row(b"value") + more)
-    assert answers.is_complete and answers.value == row(b"value") and not answers.reusable
+def test_response_with_trailing_bytes_is_valid_but_its_connection_is_not_reusable(more):
+    server_parser = pg.ServerMessageParser()
+    server_parser.feed(pg.startup_response())
+    server_parser.expect(SELECT_TAG)
+    server_parser.feed(row(b"value") + more)
+    assert server_parser.is_complete and server_parser.value == row(b"value") and not server_parser.reusable
 
 
 @pytest.mark.parametrize(
@@ -194,11 +201,11 @@
         None,
     ],
 )
-def test_a_report_that_cannot_be_read_is_none(gauges):
+def test_unreadable_gauges_give_an_empty_report(gauges):
     assert pg.parse_gauges(gauges) == {}
 
 
-def test_statements_pass_with_nothing_but_the_wait_changed():
+def test_statements_pass_with_only_the_time_limit_changed():
     for group, tag in (("look", SELECT_TAG), ("hold", INSERT_TAG)):
         text = statement(7, group, 480)
         read = PlatformStatement(text)
@@ -242,7 +249,7 @@
         (b"c=look,", b""),
     ],
 )
-def test_statements_of_another_form_are_none(old, new):
+def test_other_statements_are_refused(old, new):
     text = statement(7, "look", 480)
     assert old in text
     with pytest.raises(StatementError):
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,5 +1,4 @@
-"""`run` of the deploy file: as a process under two settings that share nothing, and settings that make no
-sense."""
+"""Tests of the deploy file's `run` as a process under two unrelated settings, and of invalid settings."""
 
 import json
 import signal
@@ -8,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from pgworld import SETTINGS, PgWorld, answering, good, row, statement, told
+from pgworld import SETTINGS, PgWorld, answer_script, good_answer, outcome_of, row, statement
 
 from cobaltpond.edge.config import ConfigError, parse_config
 from cobaltpond.edge.main import Edge
@@ -20,7 +19,7 @@
 OK = ("delivered", b"fine")
 MS = 1000
 
-OTHER = {
+OTHER_SETTINGS = {
     "balancers": 40,
     "position": 7,
     "zone": "Põhi",
@@ -78,13 +77,13 @@
 }
 
 
-def words(told_):
-    """All names and figures of settings, but those that the protocol itself has."""
-    if isinstance(told_, dict):
-        return {word for value in told_.values() for word in words(value)}
-    if isinstance(told_, list):
-        return {word for value in told_ for word in words(value)}
-    own = {
+def all_values(document):
+    """All names and numbers of settings, except the words of the protocol itself."""
+    if isinstance(document, dict):
+        return {value_inside for value in document.values() for value_inside in all_values(value)}
+    if isinstance(document, list):
+        return {value_inside for value in document for value_inside in all_values(value)}
+    protocol_values = {
         "automatic",
         "subscribe",
         "by_count",
@@ -98,29 +97,31 @@
         True,
         False,
     }
-    return set() if told_ in own else {told_}
+    return set() if document in protocol_values else {document}
 
 
 @pytest.mark.parametrize(
     "settings, classes, tenant",
     [
         (SETTINGS, {"look": "look", "pay": "pay"}, "ann"),
-        (OTHER, {"look": "hinnapäring", "pay": "pilet/välja"}, "Kalev & Co"),
+        (OTHER_SETTINGS, {"look": "hinnapäring", "pay": "pilet/välja"}, "Kalev & Co"),
     ],
 )
-def test_run_serves_settings_that_share_no_name_and_no_figure(settings, classes, tenant, tmp_path):
-    """`run` of the deploy file, as a process: ready, a request of each kind, a request open over SIGTERM, its
-    end."""
-    assert words(SETTINGS) & words(OTHER) == set()
+def test_run_serves_two_settings_without_common_names_or_numbers(settings, classes, tenant, tmp_path):
+    """Guards against hard-coded names and numbers.
+
+    The process gets ready, answers one request of each kind, has one open over SIGTERM, and exits.
+    """
+    assert all_values(SETTINGS) & all_values(OTHER_SETTINGS) == set()
     unanswered = b"id=%016x" % 3
 
     def reply(text, _):
         if text.startswith(b"SHOW"):
             return row(b"inflight=1", b"SHOW") + pg.READY_FOR_QUERY
-        return None if unanswered in text else good(text)
+        return None if unanswered in text else good_answer(text)
 
-    world = PgWorld(answering(reply), tmp=tmp_path, here=False)
-    Path(world.path).write_text(json.dumps({**world.told, "settings": settings}))
+    world = PgWorld(answer_script(reply), tmp=tmp_path, start_edge=False)
+    Path(world.path).write_text(json.dumps({**world.configuration, "settings": settings}))
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     with open(tmp_path / "log", "wb") as log:
         process = subprocess.Popen(
@@ -150,14 +151,14 @@
         yield from client.send(b"", text(1, "look"), text(2, "pay"), start=True)
         got = []
         for _ in range(4):
-            got.append(told((yield from client.read())))
+            got.append(outcome_of((yield from client.read())))
         yield from client.send(text(3, "pay"))  # never answered by the instance
-        yield from world.until(lambda: any(unanswered in text for text in world.got))
+        yield from world.until(lambda: any(unanswered in text for text in world.received))
         process.send_signal(signal.SIGTERM)
         late = yield from world.connect()
         yield from late.send(text(4, "look"), start=True)
         yield from late.read()
-        got += [told((yield from late.read())), told((yield from client.read()))[0]]
+        got += [outcome_of((yield from late.read())), outcome_of((yield from client.read()))[0]]
         yield from world.until(lambda: process.poll() is not None)
         return got
 
@@ -171,8 +172,8 @@
     assert process.returncode == 0
 
 
-class Answered(PendingHit):
-    """A request whose answers go nowhere."""
+class DiscardedHit(PendingHit):
+    """A hit whose responses are discarded."""
 
     def reject(self, retry_after):
         self.final = True
@@ -181,11 +182,13 @@
         self.final = True
 
 
-NONSENSE = (None, "x", -1.0, [], {"a": 1})
+INVALID_VALUES = (None, "x", -1.0, [], {"a": 1})
 
 
-def test_settings_with_any_part_missing_or_nonsense_are_refused_with_a_reason_or_taken():
-    """Never a fault in mid-start: either ConfigError, or a gateway whose decisions begin."""
+def test_settings_with_a_missing_or_invalid_part_are_refused_or_usable():
+    """Invalid settings must not crash a starting gateway: each is either refused with ConfigError, or the
+    decisions start and run with it.
+    """
 
     def changed(settings, path, value):
         copy = json.loads(json.dumps(settings))
@@ -205,14 +208,14 @@
                 yield from paths(part[key], (*path, key))
 
     world, refused = PgWorld(), 0
-    for settings in (SETTINGS, OTHER):
+    for settings in (SETTINGS, OTHER_SETTINGS):
         for path in paths(settings):
-            for value in NONSENSE:
-                told_ = {**world.told, "settings": changed(settings, path, value)}
+            for value in INVALID_VALUES:
+                document = {**world.configuration, "settings": changed(settings, path, value)}
                 try:
-                    config = parse_config(told_)
-                except ConfigError as trouble:
-                    assert "\n" not in str(trouble)
+                    config = parse_config(document)
+                except ConfigError as error:
+                    assert "\n" not in str(error)
                     refused += 1
                     continue
                 edge = Edge(Loop(world.loop.kernel), world.path, config, world.log)
@@ -227,8 +230,8 @@
                 decisions.on_list(0, True, rows)
                 decisions.on_news(0, 2, 0, "trial", 0.5, 0, False, "ok")
                 decisions.hits.clear()
-                for number, name in enumerate(edge.frontend.groups):  # known to the host by then
-                    edge.host.hits[number] = Answered(number, "", edge.frontend)
+                for number, name in enumerate(edge.frontend.groups):  # the host knows them by then
+                    edge.host.hits[number] = DiscardedHit(number, "", edge.frontend)
                     decisions.on_hit(1, number, name, None, 7, 500_000, None, False)
                     decisions.on_outcome(2, number, 0, "ok", 1_000, False, {})
     assert refused > 100
