--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -193,12 +193,12 @@
                 yield Sleep(backoff.next_delay())
 
     def whole_list(self, address):
-        """Fetches the whole list and returns (status, body) of the first response.
+        """Fetches the whole list and returns (status, body).
 
-        A further request is sent every HEDGE_INTERVAL_US until one is answered; a working agent runs on this
-        machine and answers at once. An agent that was silent never answers the requests of that time, and
-        whatever it has when it returns counts as announced at once, so waiting for an old request would leave
-        a stale list. Raises what the first failed request raised.
+        A further request is sent every HEDGE_INTERVAL_US until one ends; the first one to end decides, and
+        its error is raised. A working agent runs on this machine and answers at once. An agent that was
+        silent never answers the requests of that time, and whatever it has when it returns counts as
+        announced at once, so waiting for an old request would leave a stale list.
         """
         responses, tasks = Queue(2 * RESPONSE_TIMEOUT_US // HEDGE_INTERVAL_US), []
 
--- a/cobaltpond/wire/pg.py
+++ b/cobaltpond/wire/pg.py
@@ -10,7 +10,7 @@
 import struct
 
 MAX_STARTUP_BYTES = 10_000  # PostgreSQL's own limit of a startup message
-MAX_VALUE_BYTES = 64 << 10  # largest value that the platform sends
+MAX_VALUE_BYTES = 64 << 10  # largest value that the platform allows
 MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 4096  # a value in hex, and the statement around it
 MAX_SKIPPED_MESSAGES = 32  # notices and parameter statuses in one response
 TLS_REQUEST, GSS_REQUEST, CANCEL_REQUEST = 80877103, 80877104, 80877102
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -205,7 +205,7 @@
     """Discovery comes back after a while, answers one watch early without a change, and announces the next
     change. The retry delays that grew while it was down must not be applied between the two.
     """
-    world, calls, told_at = (
+    world, calls, announced_at = (
         PgWorld(answer_script(lambda text, _: good_answer(text)), discovery_offset=5, known_list=True),
         [],
         [],
@@ -218,17 +218,17 @@
             return
         if not calls[-1]:
             yield from connection.write(http_response(whole_list(world.seq, *world.hosts)))
-        elif not told_at:
+        elif not announced_at:
             yield from connection.write(http_response({"seq": world.seq, "whole": False, "hosts": []}))
             world.publish_host(host="s-0", health="draining")
-            told_at.append(world.loop.now())
+            announced_at.append(world.loop.now())
         yield from connection.read()
 
     world.listen_at(5, script)
 
     def go():
         yield from world.until(lambda: instance_states(world) == {"s-0": "draining"})
-        return world.loop.now() - told_at[0]
+        return world.loop.now() - announced_at[0]
 
     assert world.run(go()) < 200 * MS
 
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -80,9 +80,9 @@
 def all_values(document):
     """All names and numbers of settings, except the words of the protocol itself."""
     if isinstance(document, dict):
-        return {value_inside for value in document.values() for value_inside in all_values(value)}
+        return {inner_value for value in document.values() for inner_value in all_values(value)}
     if isinstance(document, list):
-        return {value_inside for value in document for value_inside in all_values(value)}
+        return {inner_value for value in document for inner_value in all_values(value)}
     protocol_values = {
         "automatic",
         "subscribe",
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -125,13 +125,13 @@
         yield from silent.send(start=True)
         yield from silent.read()
         got = yield from silent.read()
-        still = any(client.hit is not None for client in world.edge.frontend.clients)
+        other_hit_is_open = any(client.hit is not None for client in world.edge.frontend.clients)
         yield from drain.join()
-        return got, still
+        return got, other_hit_is_open
 
     # refused and closed while the other client's hit was still open
-    ((kind, body), end), still = world.run(go())
-    assert kind == b"E" and b"C53300\0" in body and end == (b"end", b"") and still
+    ((kind, body), end), other_hit_is_open = world.run(go())
+    assert kind == b"E" and b"C53300\0" in body and end == (b"end", b"") and other_hit_is_open
 
 
 def test_indented_list_with_unknown_fields_is_read():
