--- a/bench/members.py
+++ b/bench/members.py
@@ -25,10 +25,10 @@
 from cobaltpond.members.reachability import Reachability  # noqa: E402
 from cobaltpond.members.states import (  # noqa: E402
     ALIVE,
-    CODES,
     FAILED,
     HEARD,
     LEFT,
+    STATE_CODES,
     SUSPECTED,
     SUSPICION_EXPIRED,
     Member,
@@ -87,7 +87,7 @@
             return
         self.next_beat = now + self.probe_settings.period
         self.stamp += 1
-        facts = {**self.self_description, "start": self.start, "incarnation": 0, "state": CODES[ALIVE]}
+        facts = {**self.self_description, "start": self.start, "incarnation": 0, "state": STATE_CODES[ALIVE]}
         for number, member in self.members.items():
             self.out.append(
                 (
@@ -107,7 +107,7 @@
 
 KINDS = {
     "ours": (View, ProbeSettings()),
-    "plain SWIM": (View, ProbeSettings(plain=True)),
+    "plain SWIM": (View, ProbeSettings(plain_swim=True)),
     "all to all": (Heartbeats, ProbeSettings()),
 }
 
@@ -189,8 +189,8 @@
 
 
 def many(job):
-    plain, seed = job
-    one = MemberCluster(30, seed, 3, ProbeSettings(200_000, 60_000, plain))
+    plain_swim, seed = job
+    one = MemberCluster(30, seed, 3, ProbeSettings(200_000, 60_000, plain_swim))
     one.start_all()
     one.run(1_100_000)
     one.run_until(one.all_agree, 20 * SECOND)
@@ -306,9 +306,13 @@
                             *(sum(f[n] for f in found) for n in (1, 2, 3)),
                         )
         elif asked.what == "many":
-            for plain in (False, True):
-                found = pool.map(many, [(plain, seed) for seed in range(asked.seeds)], 1)
-                row("plain SWIM" if plain else "ours", f"{p(found, 50):.1f} s", f"{max(found) / 1e6:.1f} s")
+            for plain_swim in (False, True):
+                found = pool.map(many, [(plain_swim, seed) for seed in range(asked.seeds)], 1)
+                row(
+                    "plain SWIM" if plain_swim else "ours",
+                    f"{p(found, 50):.1f} s",
+                    f"{max(found) / 1e6:.1f} s",
+                )
         elif asked.what == "fuzz":
             for seed, (read, odd) in enumerate(pool.map(fuzz, range(asked.seeds), 1)):
                 row(seed, f"{read} read", f"{odd} said why not", "nothing else raised")
--- a/cobaltpond/members/__init__.py
+++ b/cobaltpond/members/__init__.py
@@ -1,2 +1,3 @@
-"""Who of the gateways is there, who has failed, what may be taken from another one
-(docs/notes-members.md)."""
+"""Membership of gateways: failure detection by SWIM with Lifeguard, and what gateways gossip to each other.
+
+The design is described in docs/notes-members.md."""
--- a/cobaltpond/members/gossip.py
+++ b/cobaltpond/members/gossip.py
@@ -1,90 +1,107 @@
-"""What a gateway says of the release and of instances, and what it takes from another one's word. Free of
-I/O.
+"""Gossips the release state and draining instances, and judges what others gossip. Free of I/O.
 
-One rule: a member's word only ever shuts. That a build goes back, has been withdrawn or has a lower cap is
-acted upon until our own link to the desk speaks again; that an instance drains, until our own list knows it.
-Nothing heard from a member opens a cap, a build or an instance: a wrong or late word costs room, never a
-rule.
+Gossip may only restrict traffic. That a build goes back, is withdrawn or has a lower cap is acted upon
+until this gateway's own link to the desk speaks again; that an instance drains, until its own instance list
+knows it. Gossip never opens a cap, a build or an instance, so that a wrong or late message costs capacity
+but breaks no rule.
 """
 
 from cobaltpond.members.states import LEFT
 
 PHASES = ("trial", "released", "going back", "withdrawn")  # in the order in which a build goes through them
-SHUT = 2  # from this one on a build gets no more hits
-FRESH = 5_000_000  # an instance that began to drain so lately is told of
+FIRST_CLOSED_PHASE = 2  # index in PHASES: from this phase on a build gets no more hits
+RECENT_DRAIN_US = 5_000_000  # instances that began to drain within this time are gossiped
 
 
 class Gossip:
-    """`post`: called with what the module is to hear, as `GatewayDecisionHost.post_event`."""
+    """Release state and drains as this gateway's own links and other members report them.
+
+    `post`: called with the name and the arguments of an event for the decisions, as
+    `GatewayDecisionHost.post_event`. Times are in microseconds."""
 
     def __init__(self, post):
         self.post_event = post
-        self.own, self.own_since = None, 0  # what our own link to the desk said last
-        self.heard, self.heard_since, self.heard_from = None, 0, None  # what holds on another's word
-        self.overruled = {}  # words that our own link has spoken after, in order
-        self.revision, self.draining = 0, {}  # of our list; tag of an instance -> when it began to drain
+        # (build, stage, phase, cap) that our own desk link reported last, and since when it holds
+        self.own_release, self.own_since = None, 0
+        # the same from another member, while it overrides ours, and that member's number
+        self.gossiped_release, self.gossiped_since, self.gossiped_by = None, 0, None
+        self.overruled = {}  # gossiped releases that our own link has contradicted since, oldest first
+        # revision of our instance list; tag of a draining instance -> when it began to drain
+        self.revision, self.draining = 0, {}
         self.counts = {"news taken": 0, "drains taken": 0, "overruled": 0}
 
-    # --- what our own links say -----------------------------------------------------------------------------
+    # --- reports of our own links ---------------------------------------------------------------------------
 
     def update_release(self, now: int, build: int, stage: int, phase: str, cap: float, age: int) -> None:
-        """From the desk. It always holds, and ends what was taken on another's word."""
-        self.own, self.own_since = (build, stage, phase, cap), now - age
-        if self.heard is not None:
-            if self.heard[:3] != self.own[:3]:
-                self.overruled[self.heard] = True
+        """Takes the desk's release state, `age` microseconds old. It always holds, and ends what gossip had
+        closed."""
+        self.own_release, self.own_since = (build, stage, phase, cap), now - age
+        if self.gossiped_release is not None:
+            if self.gossiped_release[:3] != self.own_release[:3]:
+                self.overruled[self.gossiped_release] = True
                 while len(self.overruled) > 16:
                     del self.overruled[next(iter(self.overruled))]
                 self.counts["overruled"] += 1
-            self.heard = self.heard_from = None
+            self.gossiped_release = self.gossiped_by = None
             self.post_event("on_shut", None)
 
     def set_draining(self, now: int, revision: int, tags: list[int]) -> None:
-        """Our own list has changed; `tags`: of those that drain by it."""
+        """Takes the tags of the instances that drain by our own instance list of this revision."""
         self.revision = revision
         self.draining = {tag: self.draining.get(tag, now) for tag in tags}
 
-    # --- what is said ---------------------------------------------------------------------------------------
+    # --- what is sent ---------------------------------------------------------------------------------------
 
     def outgoing(self, now: int) -> tuple[tuple | None, list[int]]:
-        """(news for a datagram or None, tags of instances that began to drain lately, the newest first)."""
-        told, since = (self.heard, self.heard_since) if self.heard is not None else (self.own, self.own_since)
+        """(release state as `wire.news_field` takes it or None, tags of instances that began to drain lately,
+        the newest first)."""
+        release, since = (
+            (self.gossiped_release, self.gossiped_since)
+            if self.gossiped_release is not None
+            else (self.own_release, self.own_since)
+        )
         news = None
-        if told is not None:
-            build, stage, phase, cap = told
+        if release is not None:
+            build, stage, phase, cap = release
             news = build, min(stage, 255), PHASES.index(phase), cap, max(0, now - since)
-        fresh = [tag for tag, at in reversed(self.draining.items()) if now - at < FRESH]
-        return news, fresh
+        recent_drains = [tag for tag, at in reversed(self.draining.items()) if now - at < RECENT_DRAIN_US]
+        return news, recent_drains
 
-    # --- what others say ------------------------------------------------------------------------------------
+    # --- reports of other members ---------------------------------------------------------------------------
 
     def receive(self, now: int, member, news: tuple | None, drains: list[int]) -> None:
-        """Of one fresh datagram."""
+        """Takes the gossip of one datagram that is newer than all before it from this member."""
         if member.state == LEFT:
             return
         if drains and member.facts.get("revision", 0) > self.revision:
             self.counts["drains taken"] += 1
             self.post_event("on_drains", drains)
         if news is None or news[2] >= len(PHASES):
-            return  # a phase of a later version: no word that we know
-        told = news[0], news[1], PHASES[news[2]], news[3]
-        if told in self.overruled or not self.shuts(told, now - news[4]):
+            return  # The phase belongs to a later version of the program and is ignored.
+        release = news[0], news[1], PHASES[news[2]], news[3]
+        if release in self.overruled or not self.is_restriction(release, now - news[4]):
             return
-        self.heard, self.heard_since, self.heard_from = told, now - news[4], member.number
+        self.gossiped_release, self.gossiped_since, self.gossiped_by = release, now - news[4], member.number
         self.counts["news taken"] += 1
-        self.post_event("on_shut", told[0])
-
-    def shuts(self, told: tuple, since: int) -> bool:
-        """Is it a reason to send no more to that build? An older stage or build is not: its teller is
-        behind."""
-        build, stage, phase, cap = told
-        known = self.heard or self.own
-        order = PHASES.index(phase)
+        self.post_event("on_shut", release[0])
+
+    def is_restriction(self, release: tuple, since: int) -> bool:
+        """Whether a reported release closes its build to more hits than what is known.
+
+        An older stage or build does not: the member that reports it is behind."""
+        build, stage, phase, cap = release
+        known = self.gossiped_release or self.own_release
+        phase_index = PHASES.index(phase)
         if known is None:
-            return order >= SHUT
+            return phase_index >= FIRST_CLOSED_PHASE
         if build != known[0]:
-            return build > known[0] and order >= SHUT
-        mine = PHASES.index(known[2])
-        if order >= SHUT:
-            return order > mine
-        return order == mine and stage == known[1] and cap < known[3] - 1 / 65535 and since >= self.own_since
+            return build > known[0] and phase_index >= FIRST_CLOSED_PHASE
+        known_phase_index = PHASES.index(known[2])
+        if phase_index >= FIRST_CLOSED_PHASE:
+            return phase_index > known_phase_index
+        return (
+            phase_index == known_phase_index
+            and stage == known[1]
+            and cap < known[3] - 1 / 65535
+            and since >= self.own_since
+        )
--- a/cobaltpond/members/reachability.py
+++ b/cobaltpond/members/reachability.py
@@ -1,14 +1,15 @@
-"""What silence means: a member, a zone, a link, or we ourselves. Free of I/O.
+"""Judges whether silence is due to a member, a zone, a link or our own network. Free of I/O.
 
-A probe ends DIRECT (it answered us), HELPED (it answered a helper only: our link to it or back is broken),
-LOST (a helper says that it does not answer it either) or MUTE (no helper answered us: it may as well be us).
-Links are named by that; zones by who is suspect or failed, which is what probes and helpers have come to.
+A probe ends in one of four ways: DIRECT (the member answered us), INDIRECT (it answered a helper only, so our
+link to it or back is broken), NACKED (a helper reports that the member does not answer it either) or NO_REPLY
+(no helper answered, so the fault may be ours). Broken links follow from these results; the state of a zone
+follows from which of its members are suspect or failed, which probes and helpers have established.
 """
 
 from cobaltpond.members.states import ALIVE, FAILED, LEFT, SUSPECT, UNHEARD
 
-DIRECT, HELPED, LOST, MUTE = "direct", "helped", "lost", "mute"
-ALONE_PERIODS = 4  # of a probe, without a word from anybody
+DIRECT, INDIRECT, NACKED, NO_REPLY = "direct", "helped", "lost", "mute"
+ALONE_AFTER_PERIODS = 4  # protocol periods without a datagram from any member
 REACHABLE, GONE, PARTLY_GONE, CUT_OFF, ALONE, UNKNOWN = (
     "fine",
     "gone",
@@ -20,51 +21,56 @@
 
 
 class Reachability:
+    """Reachability of members, links and zones as one gateway's view shows it."""
+
     def __init__(self, view):
         self.view = view
 
     def is_alone(self, now: int) -> bool:
-        """Nothing came from anybody for a while, though others are known to be or have been there."""
+        """Whether no datagram has come for ALONE_AFTER_PERIODS, though other members are or were running."""
         heard = [m.heard_at for m in self.view.members.values() if m.heard_at is not None]
         known = any(m.state not in (UNHEARD, LEFT) for m in self.view.members.values())
-        wait = ALONE_PERIODS * self.view.probe_settings.period
+        wait = ALONE_AFTER_PERIODS * self.view.probe_settings.period
         return known and now - max(heard, default=self.view.began) > wait
 
-    def links(self) -> list[int]:
-        """Members that others hear and we do not, or that do not hear us: one link, whichever way it is
-        broken."""
-        return sorted(n for n, m in self.view.members.items() if m.state == ALIVE and m.reached == HELPED)
+    def broken_links(self) -> list[int]:
+        """Members that helpers reach and this gateway does not: the link is broken, in either direction."""
+        return sorted(
+            n for n, m in self.view.members.items() if m.state == ALIVE and m.probe_result == INDIRECT
+        )
 
     def zones(self, now: int) -> dict[str, str]:
-        """zone -> what it looks like from here.
+        """The state of each zone as seen from here, by zone.
 
-        Gone: none of it is there, while most members are. Cut off from it: none of it is there, and more than
-        half of all members are silent with it: then it is rather we who are the island."""
-        view, own = self.view, self.view.zones[self.view.number]
-        rows, counted = {}, [m for m in view.members.values() if m.state not in (UNHEARD, LEFT)]
-        dark = [m for m in counted if m.state in (SUSPECT, FAILED)]
+        GONE: none of the zone's members is there, while most members are. CUT_OFF: none of them is there, and
+        more than half of all members are silent too, so this gateway is more likely on the smaller side of a
+        network partition."""
+        view, own_zone = self.view, self.view.zones[self.view.number]
+        states, known = {}, [m for m in view.members.values() if m.state not in (UNHEARD, LEFT)]
+        all_silent = [m for m in known if m.state in (SUSPECT, FAILED)]
         if self.is_alone(now):
             return dict.fromkeys(dict.fromkeys(view.zones.values()), ALONE)
         for zone in dict.fromkeys(view.zones.values()):
-            members = [m for m in counted if m.zone == zone]
+            members = [m for m in known if m.zone == zone]
             silent = [m for m in members if m.state in (SUSPECT, FAILED)]
             if not members:
-                rows[zone] = REACHABLE if zone == own else UNKNOWN
+                states[zone] = REACHABLE if zone == own_zone else UNKNOWN
             elif not silent:
-                rows[zone] = REACHABLE
-            elif len(silent) < len(members) or zone == own:
-                rows[zone] = PARTLY_GONE
-            elif 2 * len(dark) > len(counted) + 1:
-                rows[zone] = CUT_OFF
+                states[zone] = REACHABLE
+            elif len(silent) < len(members) or zone == own_zone:
+                states[zone] = PARTLY_GONE
+            elif 2 * len(all_silent) > len(known) + 1:
+                states[zone] = CUT_OFF
             else:
-                rows[zone] = GONE
-        return rows
+                states[zone] = GONE
+        return states
 
     def is_island(self, now: int) -> bool:
-        """Are we on the smaller side?"""
+        """Whether this gateway is on the smaller side of a network partition."""
         return any(state in (CUT_OFF, ALONE) for state in self.zones(now).values())
 
     def summary(self, now: int) -> dict:
+        """Members by state (this gateway counts as alive), zones and links, as the status pages show them."""
         states = [m.state for m in self.view.members.values()]
         return {
             "alive": 1 + states.count(ALIVE),
@@ -73,7 +79,7 @@
             "left": states.count(LEFT),
             "unheard": states.count(UNHEARD),
             "zones": self.zones(now),
-            "broken_links": self.links(),
+            "broken_links": self.broken_links(),
             "alone": self.is_alone(now),
             "health": self.view.health,
         }
--- a/cobaltpond/members/receiving.py
+++ b/cobaltpond/members/receiving.py
@@ -2,28 +2,29 @@
 
 from cobaltpond.members import wire
 from cobaltpond.members.probing import NACK_SHARE
-from cobaltpond.members.reachability import DIRECT, HELPED
-from cobaltpond.members.states import CODES, LEFT
+from cobaltpond.members.reachability import DIRECT, INDIRECT
+from cobaltpond.members.states import LEFT, STATE_CODES
 
-RELAYED = 64  # questions for others that are open here
-EACH_PERIOD = 24  # datagrams of one sender that are read in a period
+MAX_RELAYS = 64  # indirect pings under way here on behalf of other members
+MAX_DATAGRAMS_PER_PERIOD = 24  # read from one sender in a protocol period
 
 
 class Receiving:
-    """A part of `view.View`, which has the state."""
+    """The receiving part of `view.View`, which holds the state."""
 
     def receive_datagram(self, now: int, sender: int, data: bytes) -> None:
-        """One datagram from the address of a member. Raises wire.Odd on what is not read; nothing of it is
-        kept."""
+        """Handles one datagram from the address of member `sender`.
+
+        Raises wire.DatagramError if it cannot be read; nothing of it is applied then. Datagrams beyond
+        MAX_DATAGRAMS_PER_PERIOD are dropped and counted."""
         member = self.members.get(sender)
         if member is None:
             raise wire.DatagramError("stranger")
-        if (
-            now - member.spent_at >= self.probe_settings.period
-        ):  # guards against floods: before anything is worked out
-            member.spent, member.spent_at = 0, now
-        member.spent += 1
-        if member.spent > EACH_PERIOD:
+        # The limit applies before any decoding, so that a flood from one sender costs little CPU time.
+        if now - member.period_began >= self.probe_settings.period:
+            member.period_datagrams, member.period_began = 0, now
+        member.period_datagrams += 1
+        if member.period_datagrams > MAX_DATAGRAMS_PER_PERIOD:
             self.counts["flood"] += 1
             return
         kind, sequence, stamp, fields = wire.decode_datagram(sender, self.number, data)
@@ -34,38 +35,38 @@
         self.counts["heard"] += 1
         self.adjust_health(member.missed_acks)
         member.missed_acks = 0
-        fresh = (
+        is_newest = (
             facts["start"] > member.start
             or facts["start"] == member.start
             and (member.stamp is None or stamp > member.stamp)
         )
         self.apply_row(now, sender, facts["start"], facts["incarnation"], wire.NAMES[facts["state"]], sender)
-        if fresh and facts["start"] == member.start:
+        if is_newest and facts["start"] == member.start:
             member.facts, member.stamp, member.heard_at = facts, stamp, now
             if self.on_gossip is not None:
                 self.on_gossip(member, news, drains)
         elif facts["start"] < member.start:
-            self.counts["old"] += 1  # a former life's, late or replayed: its word is not taken
+            self.counts["old"] += 1  # A late or replayed datagram of a previous start is ignored as a whole.
             return
         else:
             self.counts["old"] += 1
-        for told in rows:
-            self.apply_row(now, *told)
-        if facts["state"] == CODES[LEFT]:
+        for row in rows:
+            self.apply_row(now, *row)
+        if facts["state"] == STATE_CODES[LEFT]:
             return
-        differs = digest is not None and digest != self.hash
+        differs = digest is not None and digest != self.table_digest
         if kind == wire.PING:
             self.send(wire.ACK, sender, sequence, differs=differs)
         elif kind == wire.ACK:
-            self.acked(now, sender, sequence, about)
-        elif kind == wire.INDIRECT_PING and about in self.members and len(self.relays) < RELAYED:
-            relayed = self.ping(about)
-            wait = self.probe_settings.wait
-            self.relays[relayed] = (
+            self.handle_ack(now, sender, sequence, about)
+        elif kind == wire.INDIRECT_PING and about in self.members and len(self.relays) < MAX_RELAYS:
+            relay_sequence = self.ping(about)
+            ack_timeout = self.probe_settings.ack_timeout
+            self.relays[relay_sequence] = (
                 sender,
                 sequence,
                 about,
-                now + int(NACK_SHARE * wait),
+                now + int(NACK_SHARE * ack_timeout),
                 now + self.probe_settings.period,
             )
         elif kind in (wire.TRIAL_ASK, wire.TRIAL_REPLY) and self.on_trial_message is not None:
@@ -82,7 +83,11 @@
         ):
             self.probe.nacks[sender] = True
 
-    def acked(self, now: int, sender: int, sequence: int, about: int | None) -> None:
+    def handle_ack(self, now: int, sender: int, sequence: int, about: int | None) -> None:
+        """Forwards the ack of a relayed ping to the asking member, or records it for our own probe.
+
+        `about` is the probed member where a helper sends the ack, None where the probed member itself
+        does."""
         relay = self.relays.get(sequence)
         if relay is not None and relay[2] == sender and about is None:
             del self.relays[sequence]
@@ -92,6 +97,6 @@
         if probe is None or sequence != probe.sequence:
             return
         if about is None and sender == probe.member.number:
-            probe.reached = DIRECT
-        elif about == probe.member.number and sender in probe.helpers and probe.reached is None:
-            probe.reached = HELPED
+            probe.result = DIRECT
+        elif about == probe.member.number and sender in probe.helpers and probe.result is None:
+            probe.result = INDIRECT
--- a/cobaltpond/members/sending.py
+++ b/cobaltpond/members/sending.py
@@ -1,42 +1,49 @@
-"""Builds the datagrams of a view: which rows of the table each one carries."""
+"""Builds the datagrams of a view, and chooses which table rows each one carries (SWIM's dissemination)."""
 
 from cobaltpond.members import wire
 from cobaltpond.members.states import (
-    CODES,
     FAILED,
     LEFT,
+    STATE_CODES,
     SUSPECT,
     UNHEARD,
 )
 
 
 class Sending:
-    """A part of `view.View`, which has the state."""
+    """The sending part of `view.View`, which holds the state."""
 
-    def row_of(self, number: int) -> bytes:
+    def encode_table_row(self, number: int) -> bytes:
+        """The row of a member, or of this gateway, for a datagram.
+
+        A suspect's row names one of the members that suspect it, each in turn, so that receivers can count
+        the independent confirmations."""
         if number == self.number:
-            return wire.row(number, self.start, self.incarnation, self.state, number)
+            return wire.encode_row(number, self.start, self.incarnation, self.state, number)
         member = self.members[number]
-        if member.state == SUSPECT and member.suspecting:  # in turn: each of those who doubt is heard of
-            doubters = list(member.suspecting)
-            by = doubters[member.rows_sent % len(doubters)]
+        if member.state == SUSPECT and member.suspecting:
+            suspecting = list(member.suspecting)
+            reporter = suspecting[member.rows_sent % len(suspecting)]
             member.rows_sent += 1
         else:
-            by = member.by if member.by is not None else self.number
-        return wire.row(number, *member.mark, member.state, by)
+            reporter = member.reporter if member.reporter is not None else self.number
+        return wire.encode_row(number, *member.start_and_incarnation, member.state, reporter)
+
+    def choose_rows(self, receiver: int, room: int, differs: bool) -> bytes:
+        """The encoded rows for a datagram that has `room` bytes left.
 
-    def rows_for(self, receiver: int, room: int, differs: bool) -> bytes:
-        """The buddy's row first (Lifeguard: who is suspect learns of it by the next datagram), then what is
-        told the least often, then, where the views differ, the table in turn."""
-        most, chosen = room // wire.ROW_SIZE, []
+        First comes the receiver's own row if it is suspect, failed or left (Lifeguard's buddy system: a
+        suspect learns of it by the next datagram), then the updates sent least often, then, where the table
+        digests differ, the rest of the table in turn (anti-entropy)."""
+        max_rows, chosen = room // wire.ROW_SIZE, []
         target = self.members[receiver]
         if target.state in (SUSPECT, FAILED, LEFT) and not (
-            self.probe_settings.plain and target.state == SUSPECT
+            self.probe_settings.plain_swim and target.state == SUSPECT
         ):
             chosen.append(receiver)
-        limit = self.tellings()
+        limit = self.max_transmissions()
         for number in sorted(self.pending_updates, key=self.pending_updates.get):
-            if len(chosen) >= most:
+            if len(chosen) >= max_rows:
                 break
             if number not in chosen:
                 chosen.append(number)
@@ -45,13 +52,13 @@
             del self.pending_updates[number]
         if differs:
             for _ in self.members:
-                if len(chosen) >= most:
+                if len(chosen) >= max_rows:
                     break
-                number = self.order[self.cursor % len(self.order)]
-                self.cursor += 1
+                number = self.sync_order[self.sync_cursor % len(self.sync_order)]
+                self.sync_cursor += 1
                 if number not in chosen and self.members[number].state != UNHEARD:
                     chosen.append(number)
-        return b"".join(self.row_of(number) for number in chosen[:most])
+        return b"".join(self.encode_table_row(number) for number in chosen[:max_rows])
 
     def send(
         self,
@@ -62,29 +69,35 @@
         differs=False,
         more: bytes = b"",
     ) -> None:
+        """Appends a datagram to `out`.
+
+        `about`: the member that an indirect ping, its ack or its nack is about; `differs`: the receiver's
+        table digest differs from ours; `more`: further encoded fields. Raises ValueError if these do not
+        fit."""
         self.stamp += 1
         facts = {
             **self.self_description,
             "start": self.start,
             "incarnation": self.incarnation,
-            "state": CODES[self.state],
+            "state": STATE_CODES[self.state],
         }
-        fields = wire.self_field(facts) + wire.field(wire.DIGEST, wire.pack(">I", self.hash))
+        fields = wire.self_field(facts) + wire.encode_field(wire.DIGEST, wire.pack(">I", self.table_digest))
         fields += more
         if about is not None:
-            fields += wire.field(wire.ABOUT, wire.pack(">H", about))
+            fields += wire.encode_field(wire.ABOUT, wire.pack(">H", about))
         if self.news is not None:
             fields += wire.news_field(*self.news)
         if self.drains:
-            fields += wire.drains_field(self.drains[: wire.DRAINS_MOST])
-        rows = self.rows_for(receiver, wire.MAX_BYTES - wire.HEADER_SIZE - len(fields) - 2, differs)
+            fields += wire.drains_field(self.drains[: wire.MAX_DRAINS])
+        rows = self.choose_rows(receiver, wire.MAX_BYTES - wire.HEADER_SIZE - len(fields) - 2, differs)
         if rows:
-            fields += wire.field(wire.ROWS, rows)
+            fields += wire.encode_field(wire.ROWS, rows)
         self.out.append(
             (receiver, wire.encode_datagram(kind, self.number, receiver, sequence, self.stamp, fields))
         )
 
     def ping(self, receiver: int) -> int:
+        """Sends a ping and returns its sequence number."""
         self.sequence = (self.sequence + 1) & 0xFFFFFFFF
         self.counts["pings"] += 1
         self.send(wire.PING, receiver, self.sequence)
--- a/cobaltpond/members/service.py
+++ b/cobaltpond/members/service.py
@@ -1,5 +1,4 @@
-"""The tasks of membership on our loop: feeds the view with datagrams and time, sends what it wants sent,
-logs."""
+"""Runs membership on the event loop: feeds the view datagrams and time, sends its datagrams, and logs."""
 
 from cobaltpond.loop import Deadline, DeadlineExceededError, Event, Sleep
 from cobaltpond.members import wire
@@ -8,15 +7,20 @@
 from cobaltpond.members.trial_evidence import TrialEvidence
 from cobaltpond.members.view import ProbeSettings, View
 
-VERSION = 2  # of the program, as members tell each other
-LEAVE_ROUNDS, LEAVE_EVERY = 3, 50_000  # who is stopped says so so often
+PROGRAM_VERSION = 2  # as members tell each other
+# How often a stopping gateway announces that it leaves, and the microseconds between two announcements.
+LEAVE_ROUNDS, LEAVE_INTERVAL_US = 3, 50_000
 
 
 class Members:
-    """`peers`: `gateway.peers.Peers`, whose datagrams of ours come to `receive_datagram`. `about`: gives what
-    this gateway says of itself (revision, out, admitted, flags) as a map; `trial`: gives its counts of a
-    trial, as `wire.trial_field` takes them, of path groups as `groups` names them; `window`: how old evidence
-    may be. `view`: another kind of view (baselines, in measurements)."""
+    """Membership of one gateway.
+
+    `zones`: zone name of each gateway by number; `peers`: a `gateway.peers.Peers`, which passes datagrams
+    of membership to `receive_datagram`; `post`: takes events for the decisions; `about`: returns what this
+    gateway tells of itself (revision, out, admitted, flags) as a map; `digest`: of the settings; `view`:
+    the class of the view, which measurements replace by a baseline; `trial`: returns our counts of a trial
+    as `wire.trial_field` takes them, None where trial messages are not served; `groups`: names of the path
+    groups by index; `window`: the greatest age of trial evidence, in microseconds."""
 
     def __init__(
         self,
@@ -37,7 +41,7 @@
     ):
         self.loop, self.peers, self.post_event, self.describe_self, self.log = loop, peers, post, about, log
         self.view = view(number, zones, settings, chance, loop.kernel.wall_clock(), loop.now())
-        self.view.self_description.update(version=VERSION, settings=digest)
+        self.view.self_description.update(version=PROGRAM_VERSION, settings=digest)
         self.gossip = Gossip(post)
         self.view.on_gossip = lambda member, news, drains: self.gossip.receive(
             self.loop.now(), member, news, drains
@@ -47,44 +51,47 @@
             trial,
             list(groups),
         )
-        self.view.on_trial_message = self.asked_for if trial is not None else None
-        self.changed, self.odd, self.living = Event(), {}, None
+        self.view.on_trial_message = self.handle_trial_message if trial is not None else None
+        self.changed, self.rejected, self.last_living = Event(), {}, None
         self.is_alone, self.is_island, self.replaced = False, False, False
         peers.on_membership = self.receive_datagram
 
     # --- datagrams ------------------------------------------------------------------------------------------
 
     def receive_datagram(self, sender: int, data: bytes) -> None:
-        self.prepare()
+        """Applies one datagram from the address of member `sender`, and sends the replies."""
+        self.update_self_description()
         try:
             self.view.receive_datagram(self.loop.now(), sender, data)
-        except wire.DatagramError as why:  # counted, not logged: a flood must not fill the disk
-            self.odd[str(why)] = self.odd.get(str(why), 0) + 1
+        except wire.DatagramError as error:
+            # These are counted and not logged, since a flood of them would fill the disk.
+            self.rejected[str(error)] = self.rejected.get(str(error), 0) + 1
         self.flush()
         self.changed.set()
 
-    def prepare(self) -> None:
-        """What a datagram of ours says is as things are now."""
-        now, told = self.loop.now(), self.describe_self()
+    def update_self_description(self) -> None:
+        """Updates what our datagrams tell of this gateway, the release and draining instances."""
+        now, description = self.loop.now(), self.describe_self()
         news, self.view.drains = self.gossip.outgoing(now)
         self.view.news = news
         flags = (
-            told["flags"]
+            description["flags"]
             | (wire.ALONE if self.is_alone else 0)
             | (wire.DRAINING if self.view.state == LEFT else 0)
         )
         build, stage, phase = news[:3] if news else (0, 0, 0)
         self.view.self_description.update(
-            revision=told["revision"] & 0xFFFFFFFF,
-            out=min(65535, told["out"]),
+            revision=description["revision"] & 0xFFFFFFFF,
+            out=min(65535, description["out"]),
             flags=flags,
-            admitted=round(255 * min(1.0, max(0.0, told["admitted"]))),
+            admitted=round(255 * min(1.0, max(0.0, description["admitted"]))),
             build=build,
             stage=stage,
             phase=phase,
         )
 
     def flush(self) -> None:
+        """Sends the view's datagrams, logs its state changes, and posts a change of the present members."""
         out, self.view.out = self.view.out, []
         for receiver, data in out:
             self.peers.send_membership(receiver, data)
@@ -97,13 +104,13 @@
                 state=member.state,
                 before=before,
                 cause=member.cause,
-                by=member.by,
+                by=member.reporter,
                 start=member.start,
                 incarnation=member.incarnation,
             )
-        living = self.view.living() if changes or self.living is None else self.living
-        if living != self.living:
-            self.living = living
+        living = self.view.living() if changes or self.last_living is None else self.last_living
+        if living != self.last_living:
+            self.last_living = living
             self.post_event("on_members", living)
         if self.view.replaced and not self.replaced:
             self.replaced = True
@@ -113,34 +120,36 @@
                 start=self.view.start,
             )
 
-    def asked_for(self, kind: int, sender: int, sequence: int, rows: list) -> None:
-        """A question about a trial, or the answer to ours."""
+    def handle_trial_message(self, kind: int, sender: int, sequence: int, rows: list) -> None:
+        """Answers a request for our trial counts, or applies the answer to one of ours.
+
+        Rows on path groups that our settings lack are dropped."""
         if kind == wire.TRIAL_ASK:
             self.view.send(
                 wire.TRIAL_REPLY,
                 sender,
                 sequence,
-                more=wire.trial_field(self.trial_counts()[: wire.TRIAL_MOST]),
+                more=wire.trial_field(self.trial_counts()[: wire.MAX_TRIAL_ROWS]),
             )
         else:
             self.evidence.apply_answer(
                 sender,
                 [
-                    (build, self.groups[place], *rest)
-                    for build, place, *rest in rows
-                    if place < len(self.groups)
+                    (build, self.groups[group_index], *rest)
+                    for build, group_index, *rest in rows
+                    if group_index < len(self.groups)
                 ],
             )
 
     def desk_news(self, build: int, stage: int, phase: str, cap: float, age: int) -> None:
-        """What our own desk says."""
+        """Takes the release state of our own desk link, `age` microseconds old."""
         self.gossip.update_release(self.loop.now(), build, stage, phase, cap, age)
         self.evidence.update_release(self.loop.now(), build, phase, age)
 
     # --- time -----------------------------------------------------------------------------------------------
 
     def run(self):
-        """For ever; the view's clock."""
+        """Task that drives the view's clock. Never ends."""
         self.flush()
         while True:
             wait = max(1_000, self.view.next_at() - self.loop.now())
@@ -149,7 +158,7 @@
                     yield self.changed
             except DeadlineExceededError:
                 pass
-            self.prepare()
+            self.update_self_description()
             self.view.tick(self.loop.now())
             for number in self.evidence.due_requests(
                 self.loop.now(), [n for n in self.view.living() if n != self.view.number]
@@ -159,30 +168,31 @@
             self.check_connectivity()
 
     def check_connectivity(self) -> None:
-        """Are we alone, or the smaller side of a split? Said once as it begins, and once as it ends."""
-        now, picture = self.loop.now(), self.view.reachability
-        alone, island = picture.is_alone(now), picture.is_island(now)
+        """Logs when this gateway becomes alone or the smaller side of a partition, and when that ends."""
+        now, reachability = self.loop.now(), self.view.reachability
+        alone, island = reachability.is_alone(now), reachability.is_island(now)
         if (alone, island) != (self.is_alone, self.is_island):
             self.is_alone, self.is_island = alone, island
             self.log.warning(
                 "cut off" if alone or island else "not cut off any more",
                 alone=alone,
                 island=island,
-                zones=picture.zones(now),
+                zones=reachability.zones(now),
                 living=len(self.view.living()),
             )
 
     def leave(self):
-        """Tells some of the others, a few times, that this gateway goes in order; they tell on."""
+        """Task that announces an orderly shutdown to some members, which disseminate it."""
         for _ in range(LEAVE_ROUNDS):
-            self.prepare()
+            self.update_self_description()
             self.view.leave()
             self.flush()
-            yield Sleep(LEAVE_EVERY)
+            yield Sleep(LEAVE_INTERVAL_US)
 
-    # --- what is shown --------------------------------------------------------------------------------------
+    # --- status pages ---------------------------------------------------------------------------------------
 
     def status(self) -> dict:
+        """Membership's part of the status page."""
         now, view = self.loop.now(), self.view
         return {
             **view.reachability.summary(now),
@@ -190,17 +200,17 @@
             "start": view.start,
             "incarnation": view.incarnation,
             "counts": view.counts,
-            "odd": self.odd,
+            "odd": self.rejected,
             "hearsay": {
                 **self.gossip.counts,
-                "shut": self.gossip.heard and self.gossip.heard[0],
-                "from": self.gossip.heard_from,
+                "shut": self.gossip.gossiped_release and self.gossip.gossiped_release[0],
+                "from": self.gossip.gossiped_by,
             },
             "evidence": self.evidence.counts,
         }
 
     def table(self) -> dict:
-        """All members as they are seen from here, ours first."""
+        """The body of `/-/members`: the status and all members as this gateway sees them, itself first."""
         now, view = self.loop.now(), self.view
         own = {
             **view.self_description,
@@ -221,8 +231,8 @@
                 "since_us": now - member.since,
                 "zone": member.zone,
                 "cause": member.cause,
-                "by": member.by,
-                "reached": member.reached,
+                "by": member.reporter,
+                "reached": member.probe_result,
                 "heard_us": None if member.heard_at is None else now - member.heard_at,
             }
             for number, member in sorted(view.members.items())
--- a/cobaltpond/members/states.py
+++ b/cobaltpond/members/states.py
@@ -1,10 +1,11 @@
-"""What a gateway knows of another one, and every change of that: one table, one function. Free of I/O."""
+"""The membership states of one gateway and the table of their transitions. Free of I/O."""
 
 UNHEARD, ALIVE, SUSPECT, FAILED, LEFT = "unheard", "alive", "suspect", "failed", "left"
-# Of two words about one start and incarnation, the higher rank holds (SWIM, 4.2; ours: leaving ends a start).
-RANK = {ALIVE: 0, SUSPECT: 1, FAILED: 2, LEFT: 3}
-CODES = {name: code for code, name in enumerate((UNHEARD, ALIVE, SUSPECT, FAILED, LEFT))}
-NAMES = {code: name for name, code in CODES.items()}
+# Of two reports on one start and incarnation the higher rank wins (SWIM, 4.2). Unlike in SWIM, leaving ends a
+# start for good.
+STATE_RANK = {ALIVE: 0, SUSPECT: 1, FAILED: 2, LEFT: 3}
+STATE_CODES = {name: code for code, name in enumerate((UNHEARD, ALIVE, SUSPECT, FAILED, LEFT))}
+NAMES = {code: name for name, code in STATE_CODES.items()}
 
 HEARD, SUSPECTED, SUSPICION_EXPIRED, REPORTED_FAILED, REPORTED_LEFT = (
     "heard",
@@ -13,8 +14,9 @@
     "told failed",
     "told left",
 )
-CAUSE_OF = {ALIVE: HEARD, SUSPECT: SUSPECTED, FAILED: REPORTED_FAILED, LEFT: REPORTED_LEFT}
-NEXT = {
+# The cause that a reported state stands for.
+CAUSE_OF_STATE = {ALIVE: HEARD, SUSPECT: SUSPECTED, FAILED: REPORTED_FAILED, LEFT: REPORTED_LEFT}
+NEXT_STATE = {
     UNHEARD: {HEARD: ALIVE, SUSPECTED: SUSPECT, REPORTED_FAILED: FAILED, REPORTED_LEFT: LEFT},
     ALIVE: {HEARD: ALIVE, SUSPECTED: SUSPECT, REPORTED_FAILED: FAILED, REPORTED_LEFT: LEFT},
     SUSPECT: {
@@ -30,9 +32,12 @@
 
 
 class Member:
-    """One gateway of the sheet as it is seen from here. `start`, `incarnation`: of the life last heard of;
-    `facts`: what it said of itself last, a map; `reached`: how its last probe went (`reachability.py`); times
-    in microseconds."""
+    """One gateway of the settings as this gateway sees it. Times are in microseconds.
+
+    `start` and `incarnation` are those last heard of, `facts` is the member's latest description of itself,
+    `probe_result` the outcome of the last probe (`reachability.py`), None while there is none. `suspecting`
+    holds the numbers of the members that suspect it, `reporter` the number of the gateway that reported the
+    current state."""
 
     __slots__ = (
         "number",
@@ -42,54 +47,63 @@
         "incarnation",
         "since",
         "cause",
-        "by",
+        "reporter",
         "suspecting",
-        "doubted_at",
-        "until",
+        "suspected_at",
+        "suspicion_end",
         "facts",
         "stamp",
         "heard_at",
-        "reached",
-        "spent",
-        "spent_at",
+        "probe_result",
+        "period_datagrams",
+        "period_began",
         "rows_sent",
         "missed_acks",
     )
 
     def __init__(self, number: int, zone: str, now: int):
         self.number, self.zone, self.state, self.start, self.incarnation = number, zone, UNHEARD, 0, 0
-        self.since, self.cause, self.by = now, "", None
-        self.suspecting, self.doubted_at, self.until = {}, 0, 0
-        self.facts, self.stamp, self.heard_at, self.reached = {}, None, None, None
-        self.spent, self.spent_at, self.rows_sent, self.missed_acks = 0, now, 0, 0
+        self.since, self.cause, self.reporter = now, "", None
+        self.suspecting, self.suspected_at, self.suspicion_end = {}, 0, 0
+        self.facts, self.stamp, self.heard_at, self.probe_result = {}, None, None, None
+        self.period_datagrams, self.period_began, self.rows_sent, self.missed_acks = 0, now, 0, 0
 
     @property
-    def mark(self) -> tuple[int, int]:
+    def start_and_incarnation(self) -> tuple[int, int]:
+        """(start, incarnation): a greater pair describes a later life of the member."""
         return self.start, self.incarnation
 
     @property
     def is_present(self) -> bool:
-        """As far as we know: a suspect is there until its time has run out."""
+        """Whether the member counts as running. A suspect does until its suspicion expires."""
         return self.state in (ALIVE, SUSPECT)
 
     def supersedes(self, state: str, start: int, incarnation: int) -> bool:
-        """Does this word hold against what is known?"""
+        """Whether a report with these values overrides what is known of the member."""
         if self.state == UNHEARD:
             return True
-        return (start, incarnation, RANK[state]) > (self.start, self.incarnation, RANK[self.state])
+        return (start, incarnation, STATE_RANK[state]) > (
+            self.start,
+            self.incarnation,
+            STATE_RANK[self.state],
+        )
+
 
+def change_state(
+    member: Member, cause: str, now: int, reporter: int | None, start: int, incarnation: int
+) -> str:
+    """Applies `cause` to the member and returns its previous state. All state changes happen here.
 
-def change_state(member: Member, cause: str, now: int, by: int | None, start: int, incarnation: int) -> str:
-    """The only place where a state changes. Gives the state before. Raises RuntimeError on what the table
-    lacks: a fault of ours, never of a peer (words of peers are ranked before they come here)."""
+    Raises RuntimeError on a transition that the table lacks. That is a fault of this program, never of a
+    peer: reports of peers are ranked by `Member.supersedes` first."""
     before = member.state
-    if cause not in NEXT[before]:
+    if cause not in NEXT_STATE[before]:
         raise RuntimeError(f"a member that is {before} cannot be {cause}")
-    member.state = NEXT[before][cause]
+    member.state = NEXT_STATE[before][cause]
     if member.state != before or start != member.start:
         member.since = now
-    if start != member.start:  # another life: nothing known of the last one holds
+    if start != member.start:  # Facts of the previous start do not apply to the new process.
         member.facts, member.stamp = {}, None
-    member.start, member.incarnation, member.cause, member.by = start, incarnation, cause, by
+    member.start, member.incarnation, member.cause, member.reporter = start, incarnation, cause, reporter
     member.suspecting, member.rows_sent = {}, 0
     return before
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -1,26 +1,29 @@
-"""One gateway's view of all gateways: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's refinements (Dadgar,
-Phillips, Currey, 2018). Free of I/O: time, datagrams and chance come in, datagrams to be sent come out.
-
-A probe asks one member; who does not answer in time is asked for by helpers; who answers nobody is suspect,
-which all are told and it may refute by a higher incarnation; a suspect whose time runs out has failed. What
-is told rides on the datagrams of the probes. Ours beside the papers: failed and unheard members are reached
-for now and then, so that a split heals without anybody's order; views whose digests differ fill the room left
-in a datagram with their tables.
+"""Failure detection and dissemination: one gateway's view of all gateways.
+
+The protocol is SWIM (Das, Gupta, Motivala, 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey,
+2018). Free of I/O: time, datagrams and randomness come in, datagrams to send come out.
+
+A probe pings one member. If no ack comes in time, helpers ping it too. A member that answers nobody becomes
+suspect; the suspicion is disseminated, and the member may refute it with a higher incarnation. A suspect
+whose suspicion expires has failed. Updates are piggybacked on the datagrams of the probes. Beyond the
+papers: failed and unheard members are pinged now and then, so that a network partition heals without an
+operator, and members whose table digests differ fill the free room of their datagrams with table rows
+(anti-entropy).
 """
 
 from dataclasses import dataclass
 from math import ceil, log, log10
 
 from cobaltpond.members import wire
-from cobaltpond.members.probing import HELPERS, Probing
+from cobaltpond.members.probing import HELPERS_PER_PROBE, Probing
 from cobaltpond.members.reachability import Reachability
 from cobaltpond.members.receiving import Receiving
 from cobaltpond.members.sending import Sending
 from cobaltpond.members.states import (
     ALIVE,
-    CAUSE_OF,
-    CODES,
+    CAUSE_OF_STATE,
     LEFT,
+    STATE_CODES,
     SUSPECT,
     SUSPICION_EXPIRED,
     UNHEARD,
@@ -28,40 +31,46 @@
     change_state,
 )
 
-ALPHA, BETA, DOUBTS = 5, 6, 3  # Lifeguard, IV: suspicion's least and most, confirmations
-HEALTH_MOST = 8  # Lifeguard's S
-TELLINGS = 4  # times the logarithm of the members a change is told
-STOOD_STILL = 0.5  # of a wait: a tick so late says that we stood still
+# Lifeguard, IV: factors of the minimum and the maximum suspicion time, and the number of confirmations (K).
+ALPHA, BETA, MAX_CONFIRMATIONS = 5, 6, 3
+MAX_HEALTH = 8  # saturation limit of the local health multiplier (Lifeguard's S)
+TRANSMIT_MULTIPLIER = 4  # times the logarithm of the number of members: how often an update is sent
+PAUSE_SHARE = 0.5  # of the ack timeout: a tick later than this shows that the process was paused
 
 
 @dataclass(frozen=True)
 class ProbeSettings:
-    """Times in microseconds. `plain`: SWIM as first published, for comparison."""
+    """Times of the protocol, in microseconds. `plain_swim`: SWIM as first published, for comparison."""
 
     period: int = 1_000_000
-    wait: int = 300_000
-    plain: bool = False
+    ack_timeout: int = 300_000
+    plain_swim: bool = False
 
     @property
     def beta(self) -> int:
-        return 1 if self.plain else BETA
+        """The maximum suspicion time as a multiple of the minimum."""
+        return 1 if self.plain_swim else BETA
 
 
 class View(Probing, Sending, Receiving):
-    """`zones`: name of each gateway's zone by number, ours included. `chance`: as `RandomSource` of the
-    decisions. What is to be sent collects in `out` as (number, datagram), what has changed in `changes` as
-    (member, state before)."""
+    """The membership table of one gateway and the protocol that keeps it.
+
+    `zones`: zone name of each gateway by number, ours included; `chance`: a `RandomSource` of the decisions;
+    `start`: start time of this process in microseconds since 1970, which tells its starts apart; `now`: loop
+    time in microseconds. The caller collects datagrams to send from `out` as (number, datagram) and state
+    changes from `changes` as (member, previous state), calls `tick` at `next_at`, and ends the process once
+    `replaced` is set."""
 
     def __init__(
         self, number: int, zones: dict[int, str], settings: ProbeSettings, chance, start: int, now: int
     ):
         self.number, self.zones, self.probe_settings, self.chance = number, zones, settings, chance
         self.members = {n: Member(n, zone, now) for n, zone in zones.items() if n != number}
-        self.order = list(self.members)
-        self.start, self.incarnation, self.state, self.bumped = start, 0, ALIVE, False
+        self.sync_order = list(self.members)
+        self.start, self.incarnation, self.state, self.outbid_once = start, 0, ALIVE, False
         self.health, self.sequence, self.stamp, self.began = 0, chance.randbelow(1 << 30), 0, now
         self.self_description = {
-            "zone": wire.zone_mark(zones[number]),
+            "zone": wire.zone_digest(zones[number]),
             "version": 0,
             "settings": 0,
             "revision": 0,
@@ -72,15 +81,16 @@
             "admitted": 255,
             "flags": 0,
         }
-        self.news, self.drains = None, ()  # to ride along: gossip.py
+        self.news, self.drains = None, ()  # piggybacked on each datagram, see gossip.py
         self.on_gossip = None  # called with (member, news or None, drains) of each datagram
-        self.on_trial_message = None  # called with (kind, sender, sequence, rows): questions on trials
-        self.on_warm_start_message = self.on_lease_message = None  # the same, on instances and on leases
+        self.on_trial_message = None  # called with (kind, sender, sequence, rows) of trial messages
+        self.on_warm_start_message = self.on_lease_message = None  # likewise, for warm start and leases
         self.probe, self.next_probe = None, now + chance.randbelow(settings.period) + 1
-        self.round, self.reach_round = [], []  # whom to probe, whom to reach for, in a drawn order
-        self.pending_updates = {}  # number -> times told
-        self.relays = {}  # sequence -> (who asks, its sequence, about whom, nack at, end)
-        self.cursor, self.hash = 0, self.row_hash(number)
+        self.probe_round, self.absent_round = [], []  # shuffled: members to probe, absent ones to ping
+        self.pending_updates = {}  # number -> how often its row has been sent
+        # sequence of our ping -> (asking member, its sequence, probed member, time of the nack, end)
+        self.relays = {}
+        self.sync_cursor, self.table_digest = 0, self.row_digest(number)
         self.out, self.changes, self.replaced = [], [], False
         self.reachability = Reachability(self)
         self.counts = {
@@ -95,166 +105,188 @@
             "stood still": 0,
         }
 
-    # --- figures --------------------------------------------------------------------------------------------
+    # --- sizes, times and digests ---------------------------------------------------------------------------
 
     def living(self) -> dict[int, int]:
-        """Who is there, ours included: number -> start."""
+        """Starts of the present members by number, this gateway included until it leaves."""
         return {n: m.start for n, m in self.members.items() if m.is_present} | (
             {self.number: self.start} if self.state == ALIVE else {}
         )
 
-    def size(self) -> int:
+    def member_count(self) -> int:
+        """The number of present members, this gateway included."""
         return 1 + sum(m.is_present for m in self.members.values())
 
-    def slowed(self, time: int) -> int:
-        """A wait as long as our own health asks for: who is slow itself doubts others later."""
+    def scale_by_health(self, time: int) -> int:
+        """The time scaled by Lifeguard's local health multiplier: a slow gateway suspects others later."""
         return time * (1 + self.health)
 
-    def suspicion(self, doubters: int) -> int:
-        """How long a suspicion lasts with so many who doubt."""
-        size = self.size()
-        least = int(ALPHA * max(1.0, log10(max(1, size))) * self.probe_settings.period)
-        most, wanted = self.probe_settings.beta * least, min(DOUBTS, size - 2)
-        if wanted < 1:
-            return least
-        return max(least, int(most - (most - least) * log(doubters) / log(wanted + 1)))
+    def suspicion_time(self, suspecting: int) -> int:
+        """The duration of a suspicion that this many members share, in microseconds."""
+        size = self.member_count()
+        minimum = int(ALPHA * max(1.0, log10(max(1, size))) * self.probe_settings.period)
+        maximum, confirmations = self.probe_settings.beta * minimum, min(MAX_CONFIRMATIONS, size - 2)
+        if confirmations < 1:
+            return minimum
+        return max(minimum, int(maximum - (maximum - minimum) * log(suspecting) / log(confirmations + 1)))
 
-    def tellings(self) -> int:
-        return TELLINGS * ceil(log10(self.size() + 1))
+    def max_transmissions(self) -> int:
+        """How often an update is sent before it is dropped."""
+        return TRANSMIT_MULTIPLIER * ceil(log10(self.member_count() + 1))
 
     def adjust_health(self, step: int) -> None:
-        if not self.probe_settings.plain:
-            self.health = min(HEALTH_MOST, max(0, self.health + step))
+        """Adds `step` to the local health score: 0 is healthy, MAX_HEALTH the worst. Plain SWIM has none."""
+        if not self.probe_settings.plain_swim:
+            self.health = min(MAX_HEALTH, max(0, self.health + step))
 
-    def row_hash(self, number: int) -> int:
-        """Of one row of the table; all of them, folded by exclusive or, are the digest of a view."""
+    def row_digest(self, number: int) -> int:
+        """The digest of one table row, 0 for an unheard member. The exclusive or of all is `table_digest`."""
         if number == self.number:
-            what = number, self.start, self.incarnation, CODES[self.state]
+            row = number, self.start, self.incarnation, STATE_CODES[self.state]
         else:
             member = self.members[number]
             if member.state == UNHEARD:
                 return 0
-            what = number, *member.mark, CODES[member.state]
-        return wire.crc32(wire.pack(">HQIB", *what))
+            row = number, *member.start_and_incarnation, STATE_CODES[member.state]
+        return wire.crc32(wire.pack(">HQIB", *row))
 
     # --- changes --------------------------------------------------------------------------------------------
 
-    def alter(self, member: Member, cause: str, now: int, by: int, start: int, incarnation: int) -> None:
-        self.hash ^= self.row_hash(member.number)
-        life = member.start
-        before = change_state(member, cause, now, by, start, incarnation)
-        self.hash ^= self.row_hash(member.number)
+    def change_member(
+        self, member: Member, cause: str, now: int, reporter: int, start: int, incarnation: int
+    ) -> None:
+        """Changes a member's state, and has the update disseminated."""
+        self.table_digest ^= self.row_digest(member.number)
+        start_before = member.start
+        before = change_state(member, cause, now, reporter, start, incarnation)
+        self.table_digest ^= self.row_digest(member.number)
         if member.state == SUSPECT:
-            member.suspecting, member.doubted_at = {}, now
-            self.add_suspicion(member, by, now)
+            member.suspecting, member.suspected_at = {}, now
+            self.add_suspicion(member, reporter, now)
         if not member.is_present:
-            member.reached, member.missed_acks = None, 0
-        if member.state != before or member.start != life:
+            member.probe_result, member.missed_acks = None, 0
+        if member.state != before or member.start != start_before:
             self.changes.append((member, before))
         self.pending_updates[member.number] = 0
 
-    def add_suspicion(self, member: Member, by: int, now: int) -> None:
-        """One more who doubts: the suspicion gets shorter, though it never ends in the past."""
-        member.suspecting[by] = True
-        member.until = max(now, member.doubted_at + self.suspicion(len(member.suspecting)))
-
-    def confirm_suspicion(self, member: Member, by: int, now: int) -> None:
-        """Told on (Lifeguard's dogpile): others' waits get shorter too; so many confirmations and no more."""
-        if by not in member.suspecting and len(member.suspecting) <= DOUBTS and not self.probe_settings.plain:
-            self.add_suspicion(member, by, now)
+    def add_suspicion(self, member: Member, reporter: int, now: int) -> None:
+        """Records one more member that suspects it. Shortens the suspicion, but never into the past."""
+        member.suspecting[reporter] = True
+        member.suspicion_end = max(now, member.suspected_at + self.suspicion_time(len(member.suspecting)))
+
+    def confirm_suspicion(self, member: Member, reporter: int, now: int) -> None:
+        """Counts an independent confirmation of a suspicion, and disseminates it, so that the suspicion gets
+        shorter at other members too (Lifeguard's dogpile). Counts at most MAX_CONFIRMATIONS."""
+        if (
+            reporter not in member.suspecting
+            and len(member.suspecting) <= MAX_CONFIRMATIONS
+            and not self.probe_settings.plain_swim
+        ):
+            self.add_suspicion(member, reporter, now)
             self.pending_updates[member.number] = 0
 
-    def raise_self(self, incarnation: int, start: int | None = None) -> None:
-        self.hash ^= self.row_hash(self.number)
+    def set_own_incarnation(self, incarnation: int, start: int | None = None) -> None:
+        """Takes a higher incarnation, or a later start, and disseminates it. None keeps the start."""
+        self.table_digest ^= self.row_digest(self.number)
         self.incarnation = incarnation
         if start is not None:
             self.start = start
-        self.hash ^= self.row_hash(self.number)
+        self.table_digest ^= self.row_digest(self.number)
         self.pending_updates[self.number] = 0
 
-    def doubted_of_me(self, start: int, incarnation: int, state: str) -> None:
-        """What others say of us that does not hold. A newer start of our name is our own former life where a
-        clock went back: outbid once. One that outbids us again lives: the newer one stays, and it is not
-        us."""
+    def refute(self, start: int, incarnation: int, state: str) -> None:
+        """Refutes a wrong report on this gateway by a higher incarnation.
+
+        A newer start of our number is our own previous process if a clock went back: we outbid it once. If a
+        newer start appears again, another process with our number is running, and this one gives way."""
         if start > self.start:
-            if self.bumped:
+            if self.outbid_once:
                 self.replaced = True
             else:
-                self.bumped = True
-                self.raise_self(0, start + 1)
+                self.outbid_once = True
+                self.set_own_incarnation(0, start + 1)
         elif (
             start == self.start and state != ALIVE and incarnation >= self.incarnation and self.state == ALIVE
         ):
             self.counts["refuted"] += 1
-            self.adjust_health(1)  # they could not hear us: it may be us
-            self.raise_self(incarnation + 1)
+            self.adjust_health(1)  # The others could not hear us: the fault may be ours.
+            self.set_own_incarnation(incarnation + 1)
 
-    def apply_row(self, now: int, number: int, start: int, incarnation: int, state: str, by: int) -> None:
-        """One row of another's table."""
+    def apply_row(
+        self, now: int, number: int, start: int, incarnation: int, state: str, reporter: int
+    ) -> None:
+        """Applies one row of another member's table; numbers that the settings lack are counted only."""
         if number == self.number:
-            self.doubted_of_me(start, incarnation, state)
+            self.refute(start, incarnation, state)
             return
         member = self.members.get(number)
         if member is None:
             self.counts["strangers"] += 1
         elif member.supersedes(state, start, incarnation):
-            self.alter(member, CAUSE_OF[state], now, by, start, incarnation)
-        elif state == SUSPECT == member.state and (start, incarnation) == member.mark:
-            self.confirm_suspicion(member, by, now)
+            self.change_member(member, CAUSE_OF_STATE[state], now, reporter, start, incarnation)
+        elif state == SUSPECT == member.state and (start, incarnation) == member.start_and_incarnation:
+            self.confirm_suspicion(member, reporter, now)
 
     # --- time -----------------------------------------------------------------------------------------------
 
     def next_at(self) -> int:
-        """When `tick` is due next."""
-        at = [self.next_probe]
+        """The time of the next `tick`, in microseconds."""
+        times = [self.next_probe]
         if self.probe is not None:
-            at.append(self.probe.ask_at if self.probe.asked is None else self.probe.end_at)
-            at.append(self.probe.end_at)
-        at += [m.until for m in self.members.values() if m.state == SUSPECT]
-        at += [relay[3] if relay[3] is not None else relay[4] for relay in self.relays.values()]
-        return min(at)
+            times.append(self.probe.indirect_at if self.probe.indirect_sent_at is None else self.probe.end_at)
+            times.append(self.probe.end_at)
+        times += [m.suspicion_end for m in self.members.values() if m.state == SUSPECT]
+        times += [relay[3] if relay[3] is not None else relay[4] for relay in self.relays.values()]
+        return min(times)
 
     def tick(self, now: int) -> None:
+        """Does what is due: nacks, indirect pings, the end of a probe, expired suspicions, the next probe."""
         if self.state != ALIVE:
             return
         due = self.next_at()
         if now < due:
             return
         late = now - due
-        if late > STOOD_STILL * self.probe_settings.wait and not self.probe_settings.plain:
-            self.stood_still(now, late)
+        if late > PAUSE_SHARE * self.probe_settings.ack_timeout and not self.probe_settings.plain_swim:
+            self.recover_from_pause(now, late)
             return
-        self.nack(now)
+        self.send_nacks(now)
         probe = self.probe
-        if probe is not None and probe.asked is None and now >= probe.ask_at:
-            probe.asked = now
-            if probe.reached is None:
+        if probe is not None and probe.indirect_sent_at is None and now >= probe.indirect_at:
+            probe.indirect_sent_at = now
+            if probe.result is None:
                 self.request_indirect(probe)
         if probe is not None and now >= probe.end_at:
             self.end_probe(now)
         for member in [m for m in self.members.values() if m.state == SUSPECT]:
-            if now >= member.until:
-                self.alter(member, SUSPICION_EXPIRED, now, self.number, *member.mark)
+            if now >= member.suspicion_end:
+                self.change_member(member, SUSPICION_EXPIRED, now, self.number, *member.start_and_incarnation)
         if self.probe is None and now >= self.next_probe:
             self.begin_probe(now)
 
-    def stood_still(self, now: int, late: int) -> None:
-        """Guards against a process that was stopped, or a clock that jumped: what it would call overdue it
-        has not had time to hear. Its own probe counts for nothing, and every suspicion is as much longer."""
+    def recover_from_pause(self, now: int, late: int) -> None:
+        """Handles a tick that is `late` microseconds late, since the process was stopped or its clock jumped.
+
+        The acks that seem overdue have not been read yet, and acting on them would cause false failures: the
+        probe under way is dropped, and every suspicion is extended by the delay."""
         self.counts["stood still"] += 1
         self.adjust_health(1)
-        self.probe, self.next_probe = None, now + self.probe_settings.wait
+        self.probe, self.next_probe = None, now + self.probe_settings.ack_timeout
         self.relays = {}
         for member in self.members.values():
             if member.state == SUSPECT:
-                member.until += late
+                member.suspicion_end += late
 
-    # --- the end --------------------------------------------------------------------------------------------
+    # --- leaving --------------------------------------------------------------------------------------------
 
     def leave(self) -> None:
-        """In order: told, not suspected. Called again it tells others; who was told tells on."""
-        self.hash ^= self.row_hash(self.number)
+        """Announces an orderly shutdown to some members, so that nobody suspects this gateway.
+
+        They disseminate it. Each call picks its members anew."""
+        self.table_digest ^= self.row_digest(self.number)
         self.state = LEFT
-        self.hash ^= self.row_hash(self.number)
-        for number in self.drawn([n for n, m in self.members.items() if m.is_present])[: 2 * HELPERS]:
+        self.table_digest ^= self.row_digest(self.number)
+        for number in self.shuffle([n for n, m in self.members.items() if m.is_present])[
+            : 2 * HELPERS_PER_PROBE
+        ]:
             self.send(wire.LEAVE, number, 0)
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -1,19 +1,18 @@
-"""Datagrams between gateways: at most 256 bytes with the six of `gateway/peers.py`. Free of I/O.
+"""The datagrams between gateways: at most 256 bytes, of which `gateway/peers.py` takes six. Free of I/O.
 
-version (major << 4 | minor)   1 byte     another major is not read, another minor is
-kind                           1          what is asked or answered
+version (major << 4 | minor)   1 byte     another major version is rejected, another minor one is read
+kind                           1          PING, ACK, ... below
 checksum                       4          crc32 of sender, receiver and all that follows
-receiver                       2          guards against an address that changed hands
-sequence                       4          an answer repeats that of its question
-stamp                          4          of this start, rising: an old datagram's facts are not taken for new
-fields: tag 1, length 1, value            a tag that is not known is skipped, a longer value read as far as
-known
+receiver                       2          rejects datagrams to an address that another gateway had before
+sequence                       4          a reply repeats the number of its request
+stamp                          4          rises within a start: older facts never replace newer ones
+fields: tag 1, length 1, value            an unknown tag is skipped, of a longer value the known part is read
 """
 
 from struct import calcsize, pack, unpack, unpack_from
 from zlib import crc32
 
-from cobaltpond.members.states import CODES, NAMES, UNHEARD
+from cobaltpond.members.states import NAMES, STATE_CODES, UNHEARD
 
 MAJOR, MINOR = 1, 0
 PING, ACK, INDIRECT_PING, NACK, LEAVE, TRIAL_ASK, TRIAL_REPLY, WARM_ASK, WARM_REPLY = (
@@ -28,13 +27,13 @@
     9,
 )
 LEASE_ASK, LEASE_REPLY = 10, 11
-MAX_BYTES = 250  # of a datagram's 256 bytes, what is left for us
-HEAD = ">BBIHII"
-HEADER_SIZE = calcsize(HEAD)
+MAX_BYTES = 250  # of a datagram's 256, without the header of gateway/peers.py
+HEADER_FORMAT = ">BBIHII"
+HEADER_SIZE = calcsize(HEADER_FORMAT)
 SELF, ROWS, ABOUT, NEWS, DRAINS, DIGEST, TRIAL, WARM, LEASES = 1, 2, 3, 4, 5, 6, 7, 8, 9
-# start (microseconds of the calendar), incarnation, state, zone, version, settings, list's revision, build,
-# stage, phase, hits out, share let in (of 255), flags
-FACTS = ">QIBIHIIIBBHBB"
+# start (microseconds since 1970), incarnation, state, zone digest, program version, settings digest,
+# revision of the instance list, build, stage, phase, hits in flight, share of hits admitted (of 255), flags
+FACTS_FORMAT = ">QIBIHIIIBBHBB"
 FACT_NAMES = (
     "start",
     "incarnation",
@@ -50,48 +49,53 @@
     "admitted",
     "flags",
 )
-READY, DRAINING, ALONE, SETTLED = 1, 2, 4, 8  # settled: others may ask it what it knows
-ROW = ">HQIBH"  # number, start, incarnation, state, who says so
-ROW_SIZE = calcsize(ROW)
-NEWS_FORM = ">IBBHI"  # build, stage, phase, cap of 65535, age in milliseconds
-DRAINS_MOST = 6
-TRIAL_FORM, TRIAL_MOST = ">IBIIH", 10  # build, place of the path group, hits, errored, age in 10 ms
-# mark of an instance's start, pace in twentieths, load, faults of 255, flags, age in tenths of a second
-WARM_FORM, WARM_MOST, PACE_PART = ">IBBBBB", 15, 20
-LEASES_FORM, LEASES_MOST = ">BQIII", 7  # limit, value, amount, when it was asked, fence
+READY, DRAINING, ALONE, SETTLED = 1, 2, 4, 8  # SETTLED: other gateways may request warm start rows
+ROW_FORMAT = ">HQIBH"  # number, start, incarnation, state, reporter
+ROW_SIZE = calcsize(ROW_FORMAT)
+NEWS_FORMAT = ">IBBHI"  # build, stage, phase, cap of 65535, age in milliseconds
+MAX_DRAINS = 6
+TRIAL_FORMAT, MAX_TRIAL_ROWS = ">IBIIH", 10  # build, index of the path group, hits, errored, age in 10 ms
+# digest of an instance's start, latency ratio in twentieths, load, faults of 255, flags, age in 100 ms
+WARM_FORMAT, WARM_MOST, LATENCY_RATIO_UNITS = ">IBBBBB", 15, 20
+# index of the limit, digest of the value, amount, request time in ms, fencing token
+LEASES_FORMAT, LEASES_MOST = ">BQIII", 7
 
 
 class DatagramError(Exception):
-    """A datagram that is not read: the text is one of a few words, fit to be counted."""
+    """A datagram that cannot be read. Its text is one of a few words, by which such datagrams are counted."""
 
 
-def zone_mark(zone: str) -> int:
+def zone_digest(zone: str) -> int:
+    """The crc32 of the zone's name."""
     return crc32(zone.encode())
 
 
-def field(tag: int, value: bytes) -> bytes:
+def encode_field(tag: int, value: bytes) -> bytes:
+    """One field with its tag and length. The value is at most 255 bytes."""
     return pack(">BB", tag, len(value)) + value
 
 
 def encode_datagram(kind: int, sender: int, receiver: int, sequence: int, stamp: int, fields: bytes) -> bytes:
-    """A whole datagram. Raises ValueError where it is too long."""
+    """A whole datagram. Raises ValueError if it is longer than MAX_BYTES."""
     if HEADER_SIZE + len(fields) > MAX_BYTES:
         raise ValueError(f"{HEADER_SIZE + len(fields)} bytes")
-    rest = pack(">HII", receiver, sequence, stamp) + fields
-    check = crc32(pack(">HBB", sender, MAJOR << 4 | MINOR, kind) + rest)
-    return pack(">BBI", MAJOR << 4 | MINOR, kind, check) + rest
+    body = pack(">HII", receiver, sequence, stamp) + fields
+    check = crc32(pack(">HBB", sender, MAJOR << 4 | MINOR, kind) + body)
+    return pack(">BBI", MAJOR << 4 | MINOR, kind, check) + body
 
 
 def decode_datagram(sender: int, receiver: int, data: bytes) -> tuple[int, int, int, dict]:
-    """(kind, sequence, stamp, {tag: value}). Raises DatagramError."""
+    """(kind, sequence, stamp, {tag: value}). Raises DatagramError.
+
+    Of a repeated tag the first value counts."""
     if len(data) < HEADER_SIZE or len(data) > MAX_BYTES:
         raise DatagramError("length")
-    version, kind, check, to, sequence, stamp = unpack_from(HEAD, data)
+    version, kind, check, addressee, sequence, stamp = unpack_from(HEADER_FORMAT, data)
     if version >> 4 != MAJOR:
         raise DatagramError("version")
     if check != crc32(pack(">HBB", sender, version, kind) + data[6:]):
         raise DatagramError("checksum")
-    if to != receiver:
+    if addressee != receiver:
         raise DatagramError("receiver")
     fields, at = {}, HEADER_SIZE
     while at < len(data):
@@ -103,37 +107,39 @@
 
 
 def self_field(facts: dict) -> bytes:
-    return field(SELF, pack(FACTS, *(facts[name] for name in FACT_NAMES)))
+    """The sender's description of itself; `facts` has the keys of FACT_NAMES."""
+    return encode_field(SELF, pack(FACTS_FORMAT, *(facts[name] for name in FACT_NAMES)))
 
 
 def facts_of(fields: dict) -> dict:
-    """Raises DatagramError: who says nothing of itself is nobody."""
+    """The sender's facts by FACT_NAMES. Raises DatagramError, also where the field is missing."""
     value = fields.get(SELF, b"")
-    if len(value) < calcsize(FACTS):
+    if len(value) < calcsize(FACTS_FORMAT):
         raise DatagramError("field")
-    facts = dict(zip(FACT_NAMES, unpack_from(FACTS, value), strict=True))
+    facts = dict(zip(FACT_NAMES, unpack_from(FACTS_FORMAT, value), strict=True))
     if NAMES.get(facts["state"], UNHEARD) == UNHEARD:
         raise DatagramError("field")
     return facts
 
 
-def row(number: int, start: int, incarnation: int, state: str, by: int) -> bytes:
-    return pack(ROW, number, start, incarnation, CODES[state], by)
+def encode_row(number: int, start: int, incarnation: int, state: str, reporter: int) -> bytes:
+    """One row of the membership table."""
+    return pack(ROW_FORMAT, number, start, incarnation, STATE_CODES[state], reporter)
 
 
 def rows_of(fields: dict) -> list[tuple]:
-    """(number, start, incarnation, state, who says so). Raises DatagramError."""
+    """Rows of (number, start, incarnation, state, reporter). Raises DatagramError."""
     value = fields.get(ROWS, b"")
     if len(value) % ROW_SIZE:
         raise DatagramError("field")
-    rows = [unpack(ROW, value[at : at + ROW_SIZE]) for at in range(0, len(value), ROW_SIZE)]
-    if any(NAMES.get(told[3], UNHEARD) == UNHEARD for told in rows):
+    rows = [unpack(ROW_FORMAT, value[at : at + ROW_SIZE]) for at in range(0, len(value), ROW_SIZE)]
+    if any(NAMES.get(row[3], UNHEARD) == UNHEARD for row in rows):
         raise DatagramError("field")
-    return [(*told[:3], NAMES[told[3]], told[4]) for told in rows]
+    return [(*row[:3], NAMES[row[3]], row[4]) for row in rows]
 
 
 def number_of(fields: dict, tag: int, form: str) -> int | None:
-    """The one number of a field, None where there is no such field. Raises DatagramError."""
+    """The number in a field of the struct format `form`, None if there is none. Raises DatagramError."""
     value = fields.get(tag)
     if value is None:
         return None
@@ -143,36 +149,40 @@
 
 
 def news_field(build: int, stage: int, phase: int, cap: float, age: int) -> bytes:
-    """`age`: microseconds since the desk began this phase and stage."""
-    return field(NEWS, pack(NEWS_FORM, build, stage, phase, round(cap * 65535), min(age // 1000, 0xFFFFFFFF)))
+    """The state of a release.
+
+    `cap` is a share of 1; `age`: microseconds since the desk began this phase and stage."""
+    return encode_field(
+        NEWS, pack(NEWS_FORMAT, build, stage, phase, round(cap * 65535), min(age // 1000, 0xFFFFFFFF))
+    )
 
 
 def news_of(fields: dict) -> tuple | None:
-    """(build, stage, phase, cap, age). Raises DatagramError."""
+    """(build, stage, phase, cap, age in microseconds), None if the field is missing. Raises DatagramError."""
     value = fields.get(NEWS)
     if value is None:
         return None
-    if len(value) < calcsize(NEWS_FORM):
+    if len(value) < calcsize(NEWS_FORMAT):
         raise DatagramError("field")
-    build, stage, phase, cap, age = unpack_from(NEWS_FORM, value)
+    build, stage, phase, cap, age = unpack_from(NEWS_FORMAT, value)
     return build, stage, phase, cap / 65535, age * 1000
 
 
 def drains_of(fields: dict) -> list[int]:
-    """Tags of instances (`decisions/sample_message.py`). Raises DatagramError."""
+    """Tags of draining instances (`decisions/sample_message.py`). Raises DatagramError."""
     value = fields.get(DRAINS, b"")
-    if len(value) % 4 or len(value) > 4 * DRAINS_MOST:
+    if len(value) % 4 or len(value) > 4 * MAX_DRAINS:
         raise DatagramError("field")
     return list(unpack(f">{len(value) // 4}I", value))
 
 
 def trial_field(rows) -> bytes:
-    """`rows`: (build, place of the path group, hits, errored, age in microseconds)."""
-    return field(
+    """Counts of a trial. `rows`: (build, index of the path group, hits, errored, age in microseconds)."""
+    return encode_field(
         TRIAL,
         b"".join(
             pack(
-                TRIAL_FORM,
+                TRIAL_FORMAT,
                 build,
                 group,
                 min(hits, 0xFFFFFFFF),
@@ -185,63 +195,70 @@
 
 
 def trial_of(fields: dict) -> list[tuple]:
-    """Raises DatagramError."""
-    value, size = fields.get(TRIAL, b""), calcsize(TRIAL_FORM)
-    if len(value) % size or len(value) > size * TRIAL_MOST:
+    """Rows as `trial_field` takes them. Raises DatagramError."""
+    value, size = fields.get(TRIAL, b""), calcsize(TRIAL_FORMAT)
+    if len(value) % size or len(value) > size * MAX_TRIAL_ROWS:
         raise DatagramError("field")
-    rows = [unpack(TRIAL_FORM, value[at : at + size]) for at in range(0, len(value), size)]
-    return [(*told[:4], told[4] * 10_000) for told in rows]
+    rows = [unpack(TRIAL_FORMAT, value[at : at + size]) for at in range(0, len(value), size)]
+    return [(*row[:4], row[4] * 10_000) for row in rows]
 
 
 def warm_field(rows) -> bytes:
-    """`rows`: (mark, pace, load, faults, flags, age in microseconds), at most `WARM_MOST`."""
-    return field(
+    """What is known of instances, for a gateway that warms up.
+
+    `rows`: (digest of the instance's start, latency ratio, load, share of faults, flags, age in
+    microseconds); those beyond WARM_MOST are left out."""
+    return encode_field(
         WARM,
         b"".join(
             pack(
-                WARM_FORM,
-                mark,
-                min(255, int(pace * PACE_PART)),
+                WARM_FORMAT,
+                start_digest,
+                min(255, int(latency_ratio * LATENCY_RATIO_UNITS)),
                 min(255, int(load)),
                 min(255, int(faults * 255)),
                 flags & 255,
                 min(255, age // 100_000),
             )
-            for mark, pace, load, faults, flags, age in rows[:WARM_MOST]
+            for start_digest, latency_ratio, load, faults, flags, age in rows[:WARM_MOST]
         ),
     )
 
 
 def warm_of(fields: dict) -> list[tuple]:
-    """Raises DatagramError."""
-    value, size = fields.get(WARM, b""), calcsize(WARM_FORM)
+    """Rows as `warm_field` takes them. Raises DatagramError."""
+    value, size = fields.get(WARM, b""), calcsize(WARM_FORMAT)
     if len(value) % size or len(value) > size * WARM_MOST:
         raise DatagramError("field")
-    rows = [unpack(WARM_FORM, value[at : at + size]) for at in range(0, len(value), size)]
+    rows = [unpack(WARM_FORMAT, value[at : at + size]) for at in range(0, len(value), size)]
     return [
-        (mark, pace / PACE_PART, load, faults / 255, flags, age * 100_000)
-        for mark, pace, load, faults, flags, age in rows
+        (start_digest, latency_ratio / LATENCY_RATIO_UNITS, load, faults / 255, flags, age * 100_000)
+        for start_digest, latency_ratio, load, faults, flags, age in rows
     ]
 
 
 def leases_field(rows) -> bytes:
-    """`rows`: (place of the limit, digest of the value, amount, when it was asked in milliseconds, fence)."""
-    return field(
+    """Lease requests or replies.
+
+    `rows`: (index of the limit, digest of the value, amount, request time in milliseconds, fencing token);
+    those beyond LEASES_MOST are left out."""
+    return encode_field(
         LEASES,
         b"".join(
-            pack(LEASES_FORM, place, digest, min(amount, 0xFFFFFFFF), asked, fence)
-            for place, digest, amount, asked, fence in rows[:LEASES_MOST]
+            pack(LEASES_FORMAT, limit_index, digest, min(amount, 0xFFFFFFFF), requested_at, fencing_token)
+            for limit_index, digest, amount, requested_at, fencing_token in rows[:LEASES_MOST]
         ),
     )
 
 
 def leases_of(fields: dict) -> list[tuple]:
-    """Raises DatagramError."""
-    value, size = fields.get(LEASES, b""), calcsize(LEASES_FORM)
+    """Rows as `leases_field` takes them. Raises DatagramError."""
+    value, size = fields.get(LEASES, b""), calcsize(LEASES_FORMAT)
     if len(value) % size or len(value) > size * LEASES_MOST:
         raise DatagramError("field")
-    return [unpack(LEASES_FORM, value[at : at + size]) for at in range(0, len(value), size)]
+    return [unpack(LEASES_FORMAT, value[at : at + size]) for at in range(0, len(value), size)]
 
 
 def drains_field(tags) -> bytes:
-    return field(DRAINS, pack(f">{len(tags)}I", *tags))
+    """Tags of draining instances, at most MAX_DRAINS."""
+    return encode_field(DRAINS, pack(f">{len(tags)}I", *tags))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,14 +11,14 @@
 from cobaltpond.members import wire
 from cobaltpond.members.compare import compare_tables, format_comparison, format_ranges
 from cobaltpond.members.gossip import Gossip
-from cobaltpond.members.receiving import EACH_PERIOD
+from cobaltpond.members.receiving import MAX_DATAGRAMS_PER_PERIOD
 from cobaltpond.members.states import (
     ALIVE,
-    CAUSE_OF,
+    CAUSE_OF_STATE,
     FAILED,
     HEARD,
     LEFT,
-    NEXT,
+    NEXT_STATE,
     SUSPECT,
     SUSPICION_EXPIRED,
     UNHEARD,
@@ -91,14 +91,14 @@
         } == best
         again = 0
         for n in view.zones:
-            again ^= view.row_hash(n)
-        assert view.hash == again  # kept up step by step, it is what it would be anew
+            again ^= view.row_digest(n)
+        assert view.table_digest == again  # kept up step by step, it is what it would be anew
         dice.shuffle(rows)
 
 
 def test_the_table_knows_every_cause_that_words_can_bring():
-    for state, nexts in NEXT.items():
-        assert set(CAUSE_OF.values()) <= set(nexts), state
+    for state, nexts in NEXT_STATE.items():
+        assert set(CAUSE_OF_STATE.values()) <= set(nexts), state
 
 
 # --- the datagram -------------------------------------------------------------------------------------------
@@ -128,7 +128,7 @@
     heard = []
     other.on_gossip = lambda member, news, drains: heard.append((member.number, news, drains))
     other.receive_datagram(5, 0, view.out[0][1])
-    assert heard == [(0, (7, 1, 0, pytest.approx(0.4, abs=1e-4), 3_000_000), list(range(wire.DRAINS_MOST)))]
+    assert heard == [(0, (7, 1, 0, pytest.approx(0.4, abs=1e-4), 3_000_000), list(range(wire.MAX_DRAINS)))]
     assert sum(m.state != UNHEARD for m in other.members.values()) >= 5
 
 
@@ -165,9 +165,14 @@
     one, two = pair()[:2]
     one.self_description["out"] = 41
     fields = wire.self_field({**one.self_description, "start": 1000, "incarnation": 0, "state": 1})
-    longer = wire.field(wire.SELF, fields[2:] + b"later")
+    longer = wire.encode_field(wire.SELF, fields[2:] + b"later")
     data = wire.encode_datagram(
-        wire.PING, 0, 1, 7, 1, wire.field(200, b"unknown") + longer + wire.field(wire.NEWS, bytes(20))
+        wire.PING,
+        0,
+        1,
+        7,
+        1,
+        wire.encode_field(200, b"unknown") + longer + wire.encode_field(wire.NEWS, bytes(20)),
     )
     newer = bytes([wire.MAJOR << 4 | 5]) + data[1:]
     newer = (
@@ -220,9 +225,13 @@
     data = datagram(one)
     for _ in range(1000):
         two.receive_datagram(5, 0, data)
-    assert two.counts["heard"] == EACH_PERIOD and len(two.out) <= EACH_PERIOD and two.counts["flood"] > 900
+    assert (
+        two.counts["heard"] == MAX_DATAGRAMS_PER_PERIOD
+        and len(two.out) <= MAX_DATAGRAMS_PER_PERIOD
+        and two.counts["flood"] > 900
+    )
     two.receive_datagram(5 + two.probe_settings.period, 0, data)
-    assert two.counts["heard"] == EACH_PERIOD + 1
+    assert two.counts["heard"] == MAX_DATAGRAMS_PER_PERIOD + 1
 
 
 def test_a_probe_of_a_former_life_says_nothing_of_the_next():
--- a/tests/test_society.py
+++ b/tests/test_society.py
@@ -105,11 +105,11 @@
 def test_a_link_broken_one_way_is_named_and_nobody_is_called_failed():
     one = society(9, 7, 3)
     one.link(1, 5).one_way("gateway-1", True)  # 1 does not hear 5
-    one.run_until(lambda: one.parts[1].members.view.reachability.links() == [5], 60 * BRISK.period)
+    one.run_until(lambda: one.parts[1].members.view.reachability.broken_links() == [5], 60 * BRISK.period)
     one.run(20 * SECOND)
     assert one.failure_reports() == []
     one.link(1, 5).one_way("gateway-1", False)
-    one.run_until(lambda: not one.parts[1].members.view.reachability.links(), 60 * BRISK.period)
+    one.run_until(lambda: not one.parts[1].members.view.reachability.broken_links(), 60 * BRISK.period)
 
 
 def zones_seen(one, at):
@@ -208,7 +208,7 @@
     view = one.parts[1].members.view  # another process of the name has been heard elsewhere
     newer = old.members.view.start + 10 * SECOND
     view.apply_row(view.began, 3, newer, 0, ALIVE, 3)
-    one.run_until(lambda: old.members.view.bumped, 60 * BRISK.period)
+    one.run_until(lambda: old.members.view.outbid_once, 60 * BRISK.period)
     assert former.code is None  # it may have been its own former life
     view.apply_row(view.began, 3, newer + 2, 0, ALIVE, 3)  # that one lives: it outbids in its turn
     one.run_until(lambda: former.code is not None, 60 * BRISK.period)
@@ -257,14 +257,16 @@
             one.run(chance.randrange(100_000, 3 * SECOND))
             one.set_loss()
     one.run_until(lambda: one.all_agree(), 80 * BRISK.period)
-    digests = {one.parts[n].members.view.hash for n in one.living()}
-    one.run_until(lambda: len({one.parts[n].members.view.hash for n in one.living()}) == 1, 40 * BRISK.period)
+    digests = {one.parts[n].members.view.table_digest for n in one.living()}
+    one.run_until(
+        lambda: len({one.parts[n].members.view.table_digest for n in one.living()}) == 1, 40 * BRISK.period
+    )
     assert digests and not one.world.troubles
 
 
 def test_plain_swim_is_the_same_code_without_the_refinements():
-    plain = replace(BRISK, plain=True)
-    one = society(10, 16, settings=plain)
+    plain_swim = replace(BRISK, plain_swim=True)
+    one = society(10, 16, settings=plain_swim)
     one.signal("KILL", 3)
     one.run_until(lambda: one.all_agree(FAILED, [3]), 60 * BRISK.period)
     assert all(part.members.view.health == 0 for part in one.parts.values())
