--- a/bench/comeback.py
+++ b/bench/comeback.py
@@ -18,7 +18,7 @@
 
 from cobaltpond.loop import map_in_workers  # noqa: E402
 from cobaltpond.recovery.measure import (  # noqa: E402
-    SHARE,
+    FULL_SERVICE_SHARE,
     in_time_share,
     max_in_window,
     time_to_full_service,
@@ -194,7 +194,7 @@
         for seed in words.seeds.split(",")
     ]
     print(
-        f"in time: {SHARE} of the share before; "
+        f"in time: {FULL_SERVICE_SHARE} of the share before; "
         f"one instance bears {DIALS:g} dials a second, list and desk {CALLS:g}"
     )
     print(
--- a/bench/leases_model.py
+++ b/bench/leases_model.py
@@ -46,12 +46,15 @@
             other = Owner.__new__(Owner)
             other.__dict__.update(owner.__dict__)
             other.views = list(owner.views)
-            other.out = {
-                key: {who: list(leases) for who, leases in row.items()} for key, row in owner.out.items()
+            other.outstanding = {
+                key: {member: list(leases) for member, leases in row.items()}
+                for key, row in owner.outstanding.items()
             }
-            other.claims = {key: dict(row) for key, row in owner.claims.items()}
+            other.requests = {key: dict(row) for key, row in owner.requests.items()}
             new.owners.append(other)
-        new.holders = [Holder(holder.number, holder.life, dict(holder.leases)) for holder in self.holders]
+        new.holders = [
+            Holder(holder.number, holder.lease_time, dict(holder.leases)) for holder in self.holders
+        ]
         new.dead, new.stopped, new.starts, new.views = (
             list(self.dead),
             list(self.stopped),
@@ -91,20 +94,20 @@
                             for h, leases in sorted(row.items())
                         ),
                     )
-                    for k, row in sorted(o.out.items())
+                    for k, row in sorted(o.outstanding.items())
                 ),
                 tuple(
                     (
                         k,
                         tuple(
-                            (who, told[0], told[1] - now)
-                            for who, told in sorted(row.items())
-                            if told[1] > now
+                            (member, entry[0], entry[1] - now)
+                            for member, entry in sorted(row.items())
+                            if entry[1] > now
                         ),
                     )
-                    for k, row in sorted(o.claims.items())
+                    for k, row in sorted(o.requests.items())
                 ),
-                min(LIFE, now - (o.looked or 0)),
+                min(LIFE, now - (o.last_observed or 0)),
             )
             for o in self.owners
         )
@@ -230,7 +233,7 @@
             if self.apart:
                 owners = sum(
                     o.is_owner(self.now, key)
-                    or any(u > self.now for leases in o.out.get(key, {}).values() for _, u in leases)
+                    or any(u > self.now for leases in o.outstanding.get(key, {}).values() for _, u in leases)
                     for o in self.owners
                 )
                 most += overshoot(POOL, owners)
@@ -279,7 +282,7 @@
 
 def no_standing_still(self, now, living):
     """One that stood still goes on as if it had not."""
-    self.looked = now if self.looked is not None else None
+    self.last_observed = now if self.last_observed is not None else None
     REAL["observe_members"](self, now, living)
 
 
@@ -292,7 +295,7 @@
 
 def forgets(self, now, key, holder, wanted, pool):
     """What is lent already is not counted."""
-    self.out.pop(key, None)
+    self.outstanding.pop(key, None)
     return REAL["grant_lease"](self, now, key, holder, wanted, pool)
 
 
@@ -300,7 +303,7 @@
     """A smaller lease counts at once, though its holder may not have heard of it."""
     lease = REAL["grant_lease"](self, now, key, holder, wanted, pool)
     if lease is not None:
-        self.out[key][holder] = self.out[key][holder][-1:]
+        self.outstanding[key][holder] = self.outstanding[key][holder][-1:]
     return lease
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -70,7 +70,7 @@
         print(f"| {count} | {concern} | {row[0]} | {row[1]} | {after / 10_000:.3f} |")
 
 
-def weights(shape: str, count: int, at: float, chance) -> list:
+def weights(shape: str, count: int, at: float, random_source) -> list:
     if shape == "even":
         return [1.0] * count
     if shape == "one hot":
@@ -85,7 +85,7 @@
 
 def play(way: str, shape: str, count: int, seconds: int) -> tuple:
     """(let through of what was allowed, worst second of it, messages a gateway and second)."""
-    chance = seeded_random(f"{way}/{shape}/{count}")
+    random_source = seeded_random(f"{way}/{shape}/{count}")
     base = {
         "leases": lambda limit: limit.rate // OWN // count,
         "fixed": lambda limit: limit.rate // count,
@@ -101,11 +101,11 @@
     owner, mail, messages, wanted, through = owner_of(key, living), [], 0, [0.0] * count, []
     hit = HitAttributes("look", "repeatable")
     for at in range(0, seconds * S, STEP):
-        share = weights(shape, count, at / S, chance)
+        share = weights(shape, count, at / S, random_source)
         whole = sum(share)
         load = 1.5 * RATE if shape != "idle then all" else 1.5 * RATE * min(1.0, share[0])
         for n in range(count):
-            for _ in range(int(load * share[n] / whole * STEP / S + chance.random())):
+            for _ in range(int(load * share[n] / whole * STEP / S + random_source.random())):
                 if sides[0 if way == "central" else n].check(at, hit).by is None:
                     through.append(at)
         if way != "leases":
@@ -116,8 +116,8 @@
         for _, what, n, body, asked in due:
             if what == "ask":
                 lease = owners[owner].grant_lease(at, key, n, body, pool)
-                if lease is not None and chance.random() >= 0.01:
-                    mail.append((at + chance.randrange(1_000, 20_000), "told", n, lease, asked))
+                if lease is not None and random_source.random() >= 0.01:
+                    mail.append((at + random_source.randrange(1_000, 20_000), "told", n, lease, asked))
                     messages += 1
             elif holders[n].accept_lease(at, body, living, asked):
                 sides[n].set_lent_rate(at, "house", None, body.amount)
@@ -127,10 +127,10 @@
                 wanted[n] = wanted[n] * 0.5 + seen * 0.5
                 if holders[n].leases and not holders[n].amount(at, key):
                     sides[n].set_lent_rate(at, "house", None, 0)
-                    holders[n].forget(at)
+                    holders[n].drop_expired(at)
                 more = min(int(wanted[n] * 1.25), limit.rate) - base(limit)
-                if more > 0 and chance.random() >= 0.01:
-                    mail.append((at + chance.randrange(1_000, 20_000), "ask", n, more, at))
+                if more > 0 and random_source.random() >= 0.01:
+                    mail.append((at + random_source.randrange(1_000, 20_000), "ask", n, more, at))
                     messages += 1
     begin = 6 * S  # a life until the owner lends, and two for the wishes
     allowed = RATE * (seconds - 6) if shape != "idle then all" else RATE * (seconds - 12)
--- a/cobaltpond/leases/__init__.py
+++ b/cobaltpond/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Who may hand out or do what, for how long, with which fence."""
+"""Leases on a shared allowance: who may use how much, until when, with which fencing token."""
--- a/cobaltpond/leases/service.py
+++ b/cobaltpond/leases/service.py
@@ -1,5 +1,4 @@
-"""Leases between running gateways: asks owners ahead by what is wanted here, answers as an owner, in
-datagrams."""
+"""Requests and grants leases between running gateways, in datagrams, ahead of the demand."""
 
 from hashlib import blake2b
 
@@ -7,123 +6,143 @@
 from cobaltpond.loop import Sleep
 from cobaltpond.members import wire
 
-ROUNDS = 4  # looks in a life
-ASKED_MOST = 64  # values asked for in a round: those most wanted
-SMOOTH, AHEAD = 0.5, 1.25  # of what was wanted lately; asked for so much more
+ROUNDS_PER_LEASE = 4  # rounds of requests in a lease time
+MAX_REQUESTS_PER_ROUND = 64  # values requested in a round: those with the highest demand
+# The weight of the latest demand in the smoothed one; the factor between the demand and the request.
+SMOOTHING, HEADROOM = 0.5, 1.25
 
 
 class Leases:
-    """`limits`: the compiled ones; `names`: of those of the whole fleet, in the sheet's order, the same
-    everywhere; `pools`: thousandths a second that are lent of each. `members`: `members.service.Members`."""
+    """The lease service of one gateway.
+
+    `limits` is a `limits.compiled.CompiledLimits`, `names` are the limits of the whole fleet in the order of
+    the settings, which is the same at all gateways, and `pools` maps each to the part that is lent, in
+    thousandths a second. `members` is a `members.service.Members`, `lease_time` is in microseconds.
+    """
 
     def __init__(
-        self, loop, number: int, declared: int, members, limits, names: list, pools: dict, life: int
+        self, loop, number: int, declared: int, members, limits, names: list, pools: dict, lease_time: int
     ):
         self.loop, self.number, self.members, self.limits = loop, number, members, limits
-        self.names, self.pools, self.life = names, pools, life
-        self.owner = Owner(number, declared, life, members.view.start & 0xFFFFFFFF)
-        self.holder, self.wanted, self.values = Holder(number, life), {}, {}
+        self.names, self.pools, self.lease_time = names, pools, lease_time
+        self.owner = Owner(number, declared, lease_time, members.view.start & 0xFFFFFFFF)
+        self.holder, self.demand, self.values = Holder(number, lease_time), {}, {}
         self.counts = {"asked": 0, "granted": 0, "taken": 0, "refused": 0, "rows": 0}
         members.view.on_lease_message = self.handle_message
 
     def key(self, name: str, value) -> tuple[int, int]:
-        """(place of the limit, digest of the value): as short as a datagram needs it, the same at all
-        gateways."""
+        """(index of the limit, digest of the value): short enough for a datagram and the same at all
+        gateways.
+        """
         digest = int.from_bytes(blake2b(repr(value).encode(), digest_size=8).digest(), "big")
         self.values[self.names.index(name), digest] = value
         return self.names.index(name), digest
 
     def living(self) -> list[int]:
+        """The numbers of the present members, sorted."""
         return sorted(self.members.view.living())
 
     def run(self):
-        """For ever."""
+        """Requests and expires leases for ever, `ROUNDS_PER_LEASE` times in a lease time."""
         while True:
-            yield Sleep(self.life // ROUNDS)
+            yield Sleep(self.lease_time // ROUNDS_PER_LEASE)
             now = self.loop.now()
             self.owner.observe_members(now, self.living())
-            self.owner.forget(now)
+            self.owner.drop_expired(now)
             self.update_demand()
             self.request_leases(now)
             self.expire_leases(now)
 
     def update_demand(self) -> None:
-        """What is wanted of each value, thousandths a second, smoothed; forgotten once nothing is."""
-        seen, period = self.limits.take_demand(), self.life // ROUNDS
-        for mark in {**dict.fromkeys(self.wanted), **dict.fromkeys(seen)}:
-            rate = seen.get(mark, 0) * 1_000_000_000 // period
-            self.wanted[mark] = int(self.wanted.get(mark, rate) * (1 - SMOOTH) + rate * SMOOTH)
-            if self.wanted[mark] < 10:
-                del self.wanted[mark]
+        """Smooths the demand for each value, in thousandths a second, and drops values below 10 of them."""
+        hit_counts, period = self.limits.take_demand(), self.lease_time // ROUNDS_PER_LEASE
+        for counter in {**dict.fromkeys(self.demand), **dict.fromkeys(hit_counts)}:
+            rate = hit_counts.get(counter, 0) * 1_000_000_000 // period
+            self.demand[counter] = int(self.demand.get(counter, rate) * (1 - SMOOTHING) + rate * SMOOTHING)
+            if self.demand[counter] < 10:
+                del self.demand[counter]
 
     def request_leases(self, now: int) -> None:
+        """Requests the rate that exceeds this gateway's own part, for the values with the highest demand."""
         rows = {}
-        for (name, value), rate in sorted(self.wanted.items(), key=lambda one: -one[1])[:ASKED_MOST]:
+        for (name, value), rate in sorted(self.demand.items(), key=lambda one: -one[1])[
+            :MAX_REQUESTS_PER_ROUND
+        ]:
             limit = self.limits.by_name[name]
-            more = min(int(rate * AHEAD), limit.rate) - self.limits.own_rate(limit)
-            if more <= 0:
+            extra_rate = min(int(rate * HEADROOM), limit.rate) - self.limits.own_rate(limit)
+            if extra_rate <= 0:
                 continue
-            place, digest = self.key(name, value)
-            key, living = f"{place}/{digest}", self.living()
+            limit_index, digest = self.key(name, value)
+            key, living = f"{limit_index}/{digest}", self.living()
             owner = owner_of(key, living)
             self.counts["asked"] += 1
             if owner == self.number:
-                lease = self.owner.grant_lease(now, key, self.number, more, self.pools[name])
+                lease = self.owner.grant_lease(now, key, self.number, extra_rate, self.pools[name])
                 if lease is not None and self.holder.accept_lease(now, lease, living, now):
                     self.apply_lease(now, lease)
             elif owner is not None:
-                rows.setdefault(owner, []).append((place, digest, more, now // 1000 & 0xFFFFFFFF, 0))
-        for owner, asked in rows.items():
-            for at in range(0, len(asked), wire.LEASES_MOST):
-                some = wire.leases_field(asked[at : at + wire.LEASES_MOST])
-                self.members.view.send(wire.LEASE_ASK, owner, 0, more=some)
+                rows.setdefault(owner, []).append(
+                    (limit_index, digest, extra_rate, now // 1000 & 0xFFFFFFFF, 0)
+                )
+        for owner, requests in rows.items():
+            for at in range(0, len(requests), wire.LEASES_MOST):
+                payload = wire.leases_field(requests[at : at + wire.LEASES_MOST])
+                self.members.view.send(wire.LEASE_ASK, owner, 0, more=payload)
         self.members.flush()
 
     def apply_lease(self, now: int, lease: Lease) -> None:
-        place, _, digest = lease.key.partition("/")
-        value = self.values.get((int(place), int(digest)))
+        """Adds the amount of an accepted lease to the limit's own rate."""
+        limit_index, _, digest = lease.key.partition("/")
+        value = self.values.get((int(limit_index), int(digest)))
         self.counts["taken"] += 1
-        self.limits.set_lent_rate(now, self.names[int(place)], value, lease.amount)
+        self.limits.set_lent_rate(now, self.names[int(limit_index)], value, lease.amount)
 
     def handle_message(self, kind: int, sender: int, sequence: int, rows: list) -> None:
-        """Questions to us as an owner, or answers of one."""
-        now, told = self.loop.now(), []
-        for place, digest, amount, asked, count in rows:
-            if place >= len(self.names):
+        """Answers lease requests as an owner, or accepts the leases of an owner's answer."""
+        now, replies = self.loop.now(), []
+        for limit_index, digest, amount, asked_ms, count in rows:
+            if limit_index >= len(self.names):
                 continue
-            key = f"{place}/{digest}"
+            key = f"{limit_index}/{digest}"
             self.counts["rows"] += 1
             if kind == wire.LEASE_ASK:
-                lease = self.owner.grant_lease(now, key, sender, amount, self.pools[self.names[place]])
+                lease = self.owner.grant_lease(now, key, sender, amount, self.pools[self.names[limit_index]])
                 if lease is None:
                     self.counts["refused"] += 1
                 else:
                     self.counts["granted"] += 1
-                    told.append((place, digest, lease.amount, asked, lease.fencing_token[1]))
-            elif (place, digest) in self.values:
+                    replies.append((limit_index, digest, lease.amount, asked_ms, lease.fencing_token[1]))
+            elif (limit_index, digest) in self.values:
                 start = self.members.view.members[sender].start & 0xFFFFFFFF
-                ago = (now // 1000 - asked & 0xFFFFFFFF) * 1000  # our own question's time comes back to us
+                # The answer repeats the time of the request, by this gateway's own clock.
+                request_age = (now // 1000 - asked_ms & 0xFFFFFFFF) * 1000
                 lease = Lease(key, sender, (start, count), amount, 0)
-                if ago < self.life and self.holder.accept_lease(now, lease, self.living(), now - ago):
+                if request_age < self.lease_time and self.holder.accept_lease(
+                    now, lease, self.living(), now - request_age
+                ):
                     self.apply_lease(now, lease)
-        if told:
-            self.members.view.send(wire.LEASE_REPLY, sender, sequence, more=wire.leases_field(told))
+        if replies:
+            self.members.view.send(wire.LEASE_REPLY, sender, sequence, more=wire.leases_field(replies))
 
     def expire_leases(self, now: int) -> None:
-        """What has run out is given back to the limits."""
+        """Takes the amounts of expired leases back from the limits."""
         for key, lease in list(self.holder.leases.items()):
             if lease.until <= now:
-                place, _, digest = key.partition("/")
+                limit_index, _, digest = key.partition("/")
                 self.limits.set_lent_rate(
-                    now, self.names[int(place)], self.values.pop((int(place), int(digest)), None), 0
+                    now,
+                    self.names[int(limit_index)],
+                    self.values.pop((int(limit_index), int(digest)), None),
+                    0,
                 )
-        self.holder.forget(now)
+        self.holder.drop_expired(now)
 
     def status(self) -> dict:
+        """The fields of the status page; `lent` in thousandths a second."""
         now = self.loop.now()
         return {
             **self.counts,
             "held": len(self.holder.leases),
             "lent": sum(self.holder.amount(now, key) for key in self.holder.leases),
-            "out": len(self.owner.out),
+            "out": len(self.owner.outstanding),
         }
--- a/cobaltpond/limits/__init__.py
+++ b/cobaltpond/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits declared in the sheet, one meaning over all gateways."""
+"""Rate limits declared in the settings, with one meaning over all gateways."""
--- a/cobaltpond/limits/compiled.py
+++ b/cobaltpond/limits/compiled.py
@@ -1,153 +1,168 @@
-"""The same on the hit path: which limits concern which hits is worked out once, a level is two numbers. Free
-of I/O.
+"""Rate limits on the hit path: token buckets, with the limits that apply to a hit cached. Free of I/O.
 
-`reference.py` is the definition; `tests/test_limits.py` holds the two against each other on drawn limits and
-hits. What is kept is bounded: a limit knows `keys` values at most. Beyond them, values whose level is full
-again are forgotten first, which changes nothing; if none is, those that are not known share one level, which
-is on the strict side.
+`reference.py` is the definition; `tests/test_limits.py` compares the two on generated limits and hits. Memory
+is bounded: a limit has buckets for at most `keys` values. Beyond them, values with a full bucket are dropped
+first, which changes nothing; if there is none, unknown values share one bucket, which errs on the strict
+side.
 """
 
-from cobaltpond.limits.rules import ADVICE_MOST, UNIT, HitAttributes, Limit, LimitVerdict, wait_for_token
+from cobaltpond.limits.rules import MAX_ADVICE_US, UNIT, HitAttributes, Limit, LimitVerdict, wait_for_token
 
-FREE = LimitVerdict()
-OTHERS = ("others",)  # the level of values that find no room
+NO_LIMIT_APPLIES = LimitVerdict()
+OVERFLOW_VALUE = ("others",)  # the shared bucket of values that have none of their own
 
 
 class TokenBuckets:
-    """Of one limit (or its guarantee): value -> [level, when]. `rate` may change, see
-    `CompiledLimits.lend`."""
-
-    def __init__(self, rate: int, most: int, keys: int):
-        self.rate, self.most, self.keys, self.rows = rate, most, keys, {}
-        self.own, self.missed = {}, keys  # value -> (rate, most) of its own, where it was lent more
-
-    def row(self, now: int, value) -> list:
-        row = self.rows.get(value)
-        if row is None:
-            if len(self.rows) >= self.keys and value != OTHERS:
-                self.missed += 1
-                if (
-                    self.missed > self.keys // 10
-                ):  # a look at all of them is paid for by as many that found none
-                    self.missed = 0
-                    self.forget(now)
-                if len(self.rows) >= self.keys:
-                    return self.row(now, OTHERS)
-            row = self.rows[value] = [self.most, now]
-            return row
-        if row[1] != now:
-            rate, most = self.own.get(value, (self.rate, self.most))
-            level = row[0] + rate * (now - row[1])
-            row[0], row[1] = level if level < most else most, now
-        return row
-
-    def rate_of(self, value) -> int:
-        return self.own[value][0] if value in self.own else self.rate
-
-    def forget(self, now: int) -> None:
-        """Values whose level is full again: as good as never seen."""
+    """The buckets of one limit, or of its guarantee: value -> [level, time of that level].
+
+    `rate` is in thousandths a second, `capacity` in units of `UNIT`, time in microseconds. The rate of a
+    value can change by `CompiledLimits.set_lent_rate`.
+    """
+
+    def __init__(self, rate: int, capacity: int, keys: int):
+        self.rate, self.capacity, self.keys, self.buckets = rate, capacity, keys, {}
+        self.lent_rates, self.misses = {}, keys  # lent_rates: value -> (rate, capacity)
+
+    def bucket(self, now: int, value) -> list:
+        """The value's bucket, refilled up to now; the shared one if there is no room for a new value."""
+        bucket = self.buckets.get(value)
+        if bucket is None:
+            if len(self.buckets) >= self.keys and value != OVERFLOW_VALUE:
+                self.misses += 1
+                # Scanning all buckets is amortized over this many values without one.
+                if self.misses > self.keys // 10:
+                    self.misses = 0
+                    self.drop_full(now)
+                if len(self.buckets) >= self.keys:
+                    return self.bucket(now, OVERFLOW_VALUE)
+            bucket = self.buckets[value] = [self.capacity, now]
+            return bucket
+        if bucket[1] != now:
+            rate, capacity = self.lent_rates.get(value, (self.rate, self.capacity))
+            level = bucket[0] + rate * (now - bucket[1])
+            bucket[0], bucket[1] = level if level < capacity else capacity, now
+        return bucket
+
+    def current_rate(self, value) -> int:
+        """The value's rate in thousandths a second, with what it was lent."""
+        return self.lent_rates[value][0] if value in self.lent_rates else self.rate
+
+    def drop_full(self, now: int) -> None:
+        """Drops values whose bucket is full again, which equal values never seen."""
         for value in [
             value
-            for value, (level, at) in self.rows.items()
-            if value not in self.own and level + self.rate * (now - at) >= self.most
+            for value, (level, at) in self.buckets.items()
+            if value not in self.lent_rates and level + self.rate * (now - at) >= self.capacity
         ]:
-            del self.rows[value]
+            del self.buckets[value]
 
 
 class CompiledLimits:
-    """`base`: the rate of a limit that is our own, thousandths a second; less than all for one of the whole
-    fleet, whose burst is shared as its rate is."""
+    """The limits of one gateway, checked for each hit.
 
-    def __init__(self, limits: list[Limit], base=lambda limit: limit.rate):
-        self.limits, self.own_rate, self.by_name = limits, base, {limit.name: limit for limit in limits}
+    `own_rate` returns the part of a limit's rate that belongs to this gateway, in thousandths a second. It is
+    less than the whole for a limit of the fleet, whose burst is shared in the same proportion.
+    """
+
+    def __init__(self, limits: list[Limit], own_rate=lambda limit: limit.rate):
+        self.limits, self.own_rate, self.by_name = limits, own_rate, {limit.name: limit for limit in limits}
         self.levels = {
-            one.name: TokenBuckets(base(one), self.burst(one, base(one)), one.keys) for one in limits
+            limit.name: TokenBuckets(own_rate(limit), self.burst(limit, own_rate(limit)), limit.keys)
+            for limit in limits
         }
-        self.leasts = {
+        self.guarantees = {
             limit.name: TokenBuckets(limit.least, UNIT, limit.keys) for limit in limits if limit.least
         }
-        self.plans, self.counts = {}, {limit.name: [0, 0] for limit in limits}  # [let through, over]
-        self.wanted = {}  # (limit's name, value) -> hits asked for, of limits of the fleet
-
-    def plan(self, hit: HitAttributes) -> tuple:
-        """(limits that its coming adds to, limits that take it), for all hits that look alike."""
-        mark = hit.group, hit.kind, hit.customer, hit.again, hit.key is None
-        found = self.plans.get(mark)
+        self.plan_cache, self.counts = {}, {limit.name: [0, 0] for limit in limits}  # [passed, over]
+        self.demand = {}  # (limit's name, value) -> hits, for limits of the fleet
+
+    def matching_limits(self, hit: HitAttributes) -> tuple:
+        """(limits that the hit refills, limits that it consumes), cached for all hits with the same
+        attributes.
+        """
+        hit_shape = hit.group, hit.kind, hit.customer, hit.again, hit.key is None
+        found = self.plan_cache.get(hit_shape)
         if found is None:
-            concerned = [limit for limit in self.limits if limit.applies_to(hit)]
-            found = self.plans[mark] = (
-                [limit for limit in concerned if limit.refills(hit)],
-                [limit for limit in concerned if limit.consumes(hit)],
+            applicable = [limit for limit in self.limits if limit.applies_to(hit)]
+            found = self.plan_cache[hit_shape] = (
+                [limit for limit in applicable if limit.refills(hit)],
+                [limit for limit in applicable if limit.consumes(hit)],
             )
         return found
 
     def check(self, now: int, hit: HitAttributes) -> LimitVerdict:
-        giving, taking = self.plan(hit)
-        if not giving and not taking:
-            return FREE
-        for limit in giving:
-            row = self.levels[limit.name].row(now, limit.value(hit))
-            row[0] = min(self.levels[limit.name].most, row[0] + limit.share * (UNIT // 1000))
-        over, rows = [], []
-        for limit in taking:
+        """Counts a hit and returns the verdict; `now` is in microseconds and must not decrease.
+
+        A rejected hit consumes nothing.
+        """
+        refilling, consuming = self.matching_limits(hit)
+        if not refilling and not consuming:
+            return NO_LIMIT_APPLIES
+        for limit in refilling:
+            bucket = self.levels[limit.name].bucket(now, limit.value(hit))
+            bucket[0] = min(self.levels[limit.name].capacity, bucket[0] + limit.share * (UNIT // 1000))
+        over, buckets = [], []
+        for limit in consuming:
             value = limit.value(hit)
             if limit.fleet:
-                self.wanted[limit.name, value] = self.wanted.get((limit.name, value), 0) + 1
-            row = self.levels[limit.name].row(now, value)
-            rows.append((limit, row))
-            if row[0] < UNIT:
+                self.demand[limit.name, value] = self.demand.get((limit.name, value), 0) + 1
+            bucket = self.levels[limit.name].bucket(now, value)
+            buckets.append((limit, bucket))
+            if bucket[0] < UNIT:
                 over.append(limit)
-        saved = self.saved(now, hit, taking, over) if self.leasts else {}
-        worst, by = -1, None
-        for limit, row in rows if over else ():
+        guaranteed = self.guaranteed(now, hit, consuming, over) if self.guarantees else {}
+        longest_wait, by = -1, None
+        for limit, bucket in buckets if over else ():
             if limit in over:
                 self.counts[limit.name][1] += 1
-                if limit.is_binding and limit.name not in saved:
+                if limit.is_binding and limit.name not in guaranteed:
                     wait = (
-                        wait_for_token(row[0], self.levels[limit.name].rate_of(limit.value(hit)))
+                        wait_for_token(bucket[0], self.levels[limit.name].current_rate(limit.value(hit)))
                         if limit.advice
                         else 0
                     )
-                    worst, by = (wait, limit.name) if wait > worst else (worst, by)
+                    longest_wait, by = (wait, limit.name) if wait > longest_wait else (longest_wait, by)
         if by is not None:
-            return LimitVerdict(tuple(limit.name for limit in over), by, min(ADVICE_MOST, worst))
-        for limit, row in rows:
+            return LimitVerdict(tuple(limit.name for limit in over), by, min(MAX_ADVICE_US, longest_wait))
+        for limit, bucket in buckets:
             if limit not in over:
-                row[0] -= UNIT
+                bucket[0] -= UNIT
                 self.counts[limit.name][0] += 1
-            if limit.least and limit in saved.values():
-                self.leasts[limit.name].row(now, limit.value(hit))[0] -= UNIT
-        return LimitVerdict(tuple(limit.name for limit in over)) if over else FREE
+            if limit.least and limit in guaranteed.values():
+                self.guarantees[limit.name].bucket(now, limit.value(hit))[0] -= UNIT
+        return LimitVerdict(tuple(limit.name for limit in over)) if over else NO_LIMIT_APPLIES
 
-    def saved(self, now: int, hit: HitAttributes, taking, over) -> dict:
+    def guaranteed(self, now: int, hit: HitAttributes, consuming, over) -> dict:
         """Parent's name -> the limit whose guarantee lets this hit through."""
         return {
             limit.within: limit
-            for limit in taking
+            for limit in consuming
             if limit.least
             and limit not in over
-            and self.leasts[limit.name].row(now, limit.value(hit))[0] >= UNIT
+            and self.guarantees[limit.name].bucket(now, limit.value(hit))[0] >= UNIT
         }
 
     # --- limits of the whole fleet --------------------------------------------------------------------------
 
     def set_lent_rate(self, now: int, name: str, value, amount: int) -> None:
-        """What a lease adds to our own part of a limit, thousandths a second; 0: it has run out. What came
-        until now came at the rate before."""
+        """Sets what a lease adds to the own rate of a limit, in thousandths a second; 0 once it has expired.
+
+        The bucket is refilled at the earlier rate up to now.
+        """
         levels, limit = self.levels[name], self.by_name[name]
-        levels.row(now, value)
+        levels.bucket(now, value)
         if amount:
             rate = self.own_rate(limit) + amount
-            levels.own[value] = rate, self.burst(limit, rate)
+            levels.lent_rates[value] = rate, self.burst(limit, rate)
         else:
-            levels.own.pop(value, None)
+            levels.lent_rates.pop(value, None)
 
     @staticmethod
     def burst(limit: Limit, rate: int) -> int:
-        """The highest level, of whoever has this part of the rate; one hit at least."""
+        """The bucket capacity for this part of the rate, in units of `UNIT`; at least one hit."""
         return max(UNIT, limit.burst * UNIT * rate // limit.rate) if limit.fleet else limit.burst * UNIT
 
     def take_demand(self) -> dict:
-        """What was asked for since the last call, of limits of the fleet: (name, value) -> hits."""
-        wanted, self.wanted = self.wanted, {}
-        return wanted
+        """Returns and clears the hits per (limit's name, value), for limits of the fleet."""
+        demand, self.demand = self.demand, {}
+        return demand
--- a/cobaltpond/limits/rules.py
+++ b/cobaltpond/limits/rules.py
@@ -1,29 +1,32 @@
-"""What a limit means, as plain numbers, and the two evaluators' common ground. Free of I/O.
-
-A limit counts something (`hits`: all; `tries`: first ones; `repeats`: what a client marks as such), where it
-says so, for each value of what it counts `by`, by itself. It holds a level of units: `burst` at most, at
-first and after a rest; it grows by `rate` a second, or, for a `share_of`, by `most` for each of the other
-kind. What it counts takes a unit. Where none is left, it is over: the hit is bounced, or, for a limit on
-trial or one that only counts, nothing but counted. A limit `within` another one is asked as the other one is;
-what a limit has as `least` of the other's rate goes through although the other one is over (a guarantee). Of
-all limits that bind a hit the longest wait is told.
-
-Numbers are whole: rates in thousandths a second, levels in units of `UNIT`, so that both evaluators agree to
-the last.
+"""What a rate limit means, as plain numbers; shared by both implementations. Free of I/O.
+
+A limit counts hits (`hits`: all; `tries`: first ones; `repeats`: those that a client marks as retries) where
+it applies, separately for each value of what it counts `by`. It is a token bucket that holds at most `burst`
+units, at first and after a rest. The bucket grows by `rate` a second, or, with `share_of`, by `share` for
+each hit of the other kind. Each counted hit consumes a unit. With no unit left the limit is over: the hit is
+rejected, or only counted if the limit is on trial or counts only. A limit `within` another one (its parent)
+is checked beside it; what the limit has as `least` of the parent's rate is a guarantee and passes even if the
+parent is over. A rejected hit is told the longest wait of all limits that reject it.
+
+All numbers are integers: rates in thousandths a second, levels in units of `UNIT`, so that both
+implementations agree exactly.
 """
 
 from dataclasses import dataclass
 
-UNIT = 1_000_000_000  # one unit: a thousandth a second for a microsecond is 1
-ADVICE_MOST = 2_000_000  # microseconds; nobody is told to wait longer
+UNIT = 1_000_000_000  # one unit: a rate of a thousandth a second adds 1 in a microsecond
+MAX_ADVICE_US = 2_000_000  # no client is advised to wait longer
 KINDS = ("hits", "tries", "repeats")
 
 
 @dataclass(frozen=True)
 class Limit:
-    """`rate`: thousandths of a unit a second; `share`: thousandths of a unit for each of `share_of`; `least`:
-    rate of the guarantee within the parent. `group`, `kind`, `customer`: where it counts, None:
-    everywhere."""
+    """One rate limit.
+
+    `rate` is in thousandths of a unit a second, `share` in thousandths of a unit for each hit of `share_of`,
+    and `least` is the rate of the guarantee within the parent. `group`, `kind` and `customer` say where the
+    limit applies, None: everywhere.
+    """
 
     name: str
     counts: str
@@ -45,9 +48,11 @@
 
     @property
     def is_binding(self) -> bool:
+        """Whether the limit rejects hits, rather than only counting them."""
         return self.over == "bounce" and not self.trial
 
     def applies_to(self, hit: "HitAttributes") -> bool:
+        """Whether the hit is in the limit's scope and has the value that the limit counts by."""
         return (
             self.group in (None, hit.group)
             and self.kind in (None, hit.kind)
@@ -56,18 +61,22 @@
         )
 
     def consumes(self, hit: "HitAttributes") -> bool:
+        """Whether the hit, which the limit applies to, takes a unit from the bucket."""
         return self.counts == "hits" or self.counts == ("repeats" if hit.again else "tries")
 
     def refills(self, hit: "HitAttributes") -> bool:
-        """Does this hit add to the level of a share?"""
+        """Whether the hit adds to the bucket of a limit that is a share of another kind."""
         return self.share_of in ("hits", "repeats" if hit.again else "tries")
 
     def value(self, hit: "HitAttributes"):
+        """The value of the hit that selects the bucket; None if all hits share one."""
         return None if self.by == "nothing" else getattr(hit, self.by)
 
 
 @dataclass(frozen=True)
 class HitAttributes:
+    """The attributes of a hit that limits depend on; `again` marks a client's retry."""
+
     group: str
     kind: str
     customer: str | None = None
@@ -77,8 +86,11 @@
 
 @dataclass(frozen=True)
 class LimitVerdict:
-    """`over`: names of all limits that were over, whether they bind or not. `by`: the one that bounces, None:
-    let through. `wait`: microseconds until there is room, 0: no advice."""
+    """The outcome of a check.
+
+    `over` names all limits that were over, whether they reject or not. `by` is the limit that rejects the
+    hit, None if it passes. `wait` is the time in microseconds until there is room, 0 for no advice.
+    """
 
     over: tuple[str, ...] = ()
     by: str | None = None
@@ -86,5 +98,5 @@
 
 
 def wait_for_token(level: int, rate: int) -> int:
-    """Microseconds until a whole unit is there; 0 where time brings none."""
+    """Microseconds until a whole unit is available; 0 if time adds none."""
     return -(-(UNIT - level) // rate) if rate else 0
--- a/cobaltpond/recovery/__init__.py
+++ b/cobaltpond/recovery/__init__.py
@@ -1,2 +1,1 @@
-"""Coming back: phases of a gateway that begins, budgets, warm start, snapshots, a desk that lost its
-state."""
+"""Restart recovery: phases, rate limits, warm start, snapshots, and a desk that lost its state."""
--- a/cobaltpond/recovery/desk_state.py
+++ b/cobaltpond/recovery/desk_state.py
@@ -1,11 +1,14 @@
-"""A desk that comes back: is its journal what it told last, or older? Free of I/O.
-
-Whoever acts by the desk's word keeps the newest mark (epoch, turn) that it acted by, and says so when it
-reaches the desk again. The desk's journal holds the mark that it last told. A word with a later mark of that
-line, or of a line that the journal knows nothing of, says that the state was lost, cut or put back from a
-copy. Until enough have spoken the desk tells no news, takes no vote and gives no order. Then it goes on where
-the journal stands; or, where that is older, from the safest state that fits all words; or, where words
-contradict, waits for the operator.
+"""Detects state loss of a restarted release desk and chooses the state to resume from. Free of I/O.
+
+Each gateway and agent keeps the newest mark (epoch, turn) of the desk state that it acted on, and reports it
+when it reaches the desk again. The desk's journal holds the mark that the desk published last. A reported
+mark that is later than the journal's, or that belongs to an epoch the journal does not know, shows that the
+journal was lost, truncated or restored from a copy.
+
+Until enough members have reported, the desk publishes no news, accepts no vote and gives no order. Then it
+does one of three things: it carries on from the journal; or, where the journal is older, it resumes from the
+safest state that is consistent with all reports; or, where reports contradict each other, it waits for the
+operator.
 """
 
 from dataclasses import dataclass, field
@@ -13,14 +16,18 @@
 COLLECTING, CARRIED_ON, RESUMED, WAITING = "collecting", "carried on", "resumed", "waiting"
 TRIAL, GOING_BACK, RELEASED, WITHDRAWN = "trial", "going back", "released", "withdrawn"
 PHASES = (TRIAL, GOING_BACK, RELEASED, WITHDRAWN)
-SHUT = (GOING_BACK, WITHDRAWN)
-GONE_MOST = 16  # builds that a word may name as gone back
-NOTHING = (0, 0)
+ROLLBACK_PHASES = (GOING_BACK, WITHDRAWN)
+MAX_GONE_BUILDS = 16  # builds that a report may name as rolled back
+NO_MARK = (0, 0)
 
 
 @dataclass(frozen=True)
 class SeenState:
-    """The newest state that somebody acted by. `gone`: builds that it saw on their way back."""
+    """The newest desk state that one gateway or agent acted on.
+
+    `mark` is (epoch, turn), `cap` a share from 0 to 1, `stable` the build to roll back to (None: not known),
+    and `gone` holds the builds that this member saw being rolled back.
+    """
 
     mark: tuple[int, int]
     build: int = 0
@@ -32,34 +39,46 @@
 
     @property
     def state(self) -> tuple:
+        """(build, stage, phase): what two members that report the same mark must agree on."""
         return self.build, self.stage, self.phase
 
 
-def parse_seen_state(told) -> SeenState | None:
-    """What a gateway or an agent says it has seen; None where it says nothing. Raises ValueError."""
-    if told is None:
+def parse_seen_state(document) -> SeenState | None:
+    """Reads the state that a gateway or an agent reports; None if it has seen nothing.
+
+    Raises ValueError if a field is missing or malformed. A cap outside 0 to 1 is clamped, and builds in
+    `gone` beyond `MAX_GONE_BUILDS` are ignored.
+    """
+    if document is None:
         return None
     try:
-        epoch, turn = told["mark"]
-        stable, gone = told.get("stable"), [int(build) for build in told.get("gone", ())][:GONE_MOST]
-        if told["phase"] not in PHASES:
-            raise ValueError(f"phase {told['phase']!r}")
+        epoch, turn = document["mark"]
+        stable, gone = (
+            document.get("stable"),
+            [int(build) for build in document.get("gone", ())][:MAX_GONE_BUILDS],
+        )
+        if document["phase"] not in PHASES:
+            raise ValueError(f"phase {document['phase']!r}")
         return SeenState(
             (int(epoch), int(turn)),
-            int(told["build"]),
-            int(told["stage"]),
-            told["phase"],
-            min(1.0, max(0.0, float(told["cap"]))),
+            int(document["build"]),
+            int(document["stage"]),
+            document["phase"],
+            min(1.0, max(0.0, float(document["cap"]))),
             None if stable is None else int(stable),
             tuple(gone),
         )
-    except (KeyError, TypeError, AttributeError) as trouble:
-        raise ValueError(f"no word of what was seen: {trouble!r}") from None
+    except (KeyError, TypeError, AttributeError) as error:
+        raise ValueError(f"no word of what was seen: {error!r}") from None
 
 
 @dataclass(frozen=True)
 class ResumePlan:
-    """The state to go on from. `condemned`: builds never to be started anew."""
+    """The release state to resume from.
+
+    `stable` is the build to roll back to (None: not known), `condemned` holds builds that must never be
+    started again, and `cap` is the highest share of traffic that may be published.
+    """
 
     build: int
     stage: int
@@ -71,55 +90,69 @@
 
 @dataclass
 class DeskStateRecovery:
-    """`journal_mark`: the mark that the journal told last, None without a journal's record. `expected`: who
-    is asked after, any hashable names. `caps`: of the stages. `bound`: collecting ends after so long, whoever
-    is missing."""
+    """Collects the reported states after a restart of the desk and decides how it resumes.
+
+    `journal_mark` is the mark that the journal published last, None without a journal record. `expected`
+    names the members to wait for (any hashable values), `caps` are the caps of the stages, and `now` and
+    `max_collect_time` are in microseconds: collecting ends after `max_collect_time` even if members are
+    missing.
+    """
 
     journal_mark: tuple[int, int] | None
     expected: tuple
     caps: tuple[float, ...]
     now: int
-    bound: int
+    max_collect_time: int
     state: str = COLLECTING
     states: dict = field(default_factory=dict)
     plan: ResumePlan | None = None
     why: str = ""
-    until: int = 0
+    collect_deadline: int = 0
 
     def __post_init__(self):
-        self.until = self.now + self.bound
+        """Sets the deadline of the collecting."""
+        self.collect_deadline = self.now + self.max_collect_time
 
     # --- collecting -----------------------------------------------------------------------------------------
 
-    def add_state(self, who, word: SeenState | None) -> None:
-        """The newest word of each; who has seen nothing has spoken too."""
-        known = self.states.get(who)
-        if known is None or word is not None and word.mark >= known.mark:
-            self.states[who] = word
+    def add_state(self, reporter, seen: SeenState | None) -> None:
+        """Keeps the newest report of each member; None, from one that has seen nothing, is a report too."""
+        known = self.states.get(reporter)
+        if known is None or seen is not None and seen.mark >= known.mark:
+            self.states[reporter] = seen
 
     def missing(self) -> list:
-        return [who for who in self.expected if who not in self.states]
+        """The expected members that have not reported yet."""
+        return [reporter for reporter in self.expected if reporter not in self.states]
 
     def is_due(self, now: int) -> bool:
-        return self.state == COLLECTING and (now >= self.until or not self.missing())
+        """Whether collecting can end: all members have reported, or the deadline has passed."""
+        return self.state == COLLECTING and (now >= self.collect_deadline or not self.missing())
 
     def newer_states(self) -> dict:
-        """Words that the journal cannot have told."""
-        last = self.journal_mark or NOTHING
-        return {who: word for who, word in self.states.items() if word is not None and word.mark > last}
+        """The reports, by member, with a later mark than the journal published last."""
+        journal_last = self.journal_mark or NO_MARK
+        return {
+            reporter: seen
+            for reporter, seen in self.states.items()
+            if seen is not None and seen.mark > journal_last
+        }
 
     def highest_epoch(self) -> int:
-        """No epoch that anybody has seen, or before, may be used again."""
-        return max([word.mark[0] for word in self.states.values() if word is not None], default=0)
+        """The highest epoch in any report, 0 without one. It and all lower epochs must never be reused."""
+        return max([seen.mark[0] for seen in self.states.values() if seen is not None], default=0)
 
     # --- concluding -----------------------------------------------------------------------------------------
 
     def conclude(self, running: tuple[int, ...] = ()) -> str:
-        """Ends the collecting. `running`: builds that hosts say they run, for a desk that knows nothing and
-        hears of no mark: a single one is taken for released, as it stands."""
-        newer = self.newer_states()
-        if newer:
-            return self.judge(newer)
+        """Ends the collecting and returns the new state.
+
+        `running` holds the builds that hosts report as running. They count only if there is neither a journal
+        nor a reported mark: a single build is then taken as released, several wait for the operator.
+        """
+        newer_reports = self.newer_states()
+        if newer_reports:
+            return self.evaluate_newer(newer_reports)
         builds = sorted(set(running))
         if self.journal_mark is None and len(builds) == 1:
             return self.resolve(
@@ -133,105 +166,135 @@
             )
         return self.resolve(CARRIED_ON, None, "nobody has seen more than the journal holds")
 
-    def judge(self, newer: dict) -> str:
-        top = max(word.mark for word in newer.values())
-        at_top = {who: word for who, word in newer.items() if word.mark == top}
+    def evaluate_newer(self, newer_reports: dict) -> str:
+        """Resumes from the reports at the newest mark, or waits for the operator if reports contradict."""
+        newest_mark = max(seen.mark for seen in newer_reports.values())
+        newest_reports = {
+            reporter: seen for reporter, seen in newer_reports.items() if seen.mark == newest_mark
+        }
         gone = sorted(
             {
                 build
-                for word in self.states.values()
-                if word is not None
-                for build in (*word.gone, *([word.build] if word.phase in SHUT else []))
+                for seen in self.states.values()
+                if seen is not None
+                for build in (*seen.gone, *([seen.build] if seen.phase in ROLLBACK_PHASES else []))
             }
         )
-        states = sorted({word.state for word in at_top.values()})
+        states = sorted({seen.state for seen in newest_reports.values()})
         if len(states) > 1:
             return self.resolve(
-                WAITING, self.doubted(newer), f"at one mark {list(top)} {self.describe(at_top)}"
+                WAITING,
+                self.contested_plan(newer_reports),
+                f"at one mark {list(newest_mark)} {self.describe(newest_reports)}",
             )
-        first = next(iter(at_top.values()))
-        later = {
-            who: word for who, word in newer.items() if word.build > first.build and word.build not in gone
+        newest_state = next(iter(newest_reports.values()))
+        later_builds = {
+            reporter: seen
+            for reporter, seen in newer_reports.items()
+            if seen.build > newest_state.build and seen.build not in gone
         }
-        if later:
+        if later_builds:
             return self.resolve(
                 WAITING,
-                self.doubted(newer),
-                f"the newest mark is of build {first.build}, but {self.describe(later)}",
+                self.contested_plan(newer_reports),
+                f"the newest mark is of build {newest_state.build}, but {self.describe(later_builds)}",
             )
-        stables = sorted({word.stable for word in at_top.values() if word.stable is not None})
-        if len(stables) > 1:
+        stable_builds = sorted({seen.stable for seen in newest_reports.values() if seen.stable is not None})
+        if len(stable_builds) > 1:
             return self.resolve(
-                WAITING, self.doubted(newer), f"builds {stables} are called the one to return to"
+                WAITING,
+                self.contested_plan(newer_reports),
+                f"builds {stable_builds} are called the one to return to",
             )
         return self.resolve(
             RESUMED,
-            self.safest(first, stables[0] if stables else None, gone, newer),
-            f"{len(newer)} have seen more than the journal holds, up to {list(top)}",
+            self.safest_plan(newest_state, stable_builds[0] if stable_builds else None, gone, newer_reports),
+            f"{len(newer_reports)} have seen more than the journal holds, up to {list(newest_mark)}",
         )
 
-    def safest(self, first: SeenState, stable: int | None, gone: list, newer: dict) -> ResumePlan:
-        """No cap above the lowest one heard of that build, no stage above what that cap allows; a build that
-        anybody saw go back goes back."""
-        lowest = min([word.cap for word in newer.values() if word.build == first.build], default=first.cap)
-        phase, stage = first.phase, min(first.stage, len(self.caps) - 1)
-        if first.build in gone and phase not in SHUT:
+    def safest_plan(
+        self, newest_state: SeenState, stable: int | None, gone: list, newer_reports: dict
+    ) -> ResumePlan:
+        """The plan with no cap above the lowest reported one for that build, and no stage above what this cap
+        allows.
+
+        A build that any member saw being rolled back is rolled back.
+        """
+        lowest_cap = min(
+            [seen.cap for seen in newer_reports.values() if seen.build == newest_state.build],
+            default=newest_state.cap,
+        )
+        phase, stage = newest_state.phase, min(newest_state.stage, len(self.caps) - 1)
+        if newest_state.build in gone and phase not in ROLLBACK_PHASES:
             phase = GOING_BACK
         if phase == TRIAL:
-            fits = [n for n in range(stage + 1) if self.caps[n] <= lowest + 1e-6]
-            stage = fits[-1] if fits else 0
-            phase = TRIAL if fits else GOING_BACK
-        return ResumePlan(first.build, stage, phase, stable, tuple(gone), lowest if phase == TRIAL else 1.0)
-
-    def doubted(self, newer: dict) -> ResumePlan:
-        """What is told while the operator is waited for: the newest build on trial, at the lowest cap heard
-        of any."""
-        build = max(word.build for word in newer.values())
-        shut = any(word.phase in SHUT or build in word.gone for word in newer.values())
-        stables = [word.stable for word in newer.values() if word.stable is not None and word.stable < build]
+            allowed_stages = [n for n in range(stage + 1) if self.caps[n] <= lowest_cap + 1e-6]
+            stage = allowed_stages[-1] if allowed_stages else 0
+            phase = TRIAL if allowed_stages else GOING_BACK
+        return ResumePlan(
+            newest_state.build, stage, phase, stable, tuple(gone), lowest_cap if phase == TRIAL else 1.0
+        )
+
+    def contested_plan(self, newer_reports: dict) -> ResumePlan:
+        """What is published while the desk waits for the operator: the newest build on trial, at the lowest
+        cap that was reported for any build, or 0 if a report has it rolled back.
+        """
+        build = max(seen.build for seen in newer_reports.values())
+        rolled_back = any(
+            seen.phase in ROLLBACK_PHASES or build in seen.gone for seen in newer_reports.values()
+        )
+        stable_builds = [
+            seen.stable for seen in newer_reports.values() if seen.stable is not None and seen.stable < build
+        ]
         return ResumePlan(
             build,
             0,
             TRIAL,
-            min(stables, default=None),
+            min(stable_builds, default=None),
             (),
-            0.0 if shut else min(word.cap for word in newer.values()),
+            0.0 if rolled_back else min(seen.cap for seen in newer_reports.values()),
         )
 
     def resolve(self, state: str, plan: ResumePlan | None, why: str) -> str:
+        """Sets the outcome and its reason, which the operator reads; returns `state`."""
         self.state, self.plan, self.why = state, plan, why
         return state
 
-    def describe(self, words: dict) -> str:
+    def describe(self, reports: dict) -> str:
+        """At most eight reports as one line of text for the operator."""
         rows = [
-            f"{who}: build {w.build} stage {w.stage} {w.phase}" for who, w in sorted(words.items(), key=str)
+            f"{reporter}: build {w.build} stage {w.stage} {w.phase}"
+            for reporter, w in sorted(reports.items(), key=str)
         ]
         return "; ".join(rows[:8]) + (f"; and {len(rows) - 8} more" if len(rows) > 8 else "")
 
     # --- afterwards -----------------------------------------------------------------------------------------
 
-    def late_state(self, who, word: SeenState | None, build: int, epoch: int) -> str:
-        """A word that comes after the end of the collecting, from somebody who was cut off. "": nothing new
-        in it, or this very desk's own (`epoch`: since it has come back); "back": it saw the build that is out
-        now go back; "waiting": it saw what nobody told of."""
+    def late_state(self, reporter, seen: SeenState | None, build: int, epoch: int) -> str:
+        """Evaluates a report that arrives after collecting has ended, from a member that was unreachable.
+
+        Returns "" if it holds nothing new or comes from this desk itself (`epoch`: the desk's epoch since its
+        restart), "back" if the member saw the current `build` being rolled back, and "waiting" if it saw a
+        state that nobody else reported.
+        """
         if (
-            word is None
+            seen is None
             or self.state == COLLECTING
-            or word.mark <= (self.journal_mark or NOTHING)
-            or word.mark[0] >= epoch
+            or seen.mark <= (self.journal_mark or NO_MARK)
+            or seen.mark[0] >= epoch
         ):
             return ""
-        before = max([w.mark for w in self.states.values() if w is not None], default=NOTHING)
-        self.add_state(who, word)
-        if build in word.gone or word.build == build and word.phase in SHUT:
+        newest_before = max([w.mark for w in self.states.values() if w is not None], default=NO_MARK)
+        self.add_state(reporter, seen)
+        if build in seen.gone or seen.build == build and seen.phase in ROLLBACK_PHASES:
             return "back"
-        if word.mark <= before or word.build < build:
+        if seen.mark <= newest_before or seen.build < build:
             return ""
-        if self.plan is not None and word.state == (self.plan.build, self.plan.stage, self.plan.phase):
+        if self.plan is not None and seen.state == (self.plan.build, self.plan.stage, self.plan.phase):
             return ""
         self.resolve(
             WAITING,
-            self.doubted({who: word}),
-            f"late, with mark {list(word.mark)}, {self.describe({who: word})}",
+            self.contested_plan({reporter: seen}),
+            f"late, with mark {list(seen.mark)}, {self.describe({reporter: seen})}",
         )
         return WAITING
--- a/cobaltpond/recovery/list_reconciliation.py
+++ b/cobaltpond/recovery/list_reconciliation.py
@@ -1,70 +1,80 @@
-"""A list that comes back: what of it is obeyed. Free of I/O.
+"""Reconciles a restarted instance list with the list that the gateway knows. Free of I/O.
 
-Within one epoch the list is the authority, whatever it says. A whole list of another epoch comes from a list
-that has begun anew: perhaps from nothing, perhaps from an old copy. It does not empty a fleet that answers,
-and it does not bring back a start of an instance that was seen draining or gone.
+Within one epoch the list is authoritative, whatever it says. A full list of another epoch comes from a list
+service that has restarted, perhaps without state or from an old copy (a stale read). Such a list must not
+empty a fleet that still answers, and must not bring back a start of an instance that was seen draining or
+gone.
 """
 
 STATES = ("up", "draining", "gone")
-SHARE = 0.5  # of those held: so many must be missing to be doubted
-DOUBT_TIME = 30_000_000  # so long the doubt lasts: what is then still missing goes
-REMEMBERED = 4096  # starts seen draining or gone, over all epochs
+MIN_MISSING_SHARE = 0.5  # of the instances known as up; a smaller loss is believed
+DOUBT_TIME_US = 30_000_000  # instances that are still missing afterwards are dropped
+MAX_ENDED_STARTS = 4096  # remembered starts that were draining or gone, over all epochs
 
 
 class ListReconciler:
-    """`answers(id, now)`: has that instance answered us a short while ago?"""
+    """Decides which rows of a full list of a new epoch a gateway applies.
 
-    def __init__(self, answers):
-        self.is_answering, self.ends, self.missing, self.until = answers, {}, {}, None
+    `is_answering(id, now)` tells whether that instance answered this gateway recently. Times are in
+    microseconds.
+    """
+
+    def __init__(self, is_answering):
+        self.is_answering, self.ended_starts, self.missing, self.doubt_deadline = is_answering, {}, {}, None
         self.counts = {"doubted": 0, "kept": 0, "not brought back": 0}
 
     def record_rows(self, rows) -> None:
-        """Rows of the list, as told: remembers which starts have come to drain."""
+        """Remembers which starts of instances the given list rows show as draining or gone."""
         for row in rows:
-            mark = row["id"], row.get("start")
+            start_key = row["id"], row.get("start")
             if row["state"] != "up":
-                self.ends.pop(mark, None)
-                self.ends[mark] = row["state"]
-        while len(self.ends) > REMEMBERED:
-            del self.ends[next(iter(self.ends))]
+                self.ended_starts.pop(start_key, None)
+                self.ended_starts[start_key] = row["state"]
+        while len(self.ended_starts) > MAX_ENDED_STARTS:
+            del self.ended_starts[next(iter(self.ended_starts))]
+
+    def filter_whole_list(self, now: int, current_rows: dict, rows: list) -> list:
+        """Returns the rows to apply of a full list whose epoch differs from the current one.
 
-    def filter_whole_list(self, now: int, held: dict, rows: list) -> list:
-        """A whole list of another epoch than the one held. `held`: id -> row as told. Gives the rows to be
-        obeyed."""
-        out = []
+        `current_rows` maps an instance id to its row as received. Instances that are missing from the new
+        list but still answer are kept for `DOUBT_TIME_US` if they are at least `MIN_MISSING_SHARE` of those
+        that were up.
+        """
+        obeyed_rows = []
         for row in rows:
-            before = self.ends.get((row["id"], row.get("start")))
-            if before is not None and STATES.index(before) > STATES.index(row["state"]):
+            known_state = self.ended_starts.get((row["id"], row.get("start")))
+            if known_state is not None and STATES.index(known_state) > STATES.index(row["state"]):
                 self.counts["not brought back"] += 1
-                row = {**row, "state": before}
-            out.append(row)
+                row = {**row, "state": known_state}
+            obeyed_rows.append(row)
         listed = {row["id"] for row in rows}
-        up = [id for id, row in held.items() if row["state"] == "up"]
-        missing = {id: held[id] for id in up if id not in listed and self.is_answering(id, now)}
-        if up and len(missing) >= SHARE * len(up):
+        up_ids = [id for id, row in current_rows.items() if row["state"] == "up"]
+        missing = {id: current_rows[id] for id in up_ids if id not in listed and self.is_answering(id, now)}
+        if up_ids and len(missing) >= MIN_MISSING_SHARE * len(up_ids):
             self.counts["doubted"] += 1
             self.counts["kept"] += len(missing)
-            self.missing, self.until = missing, now + DOUBT_TIME
-            out += missing.values()
+            self.missing, self.doubt_deadline = missing, now + DOUBT_TIME_US
+            obeyed_rows += missing.values()
         else:
-            self.missing, self.until = {}, None
-        return out
+            self.missing, self.doubt_deadline = {}, None
+        return obeyed_rows
 
     def apply_change(self, rows) -> None:
-        """What the list now says of one that it had lost is no matter of doubt any more."""
+        """Ends the doubt about each instance that the list names again."""
         for row in rows:
             self.missing.pop(row["id"], None)
 
     def due_rows(self, now: int) -> list[dict]:
-        """Rows that end the doubt: what is still missing after the patience, or does not answer any more, is
-        gone."""
-        if self.until is None:
+        """Rows that mark missing instances as gone whose time has run out or that have stopped answering."""
+        if self.doubt_deadline is None:
             return []
-        over = {
-            id: row for id, row in self.missing.items() if now >= self.until or not self.is_answering(id, now)
+        expired = {
+            id: row
+            for id, row in self.missing.items()
+            if now >= self.doubt_deadline or not self.is_answering(id, now)
         }
-        for id in over:
+        for id in expired:
             del self.missing[id]
         if not self.missing:
-            self.until = None
-        return [{**row, "state": "gone"} for row in over.values()]
+            self.doubt_deadline = None
+        return [{**row, "state": "gone"} for row in expired.values()]
--- a/cobaltpond/recovery/phases.py
+++ b/cobaltpond/recovery/phases.py
@@ -1,13 +1,14 @@
-"""What a gateway that begins knows, and what it may do by it: one table, one function. Free of I/O.
+"""The phases of a starting gateway and what each one permits: one transition table, one function. Free of
+I/O.
 
-The door is not the phases' matter beyond the first one: a gateway is never shut for want of knowledge. What
-the table holds back is what others would rest on: a vote that says *on*, samples for the judges, counts and
-figures for those who begin later, a snapshot.
+Hits are refused only in the first phase: missing knowledge never makes a gateway refuse traffic. The table
+holds back what others rely on: votes to advance a release, samples for the judges, warm-start answers for
+gateways that start later, and snapshots.
 """
 
 BLANK, HEARING, WARMING, SERVING, SETTLED = "blank", "hearing", "warming", "serving", "settled"
-ORDER = (BLANK, HEARING, WARMING, SERVING, SETTLED)
-HEARD, ALL_HEARD, WARMED, IN_STEP, TIME_UP, STOOD_STILL = (
+PHASE_ORDER = (BLANK, HEARING, WARMING, SERVING, SETTLED)
+SOURCE_KNOWN, ALL_SOURCES_KNOWN, WARM_START_DONE, CAUGHT_UP, TIMED_OUT, PROCESS_STALLED = (
     "heard",
     "all heard",
     "warmed",
@@ -16,17 +17,26 @@
     "stood still",
 )
 
-# Blank knows the sheet, perhaps a kept list; hearing has one of list and news, or neither in time; warming
-# has both and asks others what they know; serving goes by what it sees; settled has seen enough for others to
-# rest on.
-NEXT = {
-    BLANK: {HEARD: HEARING, ALL_HEARD: WARMING, TIME_UP: HEARING},
-    HEARING: {ALL_HEARD: WARMING, TIME_UP: WARMING},
-    WARMING: {WARMED: SERVING, TIME_UP: SERVING, STOOD_STILL: WARMING},
-    SERVING: {IN_STEP: SETTLED, TIME_UP: SETTLED, STOOD_STILL: WARMING},
-    SETTLED: {STOOD_STILL: WARMING},
+# A blank gateway knows its settings and perhaps a stored list. A hearing one has either the list or the
+# desk's news, or received neither in time. A warming one has both and asks others what they know. A serving
+# one relies on what it observes itself. A settled one has observed enough for others to rely on.
+TRANSITIONS = {
+    BLANK: {SOURCE_KNOWN: HEARING, ALL_SOURCES_KNOWN: WARMING, TIMED_OUT: HEARING},
+    HEARING: {ALL_SOURCES_KNOWN: WARMING, TIMED_OUT: WARMING},
+    WARMING: {WARM_START_DONE: SERVING, TIMED_OUT: SERVING, PROCESS_STALLED: WARMING},
+    SERVING: {CAUGHT_UP: SETTLED, TIMED_OUT: SETTLED, PROCESS_STALLED: WARMING},
+    SETTLED: {PROCESS_STALLED: WARMING},
 }
-ADMIT, DIAL, ASK, TELL, VOTE_BACK, VOTE_ON, ANSWER, KEEP = (
+(
+    ADMIT_HITS,
+    DIAL_INSTANCES,
+    REQUEST_WARM_START,
+    SEND_SAMPLES,
+    VOTE_BACK,
+    VOTE_ON,
+    ANSWER_WARM_START,
+    WRITE_SNAPSHOT,
+) = (
     "admit",
     "dial",
     "ask",
@@ -38,68 +48,92 @@
 )
 PERMISSIONS = {
     BLANK: (),
-    HEARING: (ADMIT, DIAL),
-    WARMING: (ADMIT, DIAL, ASK, TELL, VOTE_BACK),
-    SERVING: (ADMIT, DIAL, TELL, VOTE_BACK),
-    SETTLED: (ADMIT, DIAL, TELL, VOTE_BACK, VOTE_ON, ANSWER, KEEP),
+    HEARING: (ADMIT_HITS, DIAL_INSTANCES),
+    WARMING: (ADMIT_HITS, DIAL_INSTANCES, REQUEST_WARM_START, SEND_SAMPLES, VOTE_BACK),
+    SERVING: (ADMIT_HITS, DIAL_INSTANCES, SEND_SAMPLES, VOTE_BACK),
+    SETTLED: (
+        ADMIT_HITS,
+        DIAL_INSTANCES,
+        SEND_SAMPLES,
+        VOTE_BACK,
+        VOTE_ON,
+        ANSWER_WARM_START,
+        WRITE_SNAPSHOT,
+    ),
 }
 
 
 class PhaseMachine:
-    """One start of a gateway. `longest`: phase -> how long it may stay there, microseconds; none for SETTLED.
-    `moved`: called with (phase before, cause) at each change."""
-
-    def __init__(self, now: int, longest: dict[str, int], moved=lambda before, cause: None):
-        self.phase, self.since, self.began, self.longest, self.on_change = BLANK, now, now, longest, moved
+    """The recovery phase of one start of a gateway.
+
+    `max_durations` maps a phase to the longest time in it, in microseconds; SETTLED has none. `on_change` is
+    called with (previous phase, cause) at each change.
+    """
+
+    def __init__(self, now: int, max_durations: dict[str, int], on_change=lambda previous_phase, cause: None):
+        self.phase, self.since, self.started_at, self.max_durations, self.on_change = (
+            BLANK,
+            now,
+            now,
+            max_durations,
+            on_change,
+        )
         self.transitions = [(now, BLANK, "started")]
 
     def apply_cause(self, now: int, cause: str) -> bool:
-        """The one place where the phase changes. What a phase has no use for changes nothing; False then."""
-        to = NEXT[self.phase].get(cause)
-        if to is None:
+        """Applies a cause and returns whether the phase changed; a cause without a transition is ignored.
+
+        The phase changes nowhere else.
+        """
+        next_phase = TRANSITIONS[self.phase].get(cause)
+        if next_phase is None:
             return False
-        before, self.phase, self.since = self.phase, to, now
-        self.transitions = [*self.transitions[-31:], (now, to, cause)]
-        self.on_change(before, cause)
+        previous_phase, self.phase, self.since = self.phase, next_phase, now
+        self.transitions = [*self.transitions[-31:], (now, next_phase, cause)]
+        self.on_change(previous_phase, cause)
         return True
 
     def tick(self, now: int) -> None:
-        """Nobody stays longer in a phase than it may; each one that is due is left, however late this is
-        called."""
-        while self.phase in self.longest and now - self.since >= self.longest[self.phase]:
-            self.apply_cause(self.since + self.longest[self.phase], TIME_UP)
+        """Leaves each phase whose maximum time has passed, several at once if the call comes late."""
+        while self.phase in self.max_durations and now - self.since >= self.max_durations[self.phase]:
+            self.apply_cause(self.since + self.max_durations[self.phase], TIMED_OUT)
 
-    def is_allowed(self, what: str) -> bool:
-        return what in PERMISSIONS[self.phase]
+    def is_allowed(self, permission: str) -> bool:
+        """Whether the current phase grants this permission."""
+        return permission in PERMISSIONS[self.phase]
 
     def status(self, now: int) -> dict:
+        """The fields of the status page; times in microseconds, transitions relative to the start."""
         return {
             "phase": self.phase,
             "since_us": now - self.since,
-            "up_us": now - self.began,
+            "up_us": now - self.started_at,
             "may": list(PERMISSIONS[self.phase]),
-            "story": [[at - self.began, phase, cause] for at, phase, cause in self.transitions],
+            "story": [[at - self.started_at, phase, cause] for at, phase, cause in self.transitions],
         }
 
 
 class ServiceWindow:
-    """Is a gateway in step: were nearly all its hits of the last second answered in time? `least`: of the
-    second's hits so many must be there to speak of a share; with fewer, time alone decides."""
+    """Tells whether nearly all hits of the last second were delivered.
+
+    With fewer than `MIN_HITS` hits in the window a share says nothing, and a full window is enough.
+    """
 
-    SHARE, WINDOW, LEAST = 0.95, 1_000_000, 8
+    MIN_DELIVERED_SHARE, WINDOW_US, MIN_HITS = 0.95, 1_000_000, 8
 
     def __init__(self):
-        self.rows = []  # (at, answered by then, delivered by then)
+        self.samples = []  # (time, total answered, total delivered)
 
     def record(self, now: int, answered: int, delivered: int) -> None:
-        self.rows.append((now, answered, delivered))
-        while len(self.rows) > 2 and self.rows[1][0] <= now - self.WINDOW:
-            del self.rows[0]
-
-    def is_in_step(self) -> bool:
-        """Of a whole window."""
-        (first, answered, delivered), (last, all_answered, all_delivered) = self.rows[0], self.rows[-1]
-        count = all_answered - answered
-        return last - first >= self.WINDOW and (
-            count < self.LEAST or all_delivered - delivered >= self.SHARE * count
+        """Adds the totals of answered and delivered hits at this time, in microseconds."""
+        self.samples.append((now, answered, delivered))
+        while len(self.samples) > 2 and self.samples[1][0] <= now - self.WINDOW_US:
+            del self.samples[0]
+
+    def is_caught_up(self) -> bool:
+        """Whether the window is complete and its share of delivered hits is high enough. Needs one sample."""
+        (first, answered, delivered), (last, all_answered, all_delivered) = self.samples[0], self.samples[-1]
+        window_hits = all_answered - answered
+        return last - first >= self.WINDOW_US and (
+            window_hits < self.MIN_HITS or all_delivered - delivered >= self.MIN_DELIVERED_SHARE * window_hits
         )
--- a/cobaltpond/recovery/rate_limiter.py
+++ b/cobaltpond/recovery/rate_limiter.py
@@ -1,104 +1,130 @@
-"""What the whole fleet together may ask of one target, and which part of it is ours. Free of I/O.
+"""Rate limits for what all starting gateways together ask of one target. Free of I/O.
 
-Two shapes. Who wants the same thing once, at its start, waits for a drawn moment (`StartJitter`). Who wants
-it again and again has turns (`DialRateLimiter`): a period in which each gateway has one, at an offset drawn
-from its seed, and a turn that is not taken at once is lost. Saved ones would be spent together, by hundreds,
-in the moment in which a zone comes back.
+Both kinds prevent a thundering herd. A call that each gateway makes once, at its start, waits for a random
+delay (`StartJitter`). Repeated calls use turns (`DialRateLimiter`): each gateway has one turn in a period, at
+a random offset, and a turn that is not used at once is lost. Saved turns would be spent by hundreds of
+gateways together, in the moment in which a zone returns.
 """
 
-TURN_SHARE, TURN_LEAST = 0.05, 20_000  # of the period: how long a turn waits to be taken
-RECENT = 5_000_000  # a start so lately is one of those that come back now
+# A turn can be used during this share of the period, but at least for this many microseconds.
+TURN_WIDTH_SHARE, MIN_TURN_WIDTH_US = 0.05, 20_000
+RECENT_START_US = 5_000_000  # a gateway that started less than this ago counts as recent
 
 
 class RecentStarts:
-    """How many gateways have just begun. `declared`: how many the sheet has. `starts`: those that membership
-    knows to be there, number -> start, in calendar microseconds; empty before any was heard."""
+    """Estimates how many gateways have just started.
+
+    `declared` is the number of gateways in the settings. `starts` maps the number of each gateway that
+    membership sees to its start, in calendar microseconds; it is empty until one is heard.
+    """
 
     def __init__(self, declared: int):
         self.declared, self.starts = max(1, declared), {}
 
     def update(self, starts: dict[int, int]) -> None:
+        """Replaces the known starts: gateway number -> calendar microseconds."""
         self.starts = starts
 
     def member_count(self) -> int:
-        """Never fewer than half of the sheet's: a view that is split must not double what the fleet asks
-        for."""
+        """The number of gateways present, at least half of those declared.
+
+        With the lower bound, the sides of a split membership view do not together double what the fleet asks
+        for.
+        """
         return self.declared if not self.starts else max(len(self.starts), -(-self.declared // 2))
 
-    def count(self, wall: int) -> int:
-        """Of all that the sheet has. Of those never heard the same share is taken to be fresh as of those
-        heard, ours being one of them: with nobody heard, everybody."""
-        recent = sum(wall - start < RECENT for start in self.starts.values())
+    def count(self, wall_time: int) -> int:
+        """How many of the declared gateways have just started, at `wall_time` in calendar microseconds.
+
+        Gateways that were never heard are assumed to have the same share of recent starts as those heard,
+        this one included; if none was heard, all count as recent.
+        """
+        recent = sum(wall_time - start < RECENT_START_US for start in self.starts.values())
         known = len(self.starts)
         return max(1, min(self.declared, -(-self.declared * (recent + 1) // (known + 1))))
 
 
 class StartJitter:
-    """The first call of each gateway that has just begun, to one target that bears `rate` of them a
-    second."""
+    """Random delay before the first call of a starting gateway to one target.
 
-    def __init__(self, rate: float, chance):
-        self.rate, self.chance = rate, chance
+    The target bears `rate` calls a second from all gateways together.
+    """
 
-    def draw_delay(self, fresh: int) -> int:
-        """Microseconds: drawn over the time in which the target can bear them all."""
-        return self.chance.randbelow(max(1, int(fresh * 1_000_000 / self.rate)))
+    def __init__(self, rate: float, random_source):
+        self.rate, self.random_source = rate, random_source
+
+    def draw_delay(self, recent_count: int) -> int:
+        """Microseconds, drawn from the time that the target needs to serve all recently started gateways."""
+        return self.random_source.randbelow(max(1, int(recent_count * 1_000_000 / self.rate)))
 
 
 class DialRateLimiter:
-    """New connections to each of many targets, each of which bears `rate` a second from all gateways
-    together. `members()`: how many gateways there are now."""
+    """Limits new connections to each of many targets.
+
+    Each target bears `rate` new connections a second from all gateways together. `members()` returns the
+    present number of gateways.
+    """
 
-    def __init__(self, rate: float, members, chance):
-        self.rate, self.members, self.chance = rate, members, chance
-        self.offsets, self.used = {}, {}
+    def __init__(self, rate: float, members, random_source):
+        self.rate, self.members, self.random_source = rate, members, random_source
+        self.offsets, self.last_used = {}, {}
         self.counts = {"dials": 0, "refused": 0}
 
     @property
     def period(self) -> int:
+        """Microseconds in which each gateway has one turn at each target."""
         return max(1, int(self.members() * 1_000_000 / self.rate))
 
     def turn_start(self, name: str, now: int) -> int:
-        """When the turn at this target began that was ours last."""
+        """When this gateway's latest turn at this target began, in microseconds."""
         period = self.period
         if name not in self.offsets:
-            self.offsets[name] = self.chance.randbelow(1 << 30)
+            self.offsets[name] = self.random_source.randbelow(1 << 30)
         return now - (now + self.offsets[name]) % period
 
     def is_due(self, name: str, now: int) -> bool:
-        """Is there a turn, begun a moment ago and not taken yet?"""
-        began, period = self.turn_start(name, now), self.period
-        width = min(period, max(TURN_LEAST, int(TURN_SHARE * period)))
-        return now - began < width and self.used.get(name, -1) < began
+        """Whether a turn has just begun and is not used yet."""
+        turn_began, period = self.turn_start(name, now), self.period
+        width = min(period, max(MIN_TURN_WIDTH_US, int(TURN_WIDTH_SHARE * period)))
+        return now - turn_began < width and self.last_used.get(name, -1) < turn_began
 
     def try_acquire(self, name: str, now: int) -> bool:
-        """Takes it; False where there is none."""
+        """Uses the turn; False if there is none."""
         if not self.is_due(name, now):
             self.counts["refused"] += 1
             return False
-        self.used[name] = now
+        self.last_used[name] = now
         self.counts["dials"] += 1
         return True
 
     def retain(self, names) -> None:
-        """Only of these anything is kept: targets come and go."""
-        for table in (self.offsets, self.used):
+        """Drops the state of all targets but these, since targets come and go."""
+        for table in (self.offsets, self.last_used):
             for name in [name for name in table if name not in names]:
                 del table[name]
 
 
 class AnswerRateLimiter:
-    """How often one asks us, and all together: a donor answers no more than `each` and `most` a second.
-    Guards those who are settled when two hundred ask the three that have lived."""
+    """Limits the warm-start answers of a donor to `max_per_sender` and `max_total` a second.
+
+    It prevents an overload of the settled gateways when 200 starting ones ask the three that have survived.
+    """
 
-    def __init__(self, most: int, each: int = 4):
-        self.most, self.each, self.second, self.counts, self.all = most, each, None, {}, 0
+    def __init__(self, max_total: int, max_per_sender: int = 4):
+        self.max_total, self.max_per_sender, self.second, self.counts, self.total = (
+            max_total,
+            max_per_sender,
+            None,
+            {},
+            0,
+        )
 
     def try_acquire(self, now: int, sender: int) -> bool:
+        """Counts an answer to this sender; False if a limit of the current second is reached."""
         if now // 1_000_000 != self.second:
-            self.second, self.counts, self.all = now // 1_000_000, {}, 0
-        if self.all >= self.most or self.counts.get(sender, 0) >= self.each:
+            self.second, self.counts, self.total = now // 1_000_000, {}, 0
+        if self.total >= self.max_total or self.counts.get(sender, 0) >= self.max_per_sender:
             return False
-        self.all += 1
+        self.total += 1
         self.counts[sender] = self.counts.get(sender, 0) + 1
         return True
--- a/cobaltpond/recovery/snapshot.py
+++ b/cobaltpond/recovery/snapshot.py
@@ -1,40 +1,45 @@
-"""What a gateway keeps of what it learned, over its own death: written in pieces, read in bounded time. Free
-of I/O.
+"""Format of the snapshot in which a gateway keeps what it learned across a restart. Free of I/O.
 
-Lines as `wal/journal.py` frames them: a head, rows, an end that counts them. A file without its end is torn,
-and nothing of it is taken. Each reason for which a snapshot is refused has a text; a gateway that refuses one
-begins blank.
+A snapshot is written in pieces and read in bounded time. Its lines have the framing of `wal/journal.py`, with
+a checksum each: a head, rows, and an end that counts the lines. A file without its end is truncated, and
+nothing of it is used. Each reason to refuse a snapshot has a text; a gateway that refuses one starts cold.
 """
 
 from cobaltpond.wal.journal import decode_record, encode_record
 
 FORMAT = 1
-MOST_BYTES = 4 << 20
-ROWS_A_LINE, KEYS_A_LINE, KEYS_MOST = 50, 500, 20_000
+MAX_BYTES = 4 << 20
+ROWS_PER_LINE, KEYS_PER_LINE, MAX_KEYS = 50, 500, 20_000
 
 
 class SnapshotError(Exception):
-    """Why a snapshot is not taken."""
+    """The reason why a snapshot is refused."""
 
 
 def snapshot_lines(head: dict, rows: list, keys: list):
-    """The file, line by line: whoever writes it lets the loop have a turn after each."""
+    """Yields the file line by line, so that the writer can let the event loop run after each line.
+
+    Rows and keys are lists that JSON can hold; only the last `MAX_KEYS` keys are written.
+    """
     number = 0
     yield encode_record(number, {**head, "format": FORMAT})
-    for what, every, each in (("rows", rows, ROWS_A_LINE), ("keys", keys[-KEYS_MOST:], KEYS_A_LINE)):
-        for at in range(0, len(every), each):
+    for field, items, per_line in (("rows", rows, ROWS_PER_LINE), ("keys", keys[-MAX_KEYS:], KEYS_PER_LINE)):
+        for at in range(0, len(items), per_line):
             number += 1
-            yield encode_record(number, {what: every[at : at + each]})
+            yield encode_record(number, {field: items[at : at + per_line]})
     yield encode_record(number + 1, {"end": number + 1})
 
 
-def parse_snapshot(data: bytes | None, *, number: int, settings: int, wall: int, worth: int) -> dict:
-    """{"head", "rows", "keys", "weight"}. Raises SnapshotError. `settings`: the sheet's digest; `wall`: the
-    calendar now; `worth`: how old one may be, microseconds."""
+def parse_snapshot(data: bytes | None, *, number: int, settings: int, wall: int, max_age: int) -> dict:
+    """Returns {"head", "rows", "keys", "weight"}, where the weight falls from 1 to 0 as the snapshot ages.
+
+    `settings` is the digest of the settings, `wall` the present calendar time and `max_age` the age from
+    which a snapshot is useless, both in microseconds. Raises SnapshotError.
+    """
     if data is None:
-        raise SnapshotError("there is none")
-    if len(data) > MOST_BYTES:
-        raise SnapshotError(f"{len(data)} bytes are more than one has")
+        raise SnapshotError("no snapshot file")
+    if len(data) > MAX_BYTES:
+        raise SnapshotError(f"{len(data)} bytes exceed the size limit")
     values = []
     try:
         for line in data.split(b"\n")[:-1]:
@@ -42,8 +47,8 @@
         head, end = values[0], values[-1]
         if not isinstance(head, dict) or not isinstance(end, dict) or end.get("end") != len(values) - 1:
             raise ValueError("no end")
-    except (ValueError, IndexError, TypeError) as trouble:
-        raise SnapshotError(f"torn: {trouble}") from None
+    except (ValueError, IndexError, TypeError) as error:
+        raise SnapshotError(f"torn: {error}") from None
     if head.get("format") != FORMAT:
         raise SnapshotError(f"of format {head.get('format')!r}, not {FORMAT}")
     if head.get("number") != number:
@@ -55,36 +60,49 @@
         rows = [tuple(row) for value in values[1:-1] for row in value.get("rows", ())]
         keys = [(int(key), int(build)) for value in values[1:-1] for key, build in value.get("keys", ())]
         rows = [
-            (str(id), int(build), start, float(pace), float(load), float(faults), bool(silent), int(heard))
-            for id, build, start, pace, load, faults, silent, heard in rows
+            (
+                str(id),
+                int(build),
+                start,
+                float(latency_ratio),
+                float(load),
+                float(faults),
+                bool(silent),
+                int(seen_age),
+            )
+            for id, build, start, latency_ratio, load, faults, silent, seen_age in rows
         ]
-    except (KeyError, ValueError, TypeError, AttributeError) as trouble:
-        raise SnapshotError(f"makes no sense: {trouble!r}") from None
+    except (KeyError, ValueError, TypeError, AttributeError) as error:
+        raise SnapshotError(f"malformed: {error!r}") from None
     if age < 0:
-        raise SnapshotError(f"from {-age // 1000} ms in the future: a clock was set")
-    if age >= worth:
-        raise SnapshotError(f"{age // 1000} ms old, worth something for {worth // 1000}")
-    return {"head": head, "rows": rows, "keys": keys, "weight": 1 - age / worth}
+        raise SnapshotError(f"from {-age // 1000} ms in the future: a clock was changed")
+    if age >= max_age:
+        raise SnapshotError(f"{age // 1000} ms old, the limit in ms is {max_age // 1000}")
+    return {"head": head, "rows": rows, "keys": keys, "weight": 1 - age / max_age}
 
 
 def check_list_epoch(head: dict, epoch) -> None:
-    """Once the list has been heard. Raises SnapshotError."""
+    """Raises SnapshotError if the snapshot belongs to another epoch of the instance list."""
     if head.get("epoch") != epoch:
         raise SnapshotError(f"of list {head.get('epoch')!r}, not {epoch!r}")
 
 
-def accepted_rows(told: dict, listed: dict) -> list[tuple]:
-    """As `warm.WarmStart.believed`: `listed`: id -> (build, the list's mark of its start)."""
-    weight, out = told["weight"], []
-    for id, build, start, pace, load, faults, silent, _ in told["rows"]:
+def accepted_rows(content: dict, listed: dict) -> list[tuple]:
+    """Rows (id, latency ratio, load, faults, silent) of instances that still run the same start.
+
+    As in `warm_start.WarmStart.accepted_rows`, values are weighed by age. `listed` maps an instance id to
+    (build, the list's mark of its start).
+    """
+    weight, accepted = content["weight"], []
+    for id, build, start, latency_ratio, load, faults, silent, _ in content["rows"]:
         if listed.get(id) == (build, start):
-            out.append(
+            accepted.append(
                 (
                     id,
-                    1 + (max(1.0, pace) - 1) * weight,
+                    1 + (max(1.0, latency_ratio) - 1) * weight,
                     max(0.0, load) * weight,
                     min(1.0, max(0.0, faults)) * weight,
                     silent and weight > 0.5,
                 )
             )
-    return out
+    return accepted
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -89,7 +89,7 @@
         else:
             assert 0 < verdict.wait <= 100_000
             probe = CompiledLimits([limit])
-            probe.levels["a"].rows[None] = list(compiled.levels["a"].rows[None])
+            probe.levels["a"].buckets[None] = list(compiled.levels["a"].buckets[None])
             assert (
                 probe.check(at + verdict.wait, HitAttributes("look", "repeatable")).by is None
             )  # there is room then
@@ -133,7 +133,7 @@
     compiled = CompiledLimits([Limit("k", "hits", "key", 1_000, 1, keys=100)])
     for n in range(100_000):
         compiled.check(n * 100, HitAttributes("look", "repeatable", key=n))
-    assert len(compiled.levels["k"].rows) <= 101
+    assert len(compiled.levels["k"].buckets) <= 101
     rows = CompiledLimits([Limit("k", "hits", "key", 1, 1, keys=3)])
     assert [rows.check(n, HitAttributes("look", "repeatable", key=n)).by for n in range(6)] == [None] * 3 + [
         None,
@@ -217,12 +217,10 @@
     ],
 )
 def test_what_a_limit_may_not_say_is_named_with_its_line(line, said):
-    with pytest.raises(SettingsError) as trouble:
+    with pytest.raises(SettingsError) as error:
         read_settings("f.star", EXAMPLE + line + "\n")
     number = len((EXAMPLE + line).splitlines())
-    assert said in str(trouble.value) and str(trouble.value).startswith(
-        f"f.star:{number}: limit"
-    ), trouble.value
+    assert said in str(error.value) and str(error.value).startswith(f"f.star:{number}: limit"), error.value
 
 
 # --- leases -------------------------------------------------------------------------------------------------
--- a/tests/test_listed.py
+++ b/tests/test_listed.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cobaltpond.recovery.list_reconciliation import DOUBT_TIME, ListReconciler
+from cobaltpond.recovery.list_reconciliation import DOUBT_TIME_US, ListReconciler
 
 S = 1_000_000
 
@@ -21,15 +21,15 @@
     assert doubt.due_rows(S) == []
     doubt.is_answering = lambda id, now: id not in ("i5", "i2")
     assert [(r["id"], r["state"]) for r in doubt.due_rows(2 * S)] == [("i2", "gone")]
-    assert [r["id"] for r in doubt.due_rows(DOUBT_TIME)] == ["i0", "i3", "i4"] and doubt.due_rows(
-        2 * DOUBT_TIME
+    assert [r["id"] for r in doubt.due_rows(DOUBT_TIME_US)] == ["i0", "i3", "i4"] and doubt.due_rows(
+        2 * DOUBT_TIME_US
     ) == []
 
 
 def test_a_list_that_lost_a_few_is_obeyed():
     doubt = ListReconciler(lambda id, now: True)
     rows = [listed(f"i{n}") for n in range(4)]
-    assert doubt.filter_whole_list(0, HELD, rows) == rows and doubt.due_rows(DOUBT_TIME) == []
+    assert doubt.filter_whole_list(0, HELD, rows) == rows and doubt.due_rows(DOUBT_TIME_US) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -30,10 +30,10 @@
     return DeskStateRecovery(told, expected, CAPS, 0, 2 * S)
 
 
-def concluded(words, told=(5, 3), running=()):
+def concluded(reports, told=(5, 3), running=()):
     one = returning(told)
-    for n, word in enumerate(words):
-        one.add_state(f"g{n}", word)
+    for n, seen in enumerate(reports):
+        one.add_state(f"g{n}", seen)
     return one, one.conclude(running)
 
 
@@ -52,8 +52,8 @@
 
 
 def test_a_journal_that_told_all_that_was_seen_is_carried_on():
-    for words in ([], [None], [replace(SEEN, mark=(5, 3)), replace(SEEN, mark=(5, 1), build=41), None]):
-        one, state = concluded(words)
+    for reports in ([], [None], [replace(SEEN, mark=(5, 3)), replace(SEEN, mark=(5, 1), build=41), None]):
+        one, state = concluded(reports)
         assert state == CARRIED_ON and one.plan is None
 
 
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, why",
+    "reports, why",
     [
         ([SEEN, replace(SEEN, stage=2)], "g1: build 43 stage 2 trial"),
         ([SEEN, replace(SEEN, phase=RELEASED)], "released"),
@@ -96,10 +96,10 @@
         ([replace(SEEN, mark=(6, 1), build=42, phase=RELEASED), SEEN], "of build 42, but g1: build 43"),
     ],
 )
-def test_words_that_contradict_are_named_and_wait_for_the_operator(words, why):
-    one, state = concluded(words)
+def test_words_that_contradict_are_named_and_wait_for_the_operator(reports, why):
+    one, state = concluded(reports)
     assert state == WAITING and why in one.why
-    assert one.plan.build == 43 and one.plan.cap <= min(word.cap for word in words)
+    assert one.plan.build == 43 and one.plan.cap <= min(seen.cap for seen in reports)
 
 
 def test_without_journal_and_words_one_running_build_is_the_released_one_and_two_are_for_the_operator():
@@ -226,9 +226,9 @@
     world = Told()
     for what in acts:
         world.act(what, 1)
-    words = world.told
-    last = words[-1]
-    older = words[max(0, len(words) - 1 - behind % 3)]
+    reports = world.told
+    last = reports[-1]
+    older = reports[max(0, len(reports) - 1 - behind % 3)]
     kept = None if how == "lost" else world.journal[cut % len(world.journal)]
     stages = ReleaseStages(
         RELEASE, [f"p{n}" for n in range(4)], max(m.build for m in world.stages.instances.values())
@@ -236,8 +236,8 @@
     if kept is not None:
         stages.load(kept, world.now)
     one = DeskStateRecovery(tuple(kept["told"]) if kept else None, ("g0", "g1", "g2"), CAPS, world.now, S)
-    for name, word in (("g0", last), ("g1", older), ("g2", None)):
-        one.add_state(name, word)
+    for name, seen in (("g0", last), ("g1", older), ("g2", None)):
+        one.add_state(name, seen)
     state = one.conclude()
     assert state in (CARRIED_ON, RESUMED), one.why
     if state == RESUMED:
@@ -259,11 +259,11 @@
     began = len(world.told)
     for what in after:
         world.act(what, epoch)
-    marks = [word.mark for word in world.told]
-    assert marks == sorted(marks) and all(word.mark > last.mark for word in world.told[began:])
-    for word in world.told[began:]:
-        assert word.build not in gone or word.phase in (GOING_BACK, WITHDRAWN)
-        gone |= set(word.gone)
+    marks = [seen.mark for seen in world.told]
+    assert marks == sorted(marks) and all(seen.mark > last.mark for seen in world.told[began:])
+    for seen in world.told[began:]:
+        assert seen.build not in gone or seen.phase in (GOING_BACK, WITHDRAWN)
+        gone |= set(seen.gone)
 
 
 def test_a_journal_of_the_version_before_is_read():
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -11,27 +11,27 @@
 from cobaltpond.decisions.records import RandomSource
 from cobaltpond.recovery.measure import max_in_window, time_to_full_service
 from cobaltpond.recovery.phases import (
-    ADMIT,
-    ALL_HEARD,
+    ADMIT_HITS,
+    ALL_SOURCES_KNOWN,
     BLANK,
-    HEARD,
+    CAUGHT_UP,
     HEARING,
-    IN_STEP,
-    NEXT,
-    ORDER,
     PERMISSIONS,
+    PHASE_ORDER,
+    PROCESS_STALLED,
     SERVING,
     SETTLED,
-    STOOD_STILL,
-    TIME_UP,
+    SOURCE_KNOWN,
+    TIMED_OUT,
+    TRANSITIONS,
     VOTE_ON,
-    WARMED,
+    WARM_START_DONE,
     WARMING,
     PhaseMachine,
     ServiceWindow,
 )
 from cobaltpond.recovery.rate_limiter import AnswerRateLimiter, DialRateLimiter, RecentStarts, StartJitter
-from cobaltpond.recovery.warm_start import ROWS_MOST, SILENT, WarmStart, notable_rows, start_mark
+from cobaltpond.recovery.warm_start import MAX_ROWS, SILENT, WarmStart, notable_rows, start_mark
 
 EXAMPLES = int(os.environ.get("COBALTPOND_EXAMPLES", "60"))
 S = 1_000_000
@@ -45,7 +45,10 @@
 @given(
     st.lists(
         st.tuples(
-            st.integers(0, 2 * S), st.sampled_from([HEARD, ALL_HEARD, WARMED, IN_STEP, STOOD_STILL, "tick"])
+            st.integers(0, 2 * S),
+            st.sampled_from(
+                [SOURCE_KNOWN, ALL_SOURCES_KNOWN, WARM_START_DONE, CAUGHT_UP, PROCESS_STALLED, "tick"]
+            ),
         ),
         max_size=30,
     )
@@ -59,45 +62,45 @@
         assert life.phase not in LONGEST or now - life.since < LONGEST[life.phase]
         if what != "tick":
             life.apply_cause(now, what)
-    assert all(NEXT[before][cause] == after for before, cause, after in seen)
+    assert all(TRANSITIONS[before][cause] == after for before, cause, after in seen)
     life.tick(now + sum(LONGEST.values()))
     assert life.phase == SETTLED
 
 
 def test_rights_only_grow_on_the_way_and_only_blank_keeps_the_door_shut():
-    kept = [set(PERMISSIONS[phase]) - {"ask"} for phase in ORDER]
+    kept = [set(PERMISSIONS[phase]) - {"ask"} for phase in PHASE_ORDER]
     assert all(one <= other for one, other in zip(kept, kept[1:], strict=False))
-    assert [phase for phase in ORDER if ADMIT not in PERMISSIONS[phase]] == [BLANK]
-    assert [phase for phase in ORDER if VOTE_ON in PERMISSIONS[phase]] == [SETTLED]
-    assert all(TIME_UP in NEXT[phase] for phase in ORDER if phase != SETTLED)
+    assert [phase for phase in PHASE_ORDER if ADMIT_HITS not in PERMISSIONS[phase]] == [BLANK]
+    assert [phase for phase in PHASE_ORDER if VOTE_ON in PERMISSIONS[phase]] == [SETTLED]
+    assert all(TIMED_OUT in TRANSITIONS[phase] for phase in PHASE_ORDER if phase != SETTLED)
 
 
 def test_who_stood_still_knows_only_what_was_so_and_begins_anew():
     life = PhaseMachine(0, LONGEST)
-    for cause in (HEARD, ALL_HEARD, WARMED, IN_STEP):
+    for cause in (SOURCE_KNOWN, ALL_SOURCES_KNOWN, WARM_START_DONE, CAUGHT_UP):
         assert life.apply_cause(1, cause)
     assert (
         life.phase == SETTLED
-        and life.apply_cause(2, STOOD_STILL)
+        and life.apply_cause(2, PROCESS_STALLED)
         and life.phase == WARMING
         and not life.is_allowed(VOTE_ON)
     )
-    assert not life.apply_cause(3, HEARD) and life.status(5)["since_us"] == 3
+    assert not life.apply_cause(3, SOURCE_KNOWN) and life.status(5)["since_us"] == 3
 
 
 def test_in_step_is_a_share_of_a_whole_second_or_hardly_any_traffic():
     step = ServiceWindow()
     for n in range(11):
         step.record(n * 100 * MS, 10 * n, 9 * n)
-    assert not step.is_in_step()
+    assert not step.is_caught_up()
     step = ServiceWindow()
     for n in range(11):
         step.record(n * 100 * MS, 10 * n, 10 * n)
-        assert step.is_in_step() == (n == 10)
+        assert step.is_caught_up() == (n == 10)
     quiet = ServiceWindow()
     quiet.record(0, 0, 0)
     quiet.record(S, 7, 0)
-    assert quiet.is_in_step()
+    assert quiet.is_caught_up()
 
 
 # --- the fleet's budgets ------------------------------------------------------------------------------------
@@ -133,7 +136,7 @@
     later = [now for now in range(begin + 9 * S, begin + 11 * S, 10 * MS) if turns.is_due("i0", now)]
     assert later and turns.try_acquire("i0", later[-1])
     turns.retain({"i1": 1})
-    assert turns.offsets == turns.used == {}
+    assert turns.offsets == turns.last_used == {}
 
 
 def test_who_has_just_begun_is_reckoned_from_those_heard():
@@ -169,7 +172,7 @@
         (202, 1.0, 0, 0.9, 0, 0),
     ]
     assert [row_[0] for row_ in notable_rows(rows)] == [200, 202, 201]
-    assert len(notable_rows([(n, 9.0, 1, 0, 0, 0) for n in range(500)])) == ROWS_MOST
+    assert len(notable_rows([(n, 9.0, 1, 0, 0, 0) for n in range(500)])) == MAX_ROWS
 
 
 def asked(rows_by_donor, window=12 * S, now=0):
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -21,7 +21,7 @@
 
 def taken(data, **more):
     return snapshot.parse_snapshot(
-        data, **{"number": 3, "settings": 77, "wall": 101 * S, "worth": 10 * S, **more}
+        data, **{"number": 3, "settings": 77, "wall": 101 * S, "max_age": 10 * S, **more}
     )
 
 
@@ -52,14 +52,14 @@
 @pytest.mark.parametrize(
     "data, more, why",
     [
-        (None, {}, "there is none"),
-        (b"x" * (snapshot.MOST_BYTES + 1), {}, "more than one has"),
+        (None, {}, "no snapshot file"),
+        (b"x" * (snapshot.MAX_BYTES + 1), {}, "exceed the size limit"),
         (file_of(), {"number": 4}, "of gateway 3, not 4"),
         (file_of(), {"settings": 78}, "other settings"),
         (file_of(), {"wall": 99 * S}, "1000 ms in the future"),
         (file_of(), {"wall": 110 * S}, "10000 ms old"),
-        (file_of({**HEAD, "wall": "x"}), {}, "makes no sense"),
-        (file_of(rows=[["i1", 1, 5]]), {}, "makes no sense"),
+        (file_of({**HEAD, "wall": "x"}), {}, "malformed"),
+        (file_of(rows=[["i1", 1, 5]]), {}, "malformed"),
         (file_of({**HEAD, "format": 9}), {}, None),
     ],
 )
