--- a/cobaltpond/leases/protocol.py
+++ b/cobaltpond/leases/protocol.py
@@ -137,7 +137,7 @@
 
     @staticmethod
     def fair_share(requests: dict, pool: int, holder: int) -> int:
-        """The holder's max-min fair share of the pool: small requests are met in full, others share the rest."""
+        """The max-min fair share of the pool: small requests are met in full, others share the rest."""
         for n, (wanted, _, member) in enumerate(
             sorted((*entry, member) for member, entry in requests.items())
         ):
