--- a/bench/comeback.py
+++ b/bench/comeback.py
@@ -2,12 +2,12 @@
 
     .venv/bin/python bench/comeback.py [--sizes 3,30,200] [--shares 0.7,1.0] [--seeds 1,2] [--jobs 8]
 
-Four ways for each size and share, under one traffic and in mid-trial of a bad build with a third of the
-instances cold: as before (no `recovery` in the sheet), paced only, paced and warm start, and that with
-snapshots. Time to full service is `recovery/measure.py`'s; "settled" is judged where there are phases, else
-when every killed gateway has served a hit. The greatest number of new connections at one instance, at the
-list and at the desk in any second stands beside what the sheet says that they bear. Figures are of simulated
-servers.
+Runs four variants for each size and share of killed gateways: without recovery (no `recovery` in the
+settings), with rate limits only, with warm start too, and with snapshots too. All have the same traffic, in
+the middle of the trial of a bad build, with a third of the instances cold. `recovery/measure.py` defines the
+time to full service. A gateway counts as settled by its phase, or without recovery once it has served a hit.
+The table shows the most new connections to one instance, the list and the desk in any second, next to the
+rates in the settings. All servers are simulated.
 """
 
 import argparse
@@ -28,23 +28,26 @@
 from cobaltpond.sim.scenarios import read_fault_scenario  # noqa: E402
 
 S = 1_000_000
-FAULT, LENGTH = 9 * S, 24 * S
-WAYS = ("as before", "paced", "warm start", "snapshot")
-DIALS, CALLS = 60.0, 100.0
+FAULT_AT_US, LENGTH_US = 9 * S, 24 * S
+VARIANTS = ("as before", "paced", "warm start", "snapshot")
+DIALS_PER_S, CALLS_PER_S = 60.0, 100.0
 
 
-def scenario(count: int, share: float, way: str, seed: int) -> str:
+def scenario(count: int, share: float, variant: str, seed: int) -> str:
+    """The fault scenario as text, for this number of gateways, share of them killed, variant and seed."""
     lines, instances = [], max(6, min(60, count * 2))
     zones = ["north", "south"]
 
-    def say(name, /, **fields):
+    def declare(name, /, **fields):
         lines.append(starlark_call(name, fields))
 
-    say("day", length=LENGTH, rate=float(min(600, 12 * instances)), seed=seed)
-    say("fleet", instances=instances, zones=zones, cores=2, cold_time=3 * S, cancel="queued", boot=500_000)
-    say("registry", notice=200_000, spread=100_000, add=100_000, silent=2 * S)
-    say("path_group", name="look", kind="repeatable", target_latency=900_000, client_timeout=2_500_000)
-    say(
+    declare("day", length=LENGTH_US, rate=float(min(600, 12 * instances)), seed=seed)
+    declare(
+        "fleet", instances=instances, zones=zones, cores=2, cold_time=3 * S, cancel="queued", boot=500_000
+    )
+    declare("registry", notice=200_000, spread=100_000, add=100_000, silent=2 * S)
+    declare("path_group", name="look", kind="repeatable", target_latency=900_000, client_timeout=2_500_000)
+    declare(
         "path_group",
         name="pay",
         kind="mutating",
@@ -52,11 +55,11 @@
         client_timeout=3_000_000,
         benefit=2.0,
     )
-    say("traffic", group="look", share=0.7, work=60_000)
-    say("traffic", group="pay", share=0.3, work=60_000, method="POST")
-    say("customer", name="emajoe-hall", share=1.0)
-    say("clients", retries=2)
-    say(
+    declare("traffic", group="look", share=0.7, work=60_000)
+    declare("traffic", group="pay", share=0.3, work=60_000, method="POST")
+    declare("customer", name="emajoe-hall", share=1.0)
+    declare("clients", retries=2)
+    declare(
         "release",
         gate="count",
         layout="in place",
@@ -74,83 +77,87 @@
         drain_time=500_000,
         news_period=S,
     )
-    say("rules", drain_grace=250_000, cold_time=3 * S, cold_share=0.4, overload_factor=2.0, tip_time=S)
-    say("allow", most_forwards=3, probe=True, tell=True)
-    say("reports", how="answers", names=["util", "inflight"])
+    declare("rules", drain_grace=250_000, cold_time=3 * S, cold_share=0.4, overload_factor=2.0, tip_time=S)
+    declare("allow", most_forwards=3, probe=True, tell=True)
+    declare("reports", how="answers", names=["util", "inflight"])
     for n in range(count):
-        say("gateway", zone=zones[n % 2])
-    say("members", period=300_000, wait=90_000)
-    if way != "as before":
-        say(
+        declare("gateway", zone=zones[n % 2])
+    declare("members", period=300_000, wait=90_000)
+    if variant != "as before":
+        declare(
             "recovery",
-            dials=DIALS,
-            calls=CALLS,
-            warm=way != "paced",
-            snapshots=way == "snapshot",
+            dials=DIALS_PER_S,
+            calls=CALLS_PER_S,
+            warm=variant != "paced",
+            snapshots=variant == "snapshot",
             snapshot_every=S,
         )
-    say("offer", at=6 * S, flaw="slow", strength=1.0)
+    declare("offer", at=6 * S, flaw="slow", strength=1.0)
     for n in range(round(count * share)):
-        say("kill", gateway=n, at=FAULT, back_after=S // 2)
+        declare("kill", gateway=n, at=FAULT_AT_US, back_after=S // 2)
     return "\n".join(lines) + "\n"
 
 
-class Watched(SimulatedScenario):
-    """Looks at every gateway ten times a second; counts dials by port."""
+class ObservedScenario(SimulatedScenario):
+    """Checks the phase of every gateway ten times a second, and records dials by port."""
 
     def __init__(self, plan):
-        self.dials, self.phases, self.taken = {}, {}, {}
-        super().__init__(plan, watch=self.seen)
-        self.look()
+        self.dials, self.settled_at, self.taken = {}, {}, {}
+        super().__init__(plan, watch=self.on_world_event)
+        self.sample_phases()
 
-    def seen(self, at, what):
+    def on_world_event(self, at, what):
+        """Records dials of gateways."""
         if what[0] == "dial" and what[1].startswith("gateway-"):
             self.dials.setdefault(what[2], []).append(at)
 
-    def look(self):
+    def sample_phases(self):
+        """Records when each start of a gateway settled; schedules itself again."""
         for process in self.world.alive():
-            gateway = self.part_of(process)
+            gateway = self.gateway_of(process)
             if gateway is None:
                 continue
             mark = process.name, process.start
             if gateway.recovery is not None:
                 if gateway.recovery.phase_machine.phase == "settled":
-                    self.phases.setdefault(mark, self.world.time)
+                    self.settled_at.setdefault(mark, self.world.time)
                 else:
-                    self.phases.pop(mark, None)
+                    self.settled_at.pop(mark, None)
             elif gateway.frontend.counts.get("delivered"):
-                self.phases.setdefault(mark, self.world.time)
-        self.world.after(S // 10, self.look)
+                self.settled_at.setdefault(mark, self.world.time)
+        self.world.after(S // 10, self.sample_phases)
 
     @staticmethod
-    def part_of(process):
+    def gateway_of(process):
+        """The running gateway object of a process, or None."""
         frame = process.main.generator.gi_frame if process.main is not None else None
         gateway = frame.f_locals.get("self") if frame is not None else None
         return gateway if process.name.startswith("gateway-") and hasattr(gateway, "endpoints") else None
 
 
-def play(job) -> dict:
-    count, share, way, seed = job
-    sim = Watched(read_fault_scenario(f"{count} {share} {way} {seed}", scenario(*job), seed))
+def run_scenario(job) -> dict:
+    """One row of the table; only `job` and `found` if the run was not completed."""
+    count, share, variant, seed = job
+    sim = ObservedScenario(read_fault_scenario(f"{count} {share} {variant} {seed}", scenario(*job), seed))
     verdict = sim.run()
     if not verdict.result:
         return {"job": job, "found": verdict.found}
-    crowd, yard, begin = verdict.result["crowd"], verdict.result["yard"], sim.begin
-    answers = [e for e in crowd if e["kind"] == "answer"]
-    asked = {e["op"]: e for e in crowd if e["kind"] == "asked"}
-    good = {
+    client_events, instance_events, begin = verdict.result["crowd"], verdict.result["yard"], sim.begin
+    answer_events = [e for e in client_events if e["kind"] == "answer"]
+    request_events = {e["op"]: e for e in client_events if e["kind"] == "asked"}
+    in_time_ops = {
         a["op"]
-        for a in answers
+        for a in answer_events
         if a["seen"] == "delivered"
         and a["status"] < 500
-        and a["at"] - asked[a["op"]]["begun"] <= asked[a["op"]]["target"]
+        and a["at"] - request_events[a["op"]]["begun"] <= request_events[a["op"]]["target"]
     }
-    hits = sorted((e["begun"], op in good) for op, e in asked.items())
-    fault, end = begin + FAULT, begin + LENGTH
+    hits = sorted((e["begun"], op in in_time_ops) for op, e in request_events.items())
+    fault, end = begin + FAULT_AT_US, begin + LENGTH_US
     killed = {f"gateway-{n}" for n in range(round(count * share))}
-    lives = [at for (name, start), at in sim.phases.items() if name in killed and start > 0]
-    settled = max(lives) if len(lives) == len(killed) else None
-    bad = [e for e in yard if e["kind"] == "end" and e["build"] > 41]
+    settled_times = [at for (name, start), at in sim.settled_at.items() if name in killed and start > 0]
+    settled = max(settled_times) if len(settled_times) == len(killed) else None
+    bad_build_ends = [e for e in instance_events if e["kind"] == "end" and e["build"] > 41]
     ports = sim.day.port
     instances = range(ports["machines"], ports["machines"] + 8 * len(sim.plan["places"]))
     return {
@@ -161,8 +168,8 @@
         "served": time_to_full_service(hits, fault, end, fault),
         "before": in_time_share(hits, fault - 5 * S, fault),
         "after": in_time_share(hits, fault, fault + 5 * S),
-        "fell": sum(e["kind"] == "fell" for e in yard),
-        "harmed": len(bad),
+        "fell": sum(e["kind"] == "fell" for e in instance_events),
+        "harmed": len(bad_build_ends),
         "dials": max(
             (max_in_window([at for at in sim.dials.get(port, ()) if at >= fault]) for port in instances),
             default=0,
@@ -176,42 +183,43 @@
 
 
 def seconds(value):
+    """Microseconds as text in seconds."""
     return "not reached" if value is None else f"{value / S:.1f}"
 
 
 def main():
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--sizes", default="3,30,200")
-    words.add_argument("--shares", default="0.7,1.0")
-    words.add_argument("--seeds", default="1,2")
-    words.add_argument("--jobs", type=int, default=0)
-    words = words.parse_args()
+    args = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    args.add_argument("--sizes", default="3,30,200")
+    args.add_argument("--shares", default="0.7,1.0")
+    args.add_argument("--seeds", default="1,2")
+    args.add_argument("--jobs", type=int, default=0)
+    args = args.parse_args()
     jobs = [
-        (int(size), float(share), way, int(seed))
-        for size in words.sizes.split(",")
-        for share in words.shares.split(",")
-        for way in WAYS
-        for seed in words.seeds.split(",")
+        (int(size), float(share), variant, int(seed))
+        for size in args.sizes.split(",")
+        for share in args.shares.split(",")
+        for variant in VARIANTS
+        for seed in args.seeds.split(",")
     ]
     print(
         f"in time: {FULL_SERVICE_SHARE} of the share before; "
-        f"one instance bears {DIALS:g} dials a second, list and desk {CALLS:g}"
+        f"one instance bears {DIALS_PER_S:g} dials a second, list and desk {CALLS_PER_S:g}"
     )
     print(
         "| gateways | killed | way | seed | in time again s | full service s | in time before, 5 s after "
         "| fell | most dials at an instance, list, desk in 1 s | bad build's hits | found |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for row in map_in_workers(words.jobs, play, jobs, 4):
-        count, share, way, seed = row["job"]
+    for row in map_in_workers(args.jobs, run_scenario, jobs, 4):
+        count, share, variant, seed = row["job"]
         if "full" not in row:
             print(
-                f"| {count} | {share:g} | {way} | {seed} | - | - | - | - | - | - | {row['found'][:2]} |",
+                f"| {count} | {share:g} | {variant} | {seed} | - | - | - | - | - | - | {row['found'][:2]} |",
                 flush=True,
             )
             continue
         print(
-            f"| {count} | {share:g} | {way} | {seed} | {seconds(row['served'])} | {seconds(row['full'])} "
+            f"| {count} | {share:g} | {variant} | {seed} | {seconds(row['served'])} | {seconds(row['full'])} "
             f"| {row['before'] or 0:.3f}, {row['after'] or 0:.3f} | {row['fell']} "
             f"| {row['dials']}, {row['list']}, {row['desk']} | {row['harmed']} | {len(row['found'])} "
             f"{row['found'][:1] or ''} |",
--- a/bench/leases_model.py
+++ b/bench/leases_model.py
@@ -1,14 +1,13 @@
-"""A search through every interleaving of a small world of leases, to a stated depth, over the real transition
-code.
+"""Model checker for leases: explores every interleaving of a small model up to a depth, over the real code.
 
     .venv/bin/python bench/leases_model.py [--depth 9] [--keys 1] [--apart] [--break NAME|all]
 
-Three members share allowances. A step is one of: time passes (a third of a lease's life), a member asks for
-little or all, a message that is under way comes or is lost, a member dies or comes back, the three split or
-heal, a member is stopped or goes on. What must hold after each: what all members may use of a key together is
-within its pool. Views change at once on both sides of a split (one owner, for `shares.overshoot`); with
-`--apart` a member's view may stay behind for a step, and the bound is the formula's. `--break` plants a fault
-in the code, which the search has to find.
+Three members share allowances. A step is one of: time advances by a third of the lease time, a member
+requests little or all, a message in flight is delivered or lost, a member crashes or restarts, the network is
+partitioned or heals, a member is paused or resumed. After each step, what all members may use of a key
+together must be within its pool. Views change at once on both sides of a partition (one owner, for
+`protocol.overshoot`); with `--apart` the view of one member may be stale for a step, and the formula gives
+the bound. `--break` injects a fault into the code, which the search has to find.
 """
 
 import argparse
@@ -21,25 +20,27 @@
 from cobaltpond.leases.protocol import Holder, Owner, overshoot, owner_of  # noqa: E402
 
 LIFE, POOL, MEMBERS = 3, 6, 3
-UNDER_WAY = 2  # messages at one moment
-SIDES = ((0, 0, 0), (0, 0, 1), (0, 1, 0), (1, 0, 0))  # who is on which side
+MAX_IN_FLIGHT = 2  # messages at one moment; bounds the search
+PARTITIONS = ((0, 0, 0), (0, 0, 1), (0, 1, 0), (1, 0, 0))  # the side of each member
 
 
-class World:
+class ModelState:
+    """One state of the model; `apart` allows stale views."""
+
     def __init__(self, keys, apart):
         self.now, self.keys, self.apart = 0, keys, apart
         self.owners = [Owner(n, MEMBERS, LIFE, 0) for n in range(MEMBERS)]
         self.holders = [Holder(n, LIFE) for n in range(MEMBERS)]
-        self.dead, self.stopped, self.sides, self.starts = [False] * 3, [False] * 3, 0, [0] * 3
+        self.crashed, self.paused, self.partition, self.starts = [False] * 3, [False] * 3, 0, [0] * 3
         self.views = [tuple(range(MEMBERS))] * MEMBERS
-        self.mail, self.faults = (), 0  # ("ask" or "grant", from, to, (key, wanted) or lease, at)
-        self.look()
-        for _ in range(LIFE):  # until owners may mint: the search begins where it matters
-            self.passes()
+        self.messages, self.faults = (), 0  # ("ask" or "grant", from, to, (key, wanted) or lease, at)
+        self.update_views()
+        for _ in range(LIFE):  # the search starts when owners may lend
+            self.advance_time()
 
     def clone(self):
-        """What a step changes is copied, all else is shared: a search makes millions."""
-        new = World.__new__(World)
+        """Copies only what a step changes, since a search makes millions of states."""
+        new = ModelState.__new__(ModelState)
         new.__dict__.update(self.__dict__)
         new.owners = []
         for owner in self.owners:
@@ -55,32 +56,33 @@
         new.holders = [
             Holder(holder.number, holder.lease_time, dict(holder.leases)) for holder in self.holders
         ]
-        new.dead, new.stopped, new.starts, new.views = (
-            list(self.dead),
-            list(self.stopped),
+        new.crashed, new.paused, new.starts, new.views = (
+            list(self.crashed),
+            list(self.paused),
             list(self.starts),
             list(self.views),
         )
         return new
 
-    def truth(self, n):
-        """Whom member n can reach."""
-        side = SIDES[self.sides]
+    def reachable(self, n):
+        """The members that member n can reach."""
+        side = PARTITIONS[self.partition]
         return tuple(
             m
             for m in range(MEMBERS)
-            if m == n or side[m] == side[n] and not self.dead[m] and not self.stopped[m]
+            if m == n or side[m] == side[n] and not self.crashed[m] and not self.paused[m]
         )
 
-    def look(self, behind=None):
+    def update_views(self, stale_member=None):
+        """Updates the view of each running member but `stale_member`."""
         for n in range(MEMBERS):
-            if not self.dead[n] and not self.stopped[n]:
-                if n != behind:
-                    self.views[n] = self.truth(n)
+            if not self.crashed[n] and not self.paused[n]:
+                if n != stale_member:
+                    self.views[n] = self.reachable(n)
                 self.owners[n].observe_members(self.now, self.views[n])
 
     def key(self):
-        """Time only counts relative to now."""
+        """A hashable form of the state, with times relative to now."""
         now = self.now
         owners = tuple(
             (
@@ -119,116 +121,122 @@
             )
             for h in self.holders
         )
-        mail = tuple(
+        messages = tuple(
             (m[0], m[1], m[2], m[3] if m[0] == "ask" else (m[3].key, m[3].amount), m[4] - now)
-            for m in self.mail
+            for m in self.messages
         )
         return (
             owners,
             holders,
-            tuple(self.dead),
-            tuple(self.stopped),
-            self.sides,
+            tuple(self.crashed),
+            tuple(self.paused),
+            self.partition,
             tuple(self.views),
-            mail,
+            messages,
             self.faults,
         )
 
     # --- steps ----------------------------------------------------------------------------------------------
 
     def steps(self):
-        yield "time", lambda w: w.passes()
+        """Yields (name, function that applies the step) for each possible step."""
+        yield "time", lambda w: w.advance_time()
         for n in range(MEMBERS):
-            if self.dead[n]:
-                yield f"{n} begins", lambda w, n=n: w.begins(n)
+            if self.crashed[n]:
+                yield f"{n} begins", lambda w, n=n: w.restart(n)
                 continue
-            if self.stopped[n]:
-                yield f"{n} goes on", lambda w, n=n: w.goes_on(n)
+            if self.paused[n]:
+                yield f"{n} goes on", lambda w, n=n: w.resume(n)
                 continue
-            for key in self.keys if len(self.mail) < UNDER_WAY else ():
+            for key in self.keys if len(self.messages) < MAX_IN_FLIGHT else ():
                 for wanted in (2, POOL):
-                    yield f"{n} asks for {wanted} of {key}", lambda w, n=n, k=key, m=wanted: w.asks(n, k, m)
+                    yield (
+                        f"{n} asks for {wanted} of {key}",
+                        lambda w, n=n, k=key, m=wanted: w.request_lease(n, k, m),
+                    )
             if self.faults < 2:
-                yield f"{n} dies", lambda w, n=n: w.dies(n)
-                yield f"{n} is stopped", lambda w, n=n: w.stops(n)
-        for at in range(len(self.mail)):
-            yield f"comes: {self.mail[at][:3]}", lambda w, at=at: w.comes(at)
-            yield f"is lost: {self.mail[at][:3]}", lambda w, at=at: w.loses(at)
-        if self.sides:
+                yield f"{n} dies", lambda w, n=n: w.crash(n)
+                yield f"{n} is stopped", lambda w, n=n: w.pause(n)
+        for at in range(len(self.messages)):
+            yield f"comes: {self.messages[at][:3]}", lambda w, at=at: w.deliver(at)
+            yield f"is lost: {self.messages[at][:3]}", lambda w, at=at: w.drop_message(at)
+        if self.partition:
             yield "heals", lambda w: w.split(0)
         elif self.faults < 2:
             for side in (1, 2, 3):
-                yield f"splits {SIDES[side]}", lambda w, side=side: w.split(side)
+                yield f"splits {PARTITIONS[side]}", lambda w, side=side: w.split(side)
                 if self.apart:
                     for n in range(MEMBERS):
                         yield (
-                            f"splits {SIDES[side]}, {n} sees it late",
+                            f"splits {PARTITIONS[side]}, {n} sees it late",
                             lambda w, side=side, n=n: w.split(side, n),
                         )
 
-    def passes(self):
+    def advance_time(self):
         self.now += 1
-        self.look()
+        self.update_views()
 
-    def asks(self, n, key, wanted):
+    def request_lease(self, n, key, wanted):
         owner = owner_of(key, self.views[n])
         if owner == n:
             lease = self.owners[n].grant_lease(self.now, key, n, wanted, POOL)
             if lease is not None:
                 self.holders[n].accept_lease(self.now, lease, self.views[n], self.now)
         else:
-            self.mail += (("ask", n, owner, (key, wanted), self.now),)
+            self.messages += (("ask", n, owner, (key, wanted), self.now),)
 
-    def taken(self, at):
-        mail, self.mail = self.mail[at], self.mail[:at] + self.mail[at + 1 :]
-        return mail
+    def pop_message(self, at):
+        messages, self.messages = self.messages[at], self.messages[:at] + self.messages[at + 1 :]
+        return messages
 
-    def comes(self, at):
-        what, sender, to, body, asked_at = self.taken(at)
-        if to not in self.truth(sender) or self.dead[to] or self.stopped[to]:
+    def deliver(self, at):
+        what, sender, to, body, asked_at = self.pop_message(at)
+        if to not in self.reachable(sender) or self.crashed[to] or self.paused[to]:
             return
         if what == "ask":
             lease = self.owners[to].grant_lease(self.now, body[0], sender, body[1], POOL)
             if lease is not None:
-                self.mail += (("grant", to, sender, lease, asked_at),)
+                self.messages += (("grant", to, sender, lease, asked_at),)
         else:
             self.holders[to].accept_lease(self.now, body, self.views[to], asked_at)
 
-    def loses(self, at):
-        self.taken(at)
+    def drop_message(self, at):
+        self.pop_message(at)
 
-    def dies(self, n):
+    def crash(self, n):
         self.faults += 1
-        self.dead[n] = True
+        self.crashed[n] = True
         self.holders[n] = Holder(n, LIFE)
-        self.look()
+        self.update_views()
 
-    def begins(self, n):
-        self.dead[n], self.starts[n] = False, self.starts[n] + 1
+    def restart(self, n):
+        self.crashed[n], self.starts[n] = False, self.starts[n] + 1
         self.owners[n] = Owner(n, MEMBERS, LIFE, self.starts[n])
-        self.look()
+        self.update_views()
 
-    def stops(self, n):
+    def pause(self, n):
         self.faults += 1
-        self.stopped[n] = True
-        self.look()
+        self.paused[n] = True
+        self.update_views()
 
-    def goes_on(self, n):
-        """What it holds it may still use for the moment in which it goes on: its clock tells it at the next
-        look."""
-        self.stopped[n] = False
-        self.look()
+    def resume(self, n):
+        """Until the next update of views the member may still use what it holds; then its clock shows the
+        expiry.
+        """
+        self.paused[n] = False
+        self.update_views()
 
-    def split(self, side, behind=None):
+    def split(self, side, stale_member=None):
         self.faults += side > 0
-        self.sides = side
-        self.look(behind)
+        self.partition = side
+        self.update_views(stale_member)
 
-    # --- what must hold -------------------------------------------------------------------------------------
+    # --- invariant -----------------------------------------------------------------------------------------
 
-    def wrong(self):
+    def find_violation(self):
+        """A text if a key is used beyond its bound, else None."""
         for key in self.keys:
-            used = sum(h.amount(self.now, key) for n, h in enumerate(self.holders) if not self.dead[n])
+            used = sum(h.amount(self.now, key) for n, h in enumerate(self.holders) if not self.crashed[n])
             most = POOL
             if self.apart:
                 owners = sum(
@@ -243,13 +251,15 @@
 
 
 def search(depth: int, keys=("a",), apart=False, most: int = 2_000_000, without=(), first=()):
-    """(worlds visited, None) or (worlds, the steps to the first breach and what it is). Breadth first: the
-    first breach is one of the shortest. `without`: words of steps that are left out, `first`: steps taken
-    before, to look further down."""
-    begin = World(keys, apart)
+    """Returns (states visited, None) or (states visited, steps to the first violation and its text).
+
+    Breadth first: the path is a shortest one. Steps whose name contains a word of `without` are left out; the
+    steps `first` are taken before the search, which then looks further from there.
+    """
+    initial_state = ModelState(keys, apart)
     for name in first:
-        dict(begin.steps())[name](begin)
-    seen, queue = {begin.key(): True}, deque([(begin, tuple(first))])
+        dict(initial_state.steps())[name](initial_state)
+    seen, queue = {initial_state.key(): True}, deque([(initial_state, tuple(first))])
     while queue:
         world, path = queue.popleft()
         if len(path) >= depth + len(first):
@@ -263,96 +273,102 @@
             if mark in seen:
                 continue
             seen[mark] = True
-            trouble = after.wrong()
-            if trouble is not None:
-                return len(seen), (*path, name, trouble)
+            violation = after.find_violation()
+            if violation is not None:
+                return len(seen), (*path, name, violation)
             if len(seen) >= most:
                 return len(seen), None
             queue.append((after, (*path, name)))
     return len(seen), None
 
 
-# --- breaks planted on purpose ------------------------------------------------------------------------------
+# --- injected faults ----------------------------------------------------------------------------------------
 
 
-def no_wait(self, now, key):
-    """A new owner mints at once."""
+def lend_without_waiting(self, now, key):
+    """A new owner lends at once."""
     return owner_of(key, self.views[-1][1]) == self.number
 
 
-def no_standing_still(self, now, living):
-    """One that stood still goes on as if it had not."""
+def ignore_pause(self, now, living):
+    """An owner that was paused continues as if it had not been."""
     self.last_observed = now if self.last_observed is not None else None
-    REAL["observe_members"](self, now, living)
+    ORIGINAL_METHODS["observe_members"](self, now, living)
 
 
-def whole_pool(self, now, key, holder, wanted, pool):
-    """A side of a split mints all of it."""
-    return REAL["grant_lease"](
+def lend_whole_pool(self, now, key, holder, wanted, pool):
+    """One side of a partition lends the whole pool."""
+    return ORIGINAL_METHODS["grant_lease"](
         self, now, key, holder, wanted, pool * self.declared // max(1, len(self.views[-1][1]))
     )
 
 
-def forgets(self, now, key, holder, wanted, pool):
-    """What is lent already is not counted."""
+def forget_outstanding(self, now, key, holder, wanted, pool):
+    """Outstanding leases are not counted."""
     self.outstanding.pop(key, None)
-    return REAL["grant_lease"](self, now, key, holder, wanted, pool)
+    return ORIGINAL_METHODS["grant_lease"](self, now, key, holder, wanted, pool)
 
 
-def forgets_the_older(self, now, key, holder, wanted, pool):
-    """A smaller lease counts at once, though its holder may not have heard of it."""
-    lease = REAL["grant_lease"](self, now, key, holder, wanted, pool)
+def forget_older_lease(self, now, key, holder, wanted, pool):
+    """A smaller lease counts at once, though its holder may not have received it."""
+    lease = ORIGINAL_METHODS["grant_lease"](self, now, key, holder, wanted, pool)
     if lease is not None:
         self.outstanding[key][holder] = self.outstanding[key][holder][-1:]
     return lease
 
 
-def late_counts(self, now, lease, living, asked_at):
-    """A lease counts from when it comes."""
-    return REAL["accept_lease"](self, now, lease, living, now)
+def count_from_arrival(self, now, lease, living, asked_at):
+    """The lease time counts from the arrival of the lease."""
+    return ORIGINAL_METHODS["accept_lease"](self, now, lease, living, now)
 
 
-REAL = {
+ORIGINAL_METHODS = {
     "observe_members": Owner.observe_members,
     "grant_lease": Owner.grant_lease,
     "accept_lease": Holder.accept_lease,
     "is_owner": Owner.is_owner,
 }
-CALM = ("is lost", "dies", "begins", "splits", "asks for 2")
-BREAKS = {  # class, method, the fault; what the search leaves out
-    "no wait": (Owner, "is_owner", no_wait, ()),
-    "stands still unnoticed": (Owner, "observe_members", no_standing_still, CALM),
-    "whole pool in a split": (Owner, "grant_lease", whole_pool, ("is lost", "dies", "stopped", "asks for 2")),
-    "forgets what is out": (Owner, "grant_lease", forgets, ()),
-    "forgets an older lease": (Owner, "grant_lease", forgets_the_older, ("dies", "stopped", "splits")),
-    "counts from its coming": (Holder, "accept_lease", late_counts, (*CALM, "stopped")),
+IRRELEVANT_STEPS = ("is lost", "dies", "begins", "splits", "asks for 2")
+INJECTED_FAULTS = {  # name: class, method, replacement, steps to leave out
+    "no wait": (Owner, "is_owner", lend_without_waiting, ()),
+    "stands still unnoticed": (Owner, "observe_members", ignore_pause, IRRELEVANT_STEPS),
+    "whole pool in a split": (
+        Owner,
+        "grant_lease",
+        lend_whole_pool,
+        ("is lost", "dies", "stopped", "asks for 2"),
+    ),
+    "forgets what is out": (Owner, "grant_lease", forget_outstanding, ()),
+    "forgets an older lease": (Owner, "grant_lease", forget_older_lease, ("dies", "stopped", "splits")),
+    "counts from its coming": (Holder, "accept_lease", count_from_arrival, (*IRRELEVANT_STEPS, "stopped")),
 }
 
 
-def broken(name: str, depth: int, **more):
-    kind, method, fault, without = BREAKS[name]
-    first = ("2 is stopped", "time", "time", "time") if fault is no_standing_still else ()
+def search_with_fault(name: str, depth: int, **more):
+    """Runs the search with an injected fault."""
+    kind, method, fault, without = INJECTED_FAULTS[name]
+    first = ("2 is stopped", "time", "time", "time") if fault is ignore_pause else ()
     setattr(kind, method, fault)
     try:
         return search(depth, without=without, first=first, **more)
     finally:
-        setattr(kind, method, REAL[method])
+        setattr(kind, method, ORIGINAL_METHODS[method])
 
 
 def main():
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--depth", type=int, default=9)
-    words.add_argument("--keys", type=int, default=1)
-    words.add_argument("--apart", action="store_true")
-    words.add_argument("--most", type=int, default=2_000_000)
-    words.add_argument("--break", dest="fault", choices=[*BREAKS, "all"])
-    words = words.parse_args()
-    keys = tuple("ab"[: words.keys])
-    for name in [None] if not words.fault else BREAKS if words.fault == "all" else [words.fault]:
-        more = {"keys": keys, "apart": words.apart, "most": words.most}
-        worlds, path = broken(name, words.depth, **more) if name else search(words.depth, **more)
+    args = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    args.add_argument("--depth", type=int, default=9)
+    args.add_argument("--keys", type=int, default=1)
+    args.add_argument("--apart", action="store_true")
+    args.add_argument("--most", type=int, default=2_000_000)
+    args.add_argument("--break", dest="fault", choices=[*INJECTED_FAULTS, "all"])
+    args = args.parse_args()
+    keys = tuple("ab"[: args.keys])
+    for name in [None] if not args.fault else INJECTED_FAULTS if args.fault == "all" else [args.fault]:
+        more = {"keys": keys, "apart": args.apart, "most": args.most}
+        worlds, path = search_with_fault(name, args.depth, **more) if name else search(args.depth, **more)
         print(
-            f"{name or 'as it is'}: {worlds} worlds, depth {words.depth}: "
+            f"{name or 'as it is'}: {worlds} worlds, depth {args.depth}: "
             + ("nothing found" if path is None else " -> ".join(path)),
             flush=True,
         )
--- a/tests/test_desk_state.py
+++ b/tests/test_desk_state.py
@@ -1,5 +1,6 @@
-"""A desk whose journal was lost, cut or put back from a copy: what it goes on from, at drawn moments of
-releases."""
+"""State loss of a desk whose journal was lost, truncated or restored: what it resumes from, at generated
+moments.
+"""
 
 import os
 from dataclasses import replace
@@ -26,52 +27,59 @@
 SEEN = SeenState((5, 7), 43, 1, TRIAL, 0.6, 42, ())
 
 
-def returning(told=(5, 3), expected=("g0", "g1", "g2")):
-    return DeskStateRecovery(told, expected, CAPS, 0, 2 * S)
+def new_recovery(published=(5, 3), expected=("g0", "g1", "g2")):
+    return DeskStateRecovery(published, expected, CAPS, 0, 2 * S)
 
 
-def concluded(reports, told=(5, 3), running=()):
-    one = returning(told)
+def conclude_reports(reports, published=(5, 3), running=()):
+    recovery = new_recovery(published)
     for n, seen in enumerate(reports):
-        one.add_state(f"g{n}", seen)
-    return one, one.conclude(running)
+        recovery.add_state(f"g{n}", seen)
+    return recovery, recovery.conclude(running)
 
 
 # --- collecting ---------------------------------------------------------------------------------------------
 
 
-def test_it_waits_for_all_that_it_spoke_to_but_no_longer_than_its_bound():
-    one = returning()
-    one.add_state("g0", None)
-    one.add_state("g2", SEEN)
-    assert one.missing() == ["g1"] and not one.is_due(2 * S - 1) and one.is_due(2 * S)
-    one.add_state("g1", None)
-    assert one.is_due(0) and one.state == COLLECTING
-    one.add_state("g2", replace(SEEN, mark=(5, 6), build=9))  # an older word of the same one, come late
-    assert one.states["g2"] == SEEN
+def test_collecting_waits_for_all_expected_members_up_to_its_deadline():
+    recovery = new_recovery()
+    recovery.add_state("g0", None)
+    recovery.add_state("g2", SEEN)
+    assert recovery.missing() == ["g1"] and not recovery.is_due(2 * S - 1) and recovery.is_due(2 * S)
+    recovery.add_state("g1", None)
+    assert recovery.is_due(0) and recovery.state == COLLECTING
+    recovery.add_state(
+        "g2", replace(SEEN, mark=(5, 6), build=9)
+    )  # an older report of the same member, delayed
+    assert recovery.states["g2"] == SEEN
 
 
-def test_a_journal_that_told_all_that_was_seen_is_carried_on():
+def test_a_journal_as_new_as_all_reports_is_carried_on():
     for reports in ([], [None], [replace(SEEN, mark=(5, 3)), replace(SEEN, mark=(5, 1), build=41), None]):
-        one, state = concluded(reports)
-        assert state == CARRIED_ON and one.plan is None
+        recovery, state = conclude_reports(reports)
+        assert state == CARRIED_ON and recovery.plan is None
 
 
 # --- concluding ---------------------------------------------------------------------------------------------
 
 
-def test_an_older_journal_goes_on_from_what_was_seen_at_no_cap_above_the_lowest_heard():
-    one, state = concluded([SEEN, replace(SEEN, mark=(5, 6), stage=0, cap=0.2), None])
-    assert state == RESUMED and (one.plan.build, one.plan.stage, one.plan.phase, one.plan.stable) == (
+def test_an_older_journal_resumes_from_the_reports_at_the_lowest_cap():
+    recovery, state = conclude_reports([SEEN, replace(SEEN, mark=(5, 6), stage=0, cap=0.2), None])
+    assert state == RESUMED and (
+        recovery.plan.build,
+        recovery.plan.stage,
+        recovery.plan.phase,
+        recovery.plan.stable,
+    ) == (
         43,
         0,
         TRIAL,
         42,
     )
-    one, state = concluded([SEEN, SEEN])
-    assert (one.plan.stage, one.plan.cap) == (1, 0.6)
-    one, state = concluded([SEEN, replace(SEEN, mark=(5, 6), cap=0.1)])
-    assert one.plan.phase == GOING_BACK  # not even the first stage fits
+    recovery, state = conclude_reports([SEEN, SEEN])
+    assert (recovery.plan.stage, recovery.plan.cap) == (1, 0.6)
+    recovery, state = conclude_reports([SEEN, replace(SEEN, mark=(5, 6), cap=0.1)])
+    assert recovery.plan.phase == GOING_BACK  # not even the first stage is within the cap
 
 
 @pytest.mark.parametrize(
@@ -82,9 +90,9 @@
         replace(SEEN, mark=(5, 7), gone=(43, 40)),
     ],
 )
-def test_a_build_that_anybody_saw_go_back_goes_back(other):
-    one, state = concluded([SEEN, other])
-    assert state == RESUMED and one.plan.phase == GOING_BACK and 43 in one.plan.condemned
+def test_a_build_that_any_member_saw_rolled_back_is_rolled_back(other):
+    recovery, state = conclude_reports([SEEN, other])
+    assert state == RESUMED and recovery.plan.phase == GOING_BACK and 43 in recovery.plan.condemned
 
 
 @pytest.mark.parametrize(
@@ -96,35 +104,43 @@
         ([replace(SEEN, mark=(6, 1), build=42, phase=RELEASED), SEEN], "of build 42, but g1: build 43"),
     ],
 )
-def test_words_that_contradict_are_named_and_wait_for_the_operator(reports, why):
-    one, state = concluded(reports)
-    assert state == WAITING and why in one.why
-    assert one.plan.build == 43 and one.plan.cap <= min(seen.cap for seen in reports)
+def test_contradicting_reports_are_named_and_wait_for_the_operator(reports, why):
+    recovery, state = conclude_reports(reports)
+    assert state == WAITING and why in recovery.why
+    assert recovery.plan.build == 43 and recovery.plan.cap <= min(seen.cap for seen in reports)
 
 
-def test_without_journal_and_words_one_running_build_is_the_released_one_and_two_are_for_the_operator():
-    one, state = concluded([None], None, (42, 42))
-    assert state == RESUMED and (one.plan.build, one.plan.phase) == (42, RELEASED)
-    one, state = concluded([None], None, (43, 42))
-    assert state == WAITING and "[42, 43]" in one.why and (one.plan.stable, one.plan.cap) == (42, CAPS[0])
-    assert concluded([], None)[1] == CARRIED_ON
+def test_without_journal_and_reports_a_single_running_build_is_released_and_two_wait_for_the_operator():
+    recovery, state = conclude_reports([None], None, (42, 42))
+    assert state == RESUMED and (recovery.plan.build, recovery.plan.phase) == (42, RELEASED)
+    recovery, state = conclude_reports([None], None, (43, 42))
+    assert (
+        state == WAITING
+        and "[42, 43]" in recovery.why
+        and (recovery.plan.stable, recovery.plan.cap) == (42, CAPS[0])
+    )
+    assert conclude_reports([], None)[1] == CARRIED_ON
 
 
-def test_a_late_word_of_somebody_who_was_cut_off():
-    one, _ = concluded([SEEN])
-    assert one.late_state("g2", None, 43, 6) == one.late_state("g2", replace(SEEN, mark=(5, 2)), 43, 6) == ""
+def test_a_late_report_of_a_member_that_was_unreachable():
+    recovery, _ = conclude_reports([SEEN])
     assert (
-        one.late_state("g2", replace(SEEN, mark=(6, 9), build=44), 43, 6) == ""
-    )  # its own word, since it is back
+        recovery.late_state("g2", None, 43, 6)
+        == recovery.late_state("g2", replace(SEEN, mark=(5, 2)), 43, 6)
+        == ""
+    )
     assert (
-        one.late_state("g2", replace(SEEN, mark=(5, 6), build=42, phase=RELEASED, gone=(43,)), 43, 6)
+        recovery.late_state("g2", replace(SEEN, mark=(6, 9), build=44), 43, 6) == ""
+    )  # published by this desk since its restart
+    assert (
+        recovery.late_state("g2", replace(SEEN, mark=(5, 6), build=42, phase=RELEASED, gone=(43,)), 43, 6)
         == "back"
     )
-    one, _ = concluded([SEEN])
-    assert one.late_state("g2", SEEN, 43, 6) == ""
+    recovery, _ = conclude_reports([SEEN])
+    assert recovery.late_state("g2", SEEN, 43, 6) == ""
     assert (
-        one.late_state("g2", replace(SEEN, mark=(5, 9), build=44), 43, 6) == "waiting"
-        and "build 44" in one.why
+        recovery.late_state("g2", replace(SEEN, mark=(5, 9), build=44), 43, 6) == "waiting"
+        and "build 44" in recovery.why
     )
 
 
@@ -139,13 +155,13 @@
         {"mark": [1, 1], "build": 1, "stage": 0, "phase": TRIAL, "cap": None},
     ],
 )
-def test_a_word_that_makes_no_sense_is_none(bad):
+def test_a_malformed_report_is_refused(bad):
     with pytest.raises(ValueError):
         parse_seen_state(bad)
     assert parse_seen_state(None) is None
 
 
-# --- whole releases, cut at drawn moments -------------------------------------------------------------------
+# --- whole releases, cut at random moments ------------------------------------------------------------------
 
 RELEASE = ReleaseSettings(
     gate="any",
@@ -164,20 +180,21 @@
 ACTS = st.lists(st.sampled_from(["offer", "on", "on", "on", "back", "wait"]), min_size=1, max_size=25)
 
 
-class Told:
-    """A desk's stages with a platform that obeys at once; after each act, what is told, and who hears of
-    it."""
+class SimulatedDesk:
+    """The stages of a desk with a platform that executes orders at once; keeps each journal record and
+    published state.
+    """
 
     def __init__(self):
         self.stages, self.now, self.serial = ReleaseStages(RELEASE, [f"p{n}" for n in range(4)], 41), 0, 0
-        self.platform()
-        self.journal = [self.record(1)]
-        self.told = []  # every word ever told, in order
+        self.obey_orders()
+        self.journal = [self.journal_record(1)]
+        self.published = []  # every published state, in order
 
-    def record(self, epoch):
+    def journal_record(self, epoch):
         return {**self.stages.dump(), "told": [epoch, self.stages.turns]}
 
-    def platform(self):
+    def obey_orders(self):
         for place in self.stages.places:
             for build in self.stages.wanted()[place]:
                 self.stages.update_instance(self.now, f"{place}/{build}", place, build, "up")
@@ -200,10 +217,10 @@
             pass
         for _ in range(3):
             stages.tick(self.now)
-            self.platform()
-        self.journal.append(self.record(epoch))
+            self.obey_orders()
+        self.journal.append(self.journal_record(epoch))
         news = stages.news(self.now)
-        self.told.append(
+        self.published.append(
             SeenState(
                 (epoch, stages.turns),
                 news["build"],
@@ -220,33 +237,40 @@
 @given(
     ACTS, st.integers(0, 1000), st.integers(0, 1000), st.sampled_from(["lost", "cut", "rolled back"]), ACTS
 )
-def test_state_lost_at_any_moment_passes_no_cap_and_starts_no_condemned_build(acts, cut, behind, how, after):
-    """Three gateways: one heard all, one is `behind`, one has begun anew. What goes on from there offers
-    nothing above what was heard, brings nothing back that went back, and uses no mark twice."""
-    world = Told()
+def test_state_loss_at_any_moment_exceeds_no_cap_and_starts_no_condemned_build(acts, cut, behind, how, after):
+    """Three gateways: one has received everything, one is `behind`, one has just started.
+
+    The resumed desk publishes no cap above the reported ones, starts no build that was rolled back, and uses
+    no mark twice.
+    """
+    desk = SimulatedDesk()
     for what in acts:
-        world.act(what, 1)
-    reports = world.told
+        desk.act(what, 1)
+    reports = desk.published
     last = reports[-1]
     older = reports[max(0, len(reports) - 1 - behind % 3)]
-    kept = None if how == "lost" else world.journal[cut % len(world.journal)]
+    kept = None if how == "lost" else desk.journal[cut % len(desk.journal)]
     stages = ReleaseStages(
-        RELEASE, [f"p{n}" for n in range(4)], max(m.build for m in world.stages.instances.values())
+        RELEASE, [f"p{n}" for n in range(4)], max(m.build for m in desk.stages.instances.values())
     )
     if kept is not None:
-        stages.load(kept, world.now)
-    one = DeskStateRecovery(tuple(kept["told"]) if kept else None, ("g0", "g1", "g2"), CAPS, world.now, S)
+        stages.load(kept, desk.now)
+    recovery = DeskStateRecovery(tuple(kept["told"]) if kept else None, ("g0", "g1", "g2"), CAPS, desk.now, S)
     for name, seen in (("g0", last), ("g1", older), ("g2", None)):
-        one.add_state(name, seen)
-    state = one.conclude()
-    assert state in (CARRIED_ON, RESUMED), one.why
+        recovery.add_state(name, seen)
+    state = recovery.conclude()
+    assert state in (CARRIED_ON, RESUMED), recovery.why
     if state == RESUMED:
-        stages.resume(world.now, one.plan, "after a loss")
+        stages.resume(desk.now, recovery.plan, "after a loss")
     else:
         assert tuple(kept["told"]) >= last.mark
-    epoch = max(2, one.highest_epoch() + 1)
+    epoch = max(2, recovery.highest_epoch() + 1)
     lowest = min(
-        [w.cap for w in (last, older) if w.build == last.build and w.mark > (one.journal_mark or (0, 0))],
+        [
+            w.cap
+            for w in (last, older)
+            if w.build == last.build and w.mark > (recovery.journal_mark or (0, 0))
+        ],
         default=last.cap,
     )
     assert stages.build == last.build and (stages.phase == RELEASED) == (last.phase == RELEASED)
@@ -254,29 +278,29 @@
         assert stages.cap() <= lowest + 1e-9 and stages.build not in last.gone
     if last.phase in (GOING_BACK, WITHDRAWN):
         assert stages.phase in (GOING_BACK, WITHDRAWN) and stages.stable == last.stable
-    world.stages, gone = stages, set(last.gone)
-    world.platform()
-    began = len(world.told)
+    desk.stages, gone = stages, set(last.gone)
+    desk.obey_orders()
+    began = len(desk.published)
     for what in after:
-        world.act(what, epoch)
-    marks = [seen.mark for seen in world.told]
-    assert marks == sorted(marks) and all(seen.mark > last.mark for seen in world.told[began:])
-    for seen in world.told[began:]:
+        desk.act(what, epoch)
+    marks = [seen.mark for seen in desk.published]
+    assert marks == sorted(marks) and all(seen.mark > last.mark for seen in desk.published[began:])
+    for seen in desk.published[began:]:
         assert seen.build not in gone or seen.phase in (GOING_BACK, WITHDRAWN)
         gone |= set(seen.gone)
 
 
-def test_a_journal_of_the_version_before_is_read():
+def test_a_journal_of_the_previous_version_is_read():
     stages = ReleaseStages(RELEASE, ["p0"], 41)
     old = {name: value for name, value in stages.dump().items() if name not in ReleaseStages.ALSO_KEPT}
     stages.load(old, S)
     assert (stages.turns, stages.condemned) == (0, [])
 
 
-def test_what_makes_room_for_a_later_build_is_not_condemned():
-    world = Told()
+def test_a_build_superseded_by_a_later_one_is_not_condemned():
+    desk = SimulatedDesk()
     for what in ("offer", "offer"):
-        world.act(what, 1)
-    assert world.stages.condemned == [] and world.stages.build == 43
-    world.act("back", 1)
-    assert world.stages.condemned == [43]
+        desk.act(what, 1)
+    assert desk.stages.condemned == [] and desk.stages.build == 43
+    desk.act("back", 1)
+    assert desk.stages.condemned == [43]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,5 +1,6 @@
-"""Limits: the definition and the compiled form agree on drawn limits and hits; what a sheet may not say;
-leases."""
+"""Rate limits: compiled and reference implementation agree on generated input; invalid settings; the lease
+model.
+"""
 
 import os
 import sys
@@ -22,7 +23,7 @@
 
 @st.composite
 def limits(draw):
-    """Up to five, of which some lie within the first."""
+    """Up to five limits, some of them within the first."""
     out = []
     for n in range(draw(st.integers(1, 5))):
         counts, share = draw(st.sampled_from(["hits", "tries", "repeats"])), draw(st.booleans()) and n > 0
@@ -64,72 +65,72 @@
 
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(limits(), HITS)
-def test_the_compiled_form_says_what_the_definition_says(drawn, hits):
-    plain, compiled, now = ReferenceLimits(drawn), CompiledLimits(drawn), 5 * S
+def test_compiled_and_reference_limits_agree(drawn, hits):
+    reference, compiled, now = ReferenceLimits(drawn), CompiledLimits(drawn), 5 * S
     for wait, group, customer, key, again in hits:
         now += wait
         hit = HitAttributes(group, GROUPS[group], customer, key, again)
-        assert compiled.check(now, hit) == plain.check(now, hit)
+        assert compiled.check(now, hit) == reference.check(now, hit)
 
 
-def asked(limits_, hits):
-    """(let through, bounced) of hits as (when, hit)."""
+def count_verdicts(limits_, hits):
+    """(passed, rejected) of hits, given as (time, hit)."""
     compiled = CompiledLimits(limits_)
-    said = [compiled.check(at, hit).by is None for at, hit in hits]
-    return sum(said), len(said) - sum(said)
+    passes = [compiled.check(at, hit).by is None for at, hit in hits]
+    return sum(passes), len(passes) - sum(passes)
 
 
-def test_no_second_sees_more_than_rate_and_burst_and_advice_is_kept():
+def test_no_second_exceeds_rate_and_burst_and_the_advised_wait_suffices():
     limit = Limit("a", "hits", "nothing", 10_000, 5)
-    compiled, through = CompiledLimits([limit]), []
+    compiled, passed = CompiledLimits([limit]), []
     for at in range(0, 10 * S, 7_001):
         verdict = compiled.check(at, HitAttributes("look", "repeatable"))
         if verdict.by is None:
-            through.append(at)
+            passed.append(at)
         else:
             assert 0 < verdict.wait <= 100_000
             probe = CompiledLimits([limit])
             probe.levels["a"].buckets[None] = list(compiled.levels["a"].buckets[None])
             assert (
                 probe.check(at + verdict.wait, HitAttributes("look", "repeatable")).by is None
-            )  # there is room then
+            )  # the advised wait suffices
     for begin in range(0, 9 * S, S // 10):
-        assert sum(begin <= at < begin + S for at in through) <= 15
-    assert 100 <= len(through) <= 106
+        assert sum(begin <= at < begin + S for at in passed) <= 15
+    assert 100 <= len(passed) <= 106
 
 
-def test_repeats_as_a_share_of_first_tries_count_nothing_else():
+def test_retries_are_limited_to_a_share_of_first_tries():
     limit = Limit("retries", "repeats", "nothing", 0, 2, "tries", 200)
     first, again = HitAttributes("look", "repeatable"), HitAttributes("look", "repeatable", again=True)
-    through, bounced = asked([limit], [(n, again) for n in range(5)])
-    assert (through, bounced) == (2, 3)  # the burst, and no more
+    passed, bounced = count_verdicts([limit], [(n, again) for n in range(5)])
+    assert (passed, bounced) == (2, 3)  # only the burst
     hits = [(n, again if n % 2 else first) for n in range(200)]
-    through, bounced = asked([limit], hits)
-    assert 118 <= through <= 123  # all first tries, a fifth as many repeats, and the burst
+    passed, bounced = count_verdicts([limit], hits)
+    assert 118 <= passed <= 123  # all first tries, a fifth as many retries, and the burst
 
 
-def test_a_guarantee_holds_when_what_it_lies_within_is_over():
+def test_a_guarantee_holds_while_the_parent_limit_is_over():
     house = Limit("house", "hits", "nothing", 10_000, 1)
     floor = Limit("floor", "hits", "customer", 9_000, 3, within="house", least=2_000)
-    compiled, through = CompiledLimits([house, floor]), {"ann": 0, "bob": 0}
+    compiled, passed = CompiledLimits([house, floor]), {"ann": 0, "bob": 0}
     for at in range(0, 10 * S, 10_000):
         for customer, times in (("ann", 9), ("bob", 1 if at % 500_000 == 0 else 0)):
             for _ in range(times):
-                through[customer] += (
+                passed[customer] += (
                     compiled.check(at, HitAttributes("look", "repeatable", customer)).by is None
                 )
-    assert through["bob"] == 20  # all of its two a second, whatever the other one wants
-    assert 90 <= through["ann"] <= 125
+    assert passed["bob"] == 20  # its guaranteed two a second, whatever the other customer sends
+    assert 90 <= passed["ann"] <= 125
 
 
-def test_a_limit_on_trial_counts_and_bounces_nobody():
+def test_a_limit_on_trial_counts_and_rejects_nothing():
     compiled = CompiledLimits([Limit("t", "hits", "nothing", 1_000, 1, trial=True)])
     verdicts = [compiled.check(0, HitAttributes("look", "repeatable")) for _ in range(10)]
     assert all(v.by is None for v in verdicts) and sum(v.over == ("t",) for v in verdicts) == 9
     assert compiled.counts == {"t": [1, 9]}
 
 
-def test_a_hundred_thousand_values_are_kept_within_the_bound_and_on_the_strict_side():
+def test_buckets_of_many_values_stay_bounded_and_err_on_the_strict_side():
     compiled = CompiledLimits([Limit("k", "hits", "key", 1_000, 1, keys=100)])
     for n in range(100_000):
         compiled.check(n * 100, HitAttributes("look", "repeatable", key=n))
@@ -142,10 +143,11 @@
     ]
 
 
-# --- the sheet ----------------------------------------------------------------------------------------------
+# --- settings -----------------------------------------------------------------------------------------------
 
 EXAMPLE = open("examples/resale.star").read()
-FINE = """limit(name = "buys", where = where(group = "resale-buy"), by = "customer", rate = per_second(40), \
+VALID_LIMITS = """\
+limit(name = "buys", where = where(group = "resale-buy"), by = "customer", rate = per_second(40), \
 burst = 80)
 limit(name = "all", rate = per_second(900), burst = 100)
 limit(name = "floor", by = "customer", rate = per_second(500), burst = 10, within = "all", least = 0.1)
@@ -155,20 +157,21 @@
 """
 
 
-def test_a_sheet_with_limits_is_read_and_its_digest_does_not_know_their_order():
-    sheet = read_settings("x", EXAMPLE + FINE)
-    assert [limit.name for limit in sheet.limits] == ["buys", "all", "floor", "retries", "taste"]
-    assert sheet.limits[0].rate == 40_000 and sheet.limits[4].rate == 500
-    lines = FINE.splitlines()
+def test_settings_with_limits_are_read_and_their_digest_ignores_the_order():
+    deployment = read_settings("x", EXAMPLE + VALID_LIMITS)
+    assert [limit.name for limit in deployment.limits] == ["buys", "all", "floor", "retries", "taste"]
+    assert deployment.limits[0].rate == 40_000 and deployment.limits[4].rate == 500
+    lines = VALID_LIMITS.splitlines()
     other = read_settings("x", EXAMPLE + "\n".join([lines[3], lines[1], lines[2], lines[4], lines[0]]))
     assert (
-        canonical_limits(sheet.limits) == canonical_limits(other.limits) and sheet.digest() == other.digest()
+        canonical_limits(deployment.limits) == canonical_limits(other.limits)
+        and deployment.digest() == other.digest()
     )
-    assert sheet.digest() != read_settings("x", EXAMPLE + FINE.replace("(40)", "(41)")).digest()
+    assert deployment.digest() != read_settings("x", EXAMPLE + VALID_LIMITS.replace("(40)", "(41)")).digest()
 
 
 @pytest.mark.parametrize(
-    "line, said",
+    "line, expected",
     [
         ('limit(name = "a")', "either a rate or a share_of"),
         (
@@ -216,18 +219,20 @@
         ('limit(name = "a", rate = per_second(1), burst = 0)', "burst"),
     ],
 )
-def test_what_a_limit_may_not_say_is_named_with_its_line(line, said):
+def test_an_invalid_limit_is_reported_with_its_line(line, expected):
     with pytest.raises(SettingsError) as error:
         read_settings("f.star", EXAMPLE + line + "\n")
     number = len((EXAMPLE + line).splitlines())
-    assert said in str(error.value) and str(error.value).startswith(f"f.star:{number}: limit"), error.value
+    assert expected in str(error.value) and str(error.value).startswith(
+        f"f.star:{number}: limit"
+    ), error.value
 
 
 # --- leases -------------------------------------------------------------------------------------------------
 
 
-def test_no_interleaving_of_a_small_world_of_leases_passes_its_bound():
-    """Further down by hand: `bench/leases_model.py --depth 7`."""
+def test_no_interleaving_of_the_lease_model_exceeds_the_pool():
+    """A shallow search; a deeper one is run by hand: `bench/leases_model.py --depth 7`."""
     from leases_model import search
 
     for depth, apart in ((4, False), (3, True)):
@@ -246,8 +251,8 @@
         "counts from its coming",
     ],
 )
-def test_the_search_finds_what_is_broken_on_purpose(name):
-    from leases_model import BREAKS, broken
+def test_the_search_finds_each_injected_fault(name):
+    from leases_model import INJECTED_FAULTS, search_with_fault
 
-    worlds, path = broken(name, 8, most=12_000)
-    assert name in BREAKS and path is not None and " of 6" in path[-1], (worlds, path)
+    worlds, path = search_with_fault(name, 8, most=12_000)
+    assert name in INJECTED_FAULTS and path is not None and " of 6" in path[-1], (worlds, path)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a gateway, free of I/O: phases, turns, warm start, and the time to full service."""
+"""Recovery of a gateway, free of I/O: phases, rate limits, warm start, and the time to full service."""
 
 import json
 import os
@@ -53,21 +53,21 @@
         max_size=30,
     )
 )
-def test_whatever_happens_the_table_holds_and_nobody_stays_past_the_longest(events):
-    life, now, seen = PhaseMachine(0, LONGEST), 0, []
-    life.on_change = lambda before, cause: seen.append((before, cause, life.phase))
+def test_phases_follow_the_table_and_never_exceed_their_maximum_time(events):
+    machine, now, seen = PhaseMachine(0, LONGEST), 0, []
+    machine.on_change = lambda before, cause: seen.append((before, cause, machine.phase))
     for wait, what in events:
         now += wait
-        life.tick(now)
-        assert life.phase not in LONGEST or now - life.since < LONGEST[life.phase]
+        machine.tick(now)
+        assert machine.phase not in LONGEST or now - machine.since < LONGEST[machine.phase]
         if what != "tick":
-            life.apply_cause(now, what)
+            machine.apply_cause(now, what)
     assert all(TRANSITIONS[before][cause] == after for before, cause, after in seen)
-    life.tick(now + sum(LONGEST.values()))
-    assert life.phase == SETTLED
+    machine.tick(now + sum(LONGEST.values()))
+    assert machine.phase == SETTLED
 
 
-def test_rights_only_grow_on_the_way_and_only_blank_keeps_the_door_shut():
+def test_permissions_only_grow_and_only_the_blank_phase_refuses_hits():
     kept = [set(PERMISSIONS[phase]) - {"ask"} for phase in PHASE_ORDER]
     assert all(one <= other for one, other in zip(kept, kept[1:], strict=False))
     assert [phase for phase in PHASE_ORDER if ADMIT_HITS not in PERMISSIONS[phase]] == [BLANK]
@@ -75,86 +75,87 @@
     assert all(TIMED_OUT in TRANSITIONS[phase] for phase in PHASE_ORDER if phase != SETTLED)
 
 
-def test_who_stood_still_knows_only_what_was_so_and_begins_anew():
-    life = PhaseMachine(0, LONGEST)
+def test_a_stalled_gateway_returns_to_the_warming_phase():
+    machine = PhaseMachine(0, LONGEST)
     for cause in (SOURCE_KNOWN, ALL_SOURCES_KNOWN, WARM_START_DONE, CAUGHT_UP):
-        assert life.apply_cause(1, cause)
+        assert machine.apply_cause(1, cause)
     assert (
-        life.phase == SETTLED
-        and life.apply_cause(2, PROCESS_STALLED)
-        and life.phase == WARMING
-        and not life.is_allowed(VOTE_ON)
+        machine.phase == SETTLED
+        and machine.apply_cause(2, PROCESS_STALLED)
+        and machine.phase == WARMING
+        and not machine.is_allowed(VOTE_ON)
     )
-    assert not life.apply_cause(3, SOURCE_KNOWN) and life.status(5)["since_us"] == 3
+    assert not machine.apply_cause(3, SOURCE_KNOWN) and machine.status(5)["since_us"] == 3
 
 
-def test_in_step_is_a_share_of_a_whole_second_or_hardly_any_traffic():
-    step = ServiceWindow()
+def test_service_window_needs_a_full_second_of_delivered_hits_or_little_traffic():
+    window = ServiceWindow()
     for n in range(11):
-        step.record(n * 100 * MS, 10 * n, 9 * n)
-    assert not step.is_caught_up()
-    step = ServiceWindow()
+        window.record(n * 100 * MS, 10 * n, 9 * n)
+    assert not window.is_caught_up()
+    window = ServiceWindow()
     for n in range(11):
-        step.record(n * 100 * MS, 10 * n, 10 * n)
-        assert step.is_caught_up() == (n == 10)
+        window.record(n * 100 * MS, 10 * n, 10 * n)
+        assert window.is_caught_up() == (n == 10)
     quiet = ServiceWindow()
     quiet.record(0, 0, 0)
     quiet.record(S, 7, 0)
     assert quiet.is_caught_up()
 
 
-# --- the fleet's budgets ------------------------------------------------------------------------------------
+# --- rate limits --------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("count", [1, 3, 30, 200])
-def test_dials_of_all_gateways_to_one_target_stay_within_what_it_bears(count):
-    """All begin at once, want a connection at every moment and take every turn; then the target resets all of
-    them."""
+def test_dials_of_all_gateways_to_one_target_stay_within_its_rate(count):
+    """Thundering herd: all gateways start at once, want a connection at every moment and use every turn; then
+    the target resets all of them.
+    """
     rate, chance = 40.0, RandomSource(7)
     fleet = [
         DialRateLimiter(rate, lambda: count, RandomSource(chance.randbelow(1 << 30))) for _ in range(count)
     ]
     times, first = [], {}
     for now in range(0, 20 * S, 5 * MS):
-        for n, turns in enumerate(fleet):
-            if turns.try_acquire("i0", now):
+        for n, limiter in enumerate(fleet):
+            if limiter.try_acquire("i0", now):
                 times.append(now)
                 first.setdefault(n, now)
-    # of 200 drawn offsets some lie close together: the mean is the rate, a second may have a root or three
-    # more
+    # Some of 200 random offsets lie close together: the mean is the rate, but one second may exceed it by
+    # three square roots of the rate.
     assert len(times) / 20 <= rate * 1.02 and max_in_window(times) <= rate + 3 * rate**0.5
     assert len(first) == count and max(first.values()) <= count * S / rate + 5 * MS
 
 
-def test_a_turn_that_is_not_taken_at_once_is_lost():
-    turns = DialRateLimiter(10.0, lambda: 100, RandomSource(3))  # one every 10 s, for half a second
-    due = [now for now in range(0, 30 * S, 10 * MS) if turns.is_due("i0", now)]
+def test_an_unused_dial_turn_expires():
+    limiter = DialRateLimiter(10.0, lambda: 100, RandomSource(3))  # one every 10 s, for half a second
+    due = [now for now in range(0, 30 * S, 10 * MS) if limiter.is_due("i0", now)]
     assert 3 * 45 <= len(due) <= 3 * 51
     begin = due[0]
-    assert turns.try_acquire("i0", begin) and not turns.try_acquire("i0", begin + 10 * MS)
-    assert not any(turns.is_due("i0", now) for now in range(begin, begin + 9 * S, 10 * MS))
-    later = [now for now in range(begin + 9 * S, begin + 11 * S, 10 * MS) if turns.is_due("i0", now)]
-    assert later and turns.try_acquire("i0", later[-1])
-    turns.retain({"i1": 1})
-    assert turns.offsets == turns.last_used == {}
+    assert limiter.try_acquire("i0", begin) and not limiter.try_acquire("i0", begin + 10 * MS)
+    assert not any(limiter.is_due("i0", now) for now in range(begin, begin + 9 * S, 10 * MS))
+    later = [now for now in range(begin + 9 * S, begin + 11 * S, 10 * MS) if limiter.is_due("i0", now)]
+    assert later and limiter.try_acquire("i0", later[-1])
+    limiter.retain({"i1": 1})
+    assert limiter.offsets == limiter.last_used == {}
 
 
-def test_who_has_just_begun_is_reckoned_from_those_heard():
-    fresh = RecentStarts(200)
+def test_recent_starts_are_estimated_from_the_members_heard():
+    recent_starts = RecentStarts(200)
     assert (
-        fresh.count(100 * S) == 200 and fresh.member_count() == 200
-    )  # nobody heard: everybody may have begun
-    fresh.update({n: 0 for n in range(199)})
-    assert fresh.count(100 * S) == 1 and fresh.member_count() == 199
-    fresh.update({n: 0 if n < 60 else 98 * S for n in range(199)})
-    assert 130 <= fresh.count(100 * S) <= 150
-    fresh.update({1: 0, 2: 0})  # the smaller side of a split asks for no more
-    assert fresh.member_count() == 100
-    spread = StartJitter(100.0, RandomSource(1))
-    assert max(spread.draw_delay(200) for _ in range(500)) <= 2 * S and spread.draw_delay(1) <= 10 * MS
-
-
-def test_a_donor_answers_no_more_than_it_bears():
+        recent_starts.count(100 * S) == 200 and recent_starts.member_count() == 200
+    )  # nobody heard: all may have just started
+    recent_starts.update({n: 0 for n in range(199)})
+    assert recent_starts.count(100 * S) == 1 and recent_starts.member_count() == 199
+    recent_starts.update({n: 0 if n < 60 else 98 * S for n in range(199)})
+    assert 130 <= recent_starts.count(100 * S) <= 150
+    recent_starts.update({1: 0, 2: 0})  # the smaller side of a partition asks for no more
+    assert recent_starts.member_count() == 100
+    jitter = StartJitter(100.0, RandomSource(1))
+    assert max(jitter.draw_delay(200) for _ in range(500)) <= 2 * S and jitter.draw_delay(1) <= 10 * MS
+
+
+def test_a_donor_limits_its_answers():
     answers = AnswerRateLimiter(20)
     allowed = [answers.try_acquire(5 * S + n, n % 50) for n in range(200)]
     assert sum(allowed) == 20 and answers.try_acquire(6 * S, 3)
@@ -165,7 +166,7 @@
 # --- warm start ---------------------------------------------------------------------------------------------
 
 
-def test_only_what_speaks_against_an_instance_is_told_the_worst_first():
+def test_only_evidence_against_an_instance_is_sent_the_worst_first():
     rows = [(n, 1.0, 2, 0.0, 0, 0) for n in range(100)] + [
         (200, 1.0, 9, 0.0, SILENT, 0),
         (201, 4.0, 9, 0.0, 0, 0),
@@ -175,7 +176,7 @@
     assert len(notable_rows([(n, 9.0, 1, 0, 0, 0) for n in range(500)])) == MAX_ROWS
 
 
-def asked(rows_by_donor, window=12 * S, now=0):
+def warm_start_after_answers(rows_by_donor, window=12 * S, now=0):
     warm = WarmStart(window, RandomSource(1), now)
     to = warm.due_requests(now, sorted(rows_by_donor))
     for number in to:
@@ -183,15 +184,15 @@
     return warm, to
 
 
-def test_two_donors_are_asked_and_the_worse_word_holds_weighed_by_age():
+def test_two_donors_are_asked_and_the_worse_report_counts_weighted_by_age():
     a, b = start_mark("a", 1, 5), start_mark("b", 1, 5)
-    warm, to = asked(
+    warm, to = warm_start_after_answers(
         {1: [(a, 3.0, 10, 0.0, SILENT, 0), (b, 2.0, 4, 0.5, SILENT, 6 * S)], 2: [(a, 2.0, 20, 0.1, 0, 0)]}
     )
     assert sorted(to) == [1, 2] and warm.is_over(0) and warm.due_requests(1, [1, 2, 3]) == []
     assert warm.accepted_rows({a: "a", b: "b"}) == sorted(
         [
-            ("a", 3.0, 20.0, 0.1, False),  # silent to one of two: a link of that donor's
+            ("a", 3.0, 20.0, 0.1, False),  # silent to one of two donors: a broken link of that donor
             ("b", 1.5, 2.0, 0.25, False),
         ],
         key=lambda r: {"a": a, "b": b}[r[0]],
@@ -212,21 +213,23 @@
         max_size=40,
     )
 )
-def test_no_word_makes_an_instance_look_better_than_unknown(rows):
-    warm, _ = asked({1: rows, 2: rows[::2]})
-    for _, pace, load, faults, silent in warm.accepted_rows({n: f"i{n}" for n in range(10)}):
-        assert pace >= 1 and load >= 0 and 0 <= faults <= 1
+def test_no_report_makes_an_instance_look_better_than_unknown(rows):
+    warm, _ = warm_start_after_answers({1: rows, 2: rows[::2]})
+    for _, latency_ratio, load, faults, silent in warm.accepted_rows({n: f"i{n}" for n in range(10)}):
+        assert latency_ratio >= 1 and load >= 0 and 0 <= faults <= 1
         assert not silent or any(flags and age < 6 * S for _, _, _, _, flags, age in rows)
 
 
-def test_a_word_about_a_former_start_is_dropped_and_too_old_ones_and_strangers_too():
+def test_reports_on_earlier_starts_too_old_or_from_unasked_senders_are_dropped():
     old, new = start_mark("a", 1, 5), start_mark("a", 1, 6)
-    warm, _ = asked({1: [(old, 5.0, 10, 1.0, SILENT, 0), (new, 5.0, 10, 1.0, SILENT, 12 * S)]})
+    warm, _ = warm_start_after_answers(
+        {1: [(old, 5.0, 10, 1.0, SILENT, 0), (new, 5.0, 10, 1.0, SILENT, 12 * S)]}
+    )
     warm.apply_answer(7, [(new, 5.0, 1, 1.0, 1, 0)])
     assert warm.accepted_rows({new: "a"}) == [] and warm.counts["stale"] == 2
 
 
-def test_where_no_donor_is_nobody_waits_for_one_and_a_dead_one_is_replaced():
+def test_without_donors_nothing_waits_and_a_failed_donor_is_replaced():
     warm = WarmStart(S, RandomSource(1), 0)
     assert warm.due_requests(0, []) == [] and not warm.is_over(S - 1) and warm.is_over(S)
     warm = WarmStart(S, RandomSource(1), 0)
@@ -236,17 +239,17 @@
     assert len(first) == 2 and sorted(again) == left
 
 
-def test_the_module_takes_a_word_only_of_what_it_has_not_met_itself():
+def test_decisions_accept_reports_only_on_instances_not_observed_themselves():
     bench = Bench(OLD)
     bench.hit()
     bench.host.now += 50 * MS
-    met = bench.host.open[0][3]
+    known_id = bench.host.open[0][3]
     bench.end(bench.host.open[0])
-    others = [r["id"] for r in OLD if r["id"] != met]
+    others = [r["id"] for r in OLD if r["id"] != known_id]
     bench.gateway.on_recalled(
         bench.host.now,
         [
-            (met, 9.0, 50, 0.9, True),
+            (known_id, 9.0, 50, 0.9, True),
             (others[0], 9.0, 0, 0.0, False),
             (others[1], 1.0, 0, 0.0, True),
             ("gone", 2.0, 1, 1, True),
@@ -254,7 +257,7 @@
         [],
     )
     by_id = bench.gateway.fleet.by_id
-    assert by_id[met].latency_ratio < 2 and by_id[met].ejected_until == 0
+    assert by_id[known_id].latency_ratio < 2 and by_id[known_id].ejected_until == 0
     assert by_id[others[0]].latency_ratio == 9.0 and by_id[others[1]].ejected_until > bench.host.now
     for _ in range(8):
         bench.hit()
@@ -262,18 +265,19 @@
     assert others[0] not in used and others[1] not in used and len(used) == 8
 
 
-def test_keys_that_stay_come_back_only_for_the_build_that_is_newest_now():
+def test_sticky_keys_are_restored_only_for_the_newest_build():
     bench = Bench(OLD + NEW, news=(2, 0, "trial", 0.5), keys_stay=True)
     bench.gateway.on_recalled(0, [], [(7, 2), (8, 1), (9, 3)])
     assert {key: build.number for key, build in bench.gateway.kept_keys.items()} == {7: 2}
 
 
-def test_a_gateway_that_begins_again_and_again_carries_a_trial_no_further_than_its_cap():
-    """Each start had two hits free; one that fell over every 300 ms sent a third of them all to a build with
-    a cap of a twentieth."""
+def test_a_gateway_in_a_restart_loop_stays_within_the_cap_of_a_trial():
+    """Each start once granted two free hits: a gateway that crashed every 300 ms sent a third of all hits to
+    a build with a cap of a twentieth.
+    """
     sent = taken = 0
-    for life in range(20):
-        bench = Bench(OLD + NEW, seed=life, news=(2, 0, "trial", 0.05), stage_caps=[0.05, 1.0])
+    for seed in range(20):
+        bench = Bench(OLD + NEW, seed=seed, news=(2, 0, "trial", 0.05), stage_caps=[0.05, 1.0])
         for _ in range(10):
             bench.host.now += 30 * MS
             bench.hit()
@@ -284,10 +288,10 @@
     assert sent <= 0.05 * taken + 2 and taken == 200
 
 
-# --- the measure --------------------------------------------------------------------------------------------
+# --- time to full service -----------------------------------------------------------------------------------
 
 
-def test_full_service_is_a_second_like_before_with_everybody_settled():
+def test_full_service_needs_the_earlier_share_and_all_gateways_settled():
     hits = [(at, not 10 * S <= at < 12 * S) for at in range(0, 20 * S, 10 * MS)]
     assert time_to_full_service(hits, 10 * S, 20 * S, 11 * S) == pytest.approx(2.95 * S, abs=0.11 * S)
     assert time_to_full_service(hits, 10 * S, 20 * S, 16 * S) == 6 * S
@@ -296,16 +300,16 @@
     assert max_in_window([0, 1, S - 1, S, 3 * S]) == 3
 
 
-def test_the_sheet_says_what_makes_no_sense():
+def test_invalid_recovery_settings_are_refused():
     from cobaltpond.settings import SettingsError, read_settings
 
     text = open("examples/resale.star").read()
     assert (
         read_settings("x", text).recovery is None and not read_settings("x", text).policy_settings(0)["paced"]
     )
-    sheet = read_settings("x", text + "recovery(dials = 30.0, calls = 100.0)\n")
-    assert sheet.policy_settings(0)["paced"] and sheet.recovery.warm
-    assert json.loads(json.dumps(sheet.policy_settings(0)))["paced"]
+    deployment = read_settings("x", text + "recovery(dials = 30.0, calls = 100.0)\n")
+    assert deployment.policy_settings(0)["paced"] and deployment.recovery.warm
+    assert json.loads(json.dumps(deployment.policy_settings(0)))["paced"]
     for bad, why in (
         ("dials = 0.01", "dials below 0.1"),
         ("calls = 0.05", "calls below 0.1"),
@@ -315,9 +319,10 @@
             read_settings("x", text + f"recovery({bad})\n")
 
 
-def test_an_instance_that_is_not_our_turn_gets_no_forward():
-    """Dials are paced by the host; the module narrows its choice, and holds or bounces where nothing is
-    left."""
+def test_an_instance_without_a_dial_turn_gets_no_forward():
+    """The host limits dials; the decisions choose among reachable instances, and hold or reject the hit if
+    there is none.
+    """
     bench = Bench([row("a"), row("b")], paced=True)
     bench.host.is_reachable = lambda id: id == "b"
     for _ in range(3):
@@ -329,20 +334,24 @@
     assert len(bench.host.named("reject_hit")) == 1
 
 
-def test_a_forward_that_is_called_off_before_it_asks_keeps_its_connection_from_nobody():
-    """Found by reading: its promise stayed, and the instance was reached only by turns from then on."""
+def test_the_reservation_of_a_cancelled_forward_expires():
+    """A forward that was cancelled before it connected left its reservation behind, and from then on the
+    instance was reachable only in dial turns. Found by reading the code.
+    """
     from types import SimpleNamespace
 
     from cobaltpond.gateway.endpoints import RESERVATION_TIME, EndpointPool, InstanceEndpoint
 
     loop = SimpleNamespace(clock=S)
     loop.now = lambda: loop.clock
-    places = EndpointPool(loop, SimpleNamespace(rest_time=0, idle_time=15 * S))
-    places.dial_limiter = SimpleNamespace(is_due=lambda name, now: False, try_acquire=lambda name, now: False)
-    place = InstanceEndpoint({"id": "i0"}, ("127.0.0.1", 1))
-    place.idle.append((object(), 0))
-    assert places.is_reachable(place)
-    places.reserve(place)
-    assert not places.is_reachable(place)  # it is on its way to the one that is kept
+    endpoints = EndpointPool(loop, SimpleNamespace(rest_time=0, idle_time=15 * S))
+    endpoints.dial_limiter = SimpleNamespace(
+        is_due=lambda name, now: False, try_acquire=lambda name, now: False
+    )
+    endpoint = InstanceEndpoint({"id": "i0"}, ("127.0.0.1", 1))
+    endpoint.idle.append((object(), 0))
+    assert endpoints.is_reachable(endpoint)
+    endpoints.reserve(endpoint)
+    assert not endpoints.is_reachable(endpoint)  # the reserved forward uses the idle connection
     loop.clock += RESERVATION_TIME + 1
-    assert places.is_reachable(place)
+    assert endpoints.is_reachable(endpoint)
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the whole fleet between real gateway processes, and limits at one door."""
+"""Limits of the whole fleet between real gateway processes, and limits at one gateway."""
 
 import json
 
@@ -11,132 +11,131 @@
 from cobaltpond.wire import http1
 
 RATE = 30
-MORE = f'limit(name = "house", rate = per_second({RATE}), burst = 3, scope = "fleet")'
-OWN = RATE / 5 / 3  # of a gateway that has nothing lent
+FLEET_LIMIT = f'limit(name = "house", rate = per_second({RATE}), burst = 3, scope = "fleet")'
+OWN_RATE = RATE / 5 / 3  # rate of a gateway without leases
 
 
 def rig(tmp_path, count=3, **rest):
-    one = Rig(tmp_path, count, more="", **rest)
-    sheet = one.settings_path
-    one.let_through = []  # when a hit was served, and where
+    cluster = Rig(tmp_path, count, more="", **rest)
+    settings_path = cluster.settings_path
+    cluster.let_through = []  # (time, gateway) of each served hit
 
     def with_limit(n):
-        """Below the call of members, which a limit of the fleet needs."""
-        path = sheet(n)
-        text = one.loop.kernel.read_file(path).decode()
-        one.loop.kernel.replace_file(path, (text + "\n" + MORE).encode(), sync=False)
+        """Appends the limit below the call of `members`, which a limit of the fleet needs."""
+        path = settings_path(n)
+        text = cluster.loop.kernel.read_file(path).decode()
+        cluster.loop.kernel.replace_file(path, (text + "\n" + FLEET_LIMIT).encode(), sync=False)
         return path
 
-    one.settings_path = with_limit
+    cluster.settings_path = with_limit
     for n in range(2):
-        one.instance(f"old-{n}", 1)
-    return one
+        cluster.instance(f"old-{n}", 1)
+    return cluster
 
 
-def knocking(one, n, every):
-    """Hits at one door, whatever becomes of them."""
+def send_hits_forever(cluster, n, every):
+    """Sends hits to one gateway, whatever their results."""
     while True:
-        status, _ = yield from one.get(n, "/look")
+        status, _ = yield from cluster.get(n, "/look")
         if status == 200:
-            one.let_through.append((one.loop.kernel.now(), n))
+            cluster.let_through.append((cluster.loop.kernel.now(), n))
         yield Sleep(every)
 
 
-def lent(one, n):
-    status = yield from one.status(n)
+def lent_rate(cluster, n):
+    status = yield from cluster.status(n)
     return status["limited"]["leases"]["lent"] / 1000 if status else 0
 
 
-def until_lent(one, n, least, bound=15 * SECOND):
+def wait_until_lent(cluster, n, least, bound=15 * SECOND):
     def enough():
-        return (yield from lent(one, n)) >= least
+        return (yield from lent_rate(cluster, n)) >= least
 
-    yield from one.until(enough, bound)
+    yield from cluster.until(enough, bound)
 
 
-def served(one, begin, end, at=None):
-    return sum(begin <= when < end and at in (None, n) for when, n in one.let_through)
+def served(cluster, begin, end, at=None):
+    return sum(begin <= when < end and at in (None, n) for when, n in cluster.let_through)
 
 
-def test_the_gateway_with_all_the_traffic_is_lent_most_of_it_and_the_fleet_never_has_more(tmp_path):
-    one = rig(tmp_path)
+def test_the_busiest_gateway_is_lent_most_of_a_limit_that_the_fleet_never_exceeds(tmp_path):
+    cluster = rig(tmp_path)
 
     def go():
-        yield from one.gathered()
+        yield from cluster.gathered()
         for _ in range(3):
-            one.loop.spawn(knocking(one, 0, 10 * MS), "knocking")
-        yield from until_lent(one, 0, RATE * 0.6)
-        begin = one.loop.kernel.now()
+            cluster.loop.spawn(send_hits_forever(cluster, 0, 10 * MS), "knocking")
+        yield from wait_until_lent(cluster, 0, RATE * 0.6)
+        begin = cluster.loop.kernel.now()
         yield Sleep(3 * SECOND)
-        hot = served(one, begin, begin + 3 * SECOND) / 3
+        hot = served(cluster, begin, begin + 3 * SECOND) / 3
         for n in (1, 2):
             for _ in range(2):
-                one.loop.spawn(knocking(one, n, 10 * MS), "knocking")
+                cluster.loop.spawn(send_hits_forever(cluster, n, 10 * MS), "knocking")
         yield Sleep(6 * SECOND)
-        begin = one.loop.kernel.now()
+        begin = cluster.loop.kernel.now()
         yield Sleep(3 * SECOND)
-        return hot, [served(one, begin, begin + 3 * SECOND, n) / 3 for n in range(3)]
+        return hot, [served(cluster, begin, begin + 3 * SECOND, n) / 3 for n in range(3)]
 
-    hot, each = one.run(go(), 90 * SECOND)
-    assert RATE * 0.6 <= hot <= RATE * 1.1  # a fixed share would be a third
-    assert sum(each) <= RATE * 1.1 and min(each) >= OWN * 0.8, each
-    # in no second more than the allowance, and each gateway's burst
-    assert max_in_window([when for when, _ in one.let_through]) <= RATE * 1.1 + 3 * 3
+    hot, each = cluster.run(go(), 90 * SECOND)
+    assert RATE * 0.6 <= hot <= RATE * 1.1  # a fixed share would give a third
+    assert sum(each) <= RATE * 1.1 and min(each) >= OWN_RATE * 0.8, each
+    # No second exceeds the allowance plus the burst of each gateway.
+    assert max_in_window([when for when, _ in cluster.let_through]) <= RATE * 1.1 + 3 * 3
 
 
 @pytest.mark.parametrize("how", ["KILL", "STOP", "cut"])
-def test_an_owner_that_dies_stops_or_is_cut_off_is_followed_by_another_and_nothing_is_lent_twice(
-    tmp_path, how
-):
-    one = rig(tmp_path)
+def test_a_failed_owner_is_replaced_and_nothing_is_lent_twice(tmp_path, how):
+    cluster = rig(tmp_path)
 
     def owner():
         for n in range(3):
-            status = yield from one.status(n)
+            status = yield from cluster.status(n)
             if status["limited"]["leases"]["out"]:
                 return n
-        raise AssertionError("nobody owns it")
+        raise AssertionError("no owner has granted a lease")
 
     def go():
-        yield from one.gathered()
+        yield from cluster.gathered()
         for n in range(3):
-            one.loop.spawn(knocking(one, n, 10 * MS), "knocking")
+            cluster.loop.spawn(send_hits_forever(cluster, n, 10 * MS), "knocking")
         for n in range(3):
-            yield from until_lent(one, n, 1)
+            yield from wait_until_lent(cluster, n, 1)
         first = yield from owner()
         others = [n for n in range(3) if n != first]
-        begin = one.loop.kernel.now()
+        begin = cluster.loop.kernel.now()
         if how == "cut":
-            one.between([first], others, cut=True)
+            cluster.between([first], others, cut=True)
         else:
-            one.signal(how, first)
-        yield from one.until_seen("failed", [first], others)
+            cluster.signal(how, first)
+        yield from cluster.until_seen("failed", [first], others)
         for n in others:
-            yield from until_lent(one, n, 1)  # another one has taken it up
+            yield from wait_until_lent(cluster, n, 1)  # another owner lends
         if how == "cut":
-            one.between([first], others, cut=False)
+            cluster.between([first], others, cut=False)
         elif how == "STOP":
-            one.signal("CONT", first)
+            cluster.signal("CONT", first)
         yield Sleep(4 * SECOND)
         return begin
 
-    begin = one.run(go(), 90 * SECOND)
-    times = [when for when, _ in one.let_through if when >= begin]
+    begin = cluster.run(go(), 90 * SECOND)
+    times = [when for when, _ in cluster.let_through if when >= begin]
     assert max_in_window(times) <= RATE * 1.1 + 3 * 3
     assert max_in_window(times, 4 * SECOND) <= 4 * RATE * 1.1 + 3 * 3
 
 
-# --- at one door --------------------------------------------------------------------------------------------
+# --- at one gateway -----------------------------------------------------------------------------------------
 
-ONE = """limit(name = "buys", where = where(group = "pay"), by = "customer", rate = per_second(2), burst = 2)
+GATEWAY_LIMITS = """\
+limit(name = "buys", where = where(group = "pay"), by = "customer", rate = per_second(2), burst = 2)
 limit(name = "repeats", counts = "repeats", share_of = "tries", most = 0.5, over = bounce(advice = False))
 limit(name = "looks", where = where(group = "look"), rate = per_second(1), trial = True)
 """
 ANN, BOB = [(b"cobaltpond-customer", b"ann")], [(b"cobaltpond-customer", b"bob")]
 
 
-def test_a_hit_over_a_limit_is_bounced_before_the_decisions_hear_of_it_and_its_connection_goes_on():
-    world = World(good, more=ONE)
+def test_a_hit_over_a_limit_is_rejected_before_the_decisions_and_keeps_its_connection():
+    world = World(good, more=GATEWAY_LIMITS)
 
     def go():
         connection = yield from world.connect()
@@ -149,14 +148,14 @@
     got = world.run(go())
     assert [status for status, _, _ in got] == [200, 200, 429, 200, 200]
     _, head, body = got[2]
-    told = json.loads(body)
-    assert told["limit"] == "buys" and 0 < told["retry_after_ms"] <= 500 and told["retry_harmless"]
+    problem = json.loads(body)
+    assert problem["limit"] == "buys" and 0 < problem["retry_after_ms"] <= 500 and problem["retry_harmless"]
     assert head.get(b"cobaltpond-retry") == b"harmless" and head.get(b"retry-after") == b"1"
     assert len(world.got) == 4 and world.process.host.taken == 4 and hits(world)["limited"] == 1
 
 
-def test_repeats_are_a_share_of_first_tries_and_a_limit_on_trial_bounces_nobody():
-    world = World(good, more=ONE)
+def test_retries_over_their_share_are_rejected_and_a_limit_on_trial_rejects_nothing():
+    world = World(good, more=GATEWAY_LIMITS)
     again = [(b"cobaltpond-try", b"1")]
 
     def go():
@@ -167,7 +166,7 @@
 
     got = world.run(go())
     assert [status for status, _, _ in got] == [200, 200, 200, 429, 429]
-    assert "retry_after_ms" not in json.loads(got[3][2])  # nothing that waiting would bring
+    assert "retry_after_ms" not in json.loads(got[3][2])  # waiting would not help
     counts = world.process.frontend.admission_limits.status()["limits"]
     assert counts["repeats"] == {"let_through": 1, "over": 2} and counts["looks"]["over"] >= 2
     assert any(
@@ -176,8 +175,8 @@
     )
 
 
-def test_who_expects_a_go_ahead_gets_the_bounce_in_its_place_and_a_close():
-    world = World(good, more=ONE)
+def test_a_client_that_expects_100_continue_gets_the_rejection_and_a_close():
+    world = World(good, more=GATEWAY_LIMITS)
 
     def go():
         for _ in range(2):
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of what a gateway has learned: written, read, and refused where torn or too old."""
+"""Snapshots of what a gateway has learned: written, read, and refused if truncated, corrupt or too old."""
 
 import os
 
@@ -15,67 +15,71 @@
 KEYS = [[n, 2] for n in range(1200)]
 
 
-def file_of(head=HEAD, rows=ROWS, keys=KEYS):
+def snapshot_bytes(head=HEAD, rows=ROWS, keys=KEYS):
     return b"".join(snapshot.snapshot_lines(head, rows, keys))
 
 
-def taken(data, **more):
+def parse(data, **overrides):
     return snapshot.parse_snapshot(
-        data, **{"number": 3, "settings": 77, "wall": 101 * S, "max_age": 10 * S, **more}
+        data, **{"number": 3, "settings": 77, "wall": 101 * S, "max_age": 10 * S, **overrides}
     )
 
 
-def test_a_snapshot_is_read_as_it_was_written_and_weighed_by_its_age():
-    told = taken(file_of())
-    assert len(told["rows"]) == 60 and told["keys"][-1] == (1199, 2) and told["weight"] == pytest.approx(0.9)
-    snapshot.check_list_epoch(told["head"], "e")
+def test_a_snapshot_is_read_as_written_and_weighted_by_its_age():
+    content = parse(snapshot_bytes())
+    assert (
+        len(content["rows"]) == 60
+        and content["keys"][-1] == (1199, 2)
+        and content["weight"] == pytest.approx(0.9)
+    )
+    snapshot.check_list_epoch(content["head"], "e")
     listed = {"i7": (1, 5), "i8": (2, 5), "i9": (1, 6), "i50": (1, 5)}
-    about = pytest.approx
-    assert snapshot.accepted_rows(told, listed) == [
-        ("i7", about(1.63), about(6.3), about(0.063), True),
-        ("i50", about(5.5), about(45), about(0.45), False),
+    approx = pytest.approx
+    assert snapshot.accepted_rows(content, listed) == [
+        ("i7", approx(1.63), approx(6.3), approx(0.063), True),
+        ("i50", approx(5.5), approx(45), approx(0.45), False),
     ]
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(st.integers(0, 1 << 20), st.integers(0, 255))
-def test_a_snapshot_torn_or_flipped_anywhere_is_refused_whole(at, byte):
-    data = file_of(rows=ROWS[:5], keys=KEYS[:5])
+def test_a_truncated_or_corrupted_snapshot_is_refused_completely(at, byte):
+    data = snapshot_bytes(rows=ROWS[:5], keys=KEYS[:5])
     at %= len(data)
     for bad in (data[:at], data[:at] + bytes([byte]) + data[at + 1 :]):
         if bad == data:
             continue
         with pytest.raises(snapshot.SnapshotError, match="torn"):
-            taken(bad)
+            parse(bad)
 
 
 @pytest.mark.parametrize(
-    "data, more, why",
+    "data, overrides, reason",
     [
         (None, {}, "no snapshot file"),
         (b"x" * (snapshot.MAX_BYTES + 1), {}, "exceed the size limit"),
-        (file_of(), {"number": 4}, "of gateway 3, not 4"),
-        (file_of(), {"settings": 78}, "other settings"),
-        (file_of(), {"wall": 99 * S}, "1000 ms in the future"),
-        (file_of(), {"wall": 110 * S}, "10000 ms old"),
-        (file_of({**HEAD, "wall": "x"}), {}, "malformed"),
-        (file_of(rows=[["i1", 1, 5]]), {}, "malformed"),
-        (file_of({**HEAD, "format": 9}), {}, None),
+        (snapshot_bytes(), {"number": 4}, "of gateway 3, not 4"),
+        (snapshot_bytes(), {"settings": 78}, "other settings"),
+        (snapshot_bytes(), {"wall": 99 * S}, "1000 ms in the future"),
+        (snapshot_bytes(), {"wall": 110 * S}, "10000 ms old"),
+        (snapshot_bytes({**HEAD, "wall": "x"}), {}, "malformed"),
+        (snapshot_bytes(rows=[["i1", 1, 5]]), {}, "malformed"),
+        (snapshot_bytes({**HEAD, "format": 9}), {}, None),
     ],
 )
-def test_each_reason_to_refuse_a_snapshot_is_named(data, more, why):
-    if why is None:  # the format is the writer's own word, whatever the head says
-        assert taken(data)["head"]["format"] == snapshot.FORMAT
-        data, why = data.replace(b'"format":1', b'"format":2'), "torn"
-    with pytest.raises(snapshot.SnapshotError, match=why):
-        taken(data, **more)
+def test_each_reason_to_refuse_a_snapshot_is_reported(data, overrides, reason):
+    if reason is None:  # the writer sets the format, whatever the head holds
+        assert parse(data)["head"]["format"] == snapshot.FORMAT
+        data, reason = data.replace(b'"format":1', b'"format":2'), "torn"
+    with pytest.raises(snapshot.SnapshotError, match=reason):
+        parse(data, **overrides)
 
 
-def test_a_later_format_and_another_list_are_refused(monkeypatch):
+def test_a_later_format_and_another_list_epoch_are_refused(monkeypatch):
     monkeypatch.setattr(snapshot, "FORMAT", 2)
-    data = file_of()
+    data = snapshot_bytes()
     monkeypatch.undo()
     with pytest.raises(snapshot.SnapshotError, match="of format 2, not 1"):
-        taken(data)
+        parse(data)
     with pytest.raises(snapshot.SnapshotError, match="of list 'e', not 'f'"):
-        snapshot.check_list_epoch(taken(file_of())["head"], "f")
+        snapshot.check_list_epoch(parse(snapshot_bytes())["head"], "f")
