--- a/cobaltpond/recovery/desk_state.py
+++ b/cobaltpond/recovery/desk_state.py
@@ -69,7 +69,7 @@
             tuple(gone),
         )
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no word of what was seen: {error!r}") from None
+        raise ValueError(f"malformed seen state: {error!r}") from None
 
 
 @dataclass(frozen=True)
@@ -156,15 +156,17 @@
         builds = sorted(set(running))
         if self.journal_mark is None and len(builds) == 1:
             return self.resolve(
-                RESUMED, ResumePlan(builds[0], 0, RELEASED, None), "nobody knows of a release; one build runs"
+                RESUMED,
+                ResumePlan(builds[0], 0, RELEASED, None),
+                "no member knows of a release; one build runs",
             )
         if self.journal_mark is None and builds:
             return self.resolve(
                 WAITING,
                 ResumePlan(builds[-1], 0, TRIAL, builds[0], (), self.caps[0]),
-                f"nobody knows of a release, and builds {builds} run",
+                f"no member knows of a release, and builds {builds} run",
             )
-        return self.resolve(CARRIED_ON, None, "nobody has seen more than the journal holds")
+        return self.resolve(CARRIED_ON, None, "no report is newer than the journal")
 
     def evaluate_newer(self, newer_reports: dict) -> str:
         """Resumes from the reports at the newest mark, or waits for the operator if reports contradict."""
@@ -185,7 +187,7 @@
             return self.resolve(
                 WAITING,
                 self.contested_plan(newer_reports),
-                f"at one mark {list(newest_mark)} {self.describe(newest_reports)}",
+                f"reports contradict at mark {list(newest_mark)}: {self.describe(newest_reports)}",
             )
         newest_state = next(iter(newest_reports.values()))
         later_builds = {
@@ -204,12 +206,12 @@
             return self.resolve(
                 WAITING,
                 self.contested_plan(newer_reports),
-                f"builds {stable_builds} are called the one to return to",
+                f"builds {stable_builds} are each reported as the stable one",
             )
         return self.resolve(
             RESUMED,
             self.safest_plan(newest_state, stable_builds[0] if stable_builds else None, gone, newer_reports),
-            f"{len(newer_reports)} have seen more than the journal holds, up to {list(newest_mark)}",
+            f"{len(newer_reports)} reports are newer than the journal, up to mark {list(newest_mark)}",
         )
 
     def safest_plan(
@@ -295,6 +297,6 @@
         self.resolve(
             WAITING,
             self.contested_plan({reporter: seen}),
-            f"late, with mark {list(seen.mark)}, {self.describe({reporter: seen})}",
+            f"late report with mark {list(seen.mark)}: {self.describe({reporter: seen})}",
         )
         return WAITING
--- a/tests/test_desk_state.py
+++ b/tests/test_desk_state.py
@@ -27,12 +27,12 @@
 SEEN = SeenState((5, 7), 43, 1, TRIAL, 0.6, 42, ())
 
 
-def new_recovery(published=(5, 3), expected=("g0", "g1", "g2")):
-    return DeskStateRecovery(published, expected, CAPS, 0, 2 * S)
+def new_recovery(journal_mark=(5, 3), expected=("g0", "g1", "g2")):
+    return DeskStateRecovery(journal_mark, expected, CAPS, 0, 2 * S)
 
 
-def conclude_reports(reports, published=(5, 3), running=()):
-    recovery = new_recovery(published)
+def conclude_reports(reports, journal_mark=(5, 3), running=()):
+    recovery = new_recovery(journal_mark)
     for n, seen in enumerate(reports):
         recovery.add_state(f"g{n}", seen)
     return recovery, recovery.conclude(running)
@@ -100,7 +100,7 @@
     [
         ([SEEN, replace(SEEN, stage=2)], "g1: build 43 stage 2 trial"),
         ([SEEN, replace(SEEN, phase=RELEASED)], "released"),
-        ([SEEN, replace(SEEN, stable=41)], "the one to return to"),
+        ([SEEN, replace(SEEN, stable=41)], "[41, 42] are each reported as the stable one"),
         ([replace(SEEN, mark=(6, 1), build=42, phase=RELEASED), SEEN], "of build 42, but g1: build 43"),
     ],
 )
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -64,14 +64,14 @@
     def go():
         yield from cluster.gathered()
         for _ in range(3):
-            cluster.loop.spawn(send_hits_forever(cluster, 0, 10 * MS), "knocking")
+            cluster.loop.spawn(send_hits_forever(cluster, 0, 10 * MS), "hits")
         yield from wait_until_lent(cluster, 0, RATE * 0.6)
         begin = cluster.loop.kernel.now()
         yield Sleep(3 * SECOND)
         hot = served(cluster, begin, begin + 3 * SECOND) / 3
         for n in (1, 2):
             for _ in range(2):
-                cluster.loop.spawn(send_hits_forever(cluster, n, 10 * MS), "knocking")
+                cluster.loop.spawn(send_hits_forever(cluster, n, 10 * MS), "hits")
         yield Sleep(6 * SECOND)
         begin = cluster.loop.kernel.now()
         yield Sleep(3 * SECOND)
@@ -98,7 +98,7 @@
     def go():
         yield from cluster.gathered()
         for n in range(3):
-            cluster.loop.spawn(send_hits_forever(cluster, n, 10 * MS), "knocking")
+            cluster.loop.spawn(send_hits_forever(cluster, n, 10 * MS), "hits")
         for n in range(3):
             yield from wait_until_lent(cluster, n, 1)
         first = yield from owner()
