--- a/cobaltpond/recovery/desk_state.py
+++ b/cobaltpond/recovery/desk_state.py
@@ -217,10 +217,10 @@
     def safest_plan(
         self, newest_state: SeenState, stable: int | None, gone: list, newer_reports: dict
     ) -> ResumePlan:
-        """The plan with no cap above the lowest reported one for that build, and no stage above what this cap
-        allows.
+        """The plan with no cap above the lowest reported one for that build.
 
-        A build that any member saw being rolled back is rolled back.
+        Its stage is not above what this cap allows. A build that any member saw being rolled back is rolled
+        back.
         """
         lowest_cap = min(
             [seen.cap for seen in newer_reports.values() if seen.build == newest_state.build],
@@ -238,8 +238,10 @@
         )
 
     def contested_plan(self, newer_reports: dict) -> ResumePlan:
-        """What is published while the desk waits for the operator: the newest build on trial, at the lowest
-        cap that was reported for any build, or 0 if a report has it rolled back.
+        """What is published while the desk waits for the operator: the newest build on trial.
+
+        Its cap is the lowest that was reported for any build, or 0 if a report is of a rollback or saw this
+        build being rolled back.
         """
         build = max(seen.build for seen in newer_reports.values())
         rolled_back = any(
--- a/cobaltpond/recovery/list_reconciliation.py
+++ b/cobaltpond/recovery/list_reconciliation.py
@@ -40,13 +40,13 @@
         list but still answer are kept for `DOUBT_TIME_US` if they are at least `MIN_MISSING_SHARE` of those
         that were up.
         """
-        obeyed_rows = []
+        applied_rows = []
         for row in rows:
             known_state = self.ended_starts.get((row["id"], row.get("start")))
             if known_state is not None and STATES.index(known_state) > STATES.index(row["state"]):
                 self.counts["not brought back"] += 1
                 row = {**row, "state": known_state}
-            obeyed_rows.append(row)
+            applied_rows.append(row)
         listed = {row["id"] for row in rows}
         up_ids = [id for id, row in current_rows.items() if row["state"] == "up"]
         missing = {id: current_rows[id] for id in up_ids if id not in listed and self.is_answering(id, now)}
@@ -54,10 +54,10 @@
             self.counts["doubted"] += 1
             self.counts["kept"] += len(missing)
             self.missing, self.doubt_deadline = missing, now + DOUBT_TIME_US
-            obeyed_rows += missing.values()
+            applied_rows += missing.values()
         else:
             self.missing, self.doubt_deadline = {}, None
-        return obeyed_rows
+        return applied_rows
 
     def apply_change(self, rows) -> None:
         """Ends the doubt about each instance that the list names again."""
--- a/tests/test_desk_state.py
+++ b/tests/test_desk_state.py
@@ -181,9 +181,7 @@
 
 
 class SimulatedDesk:
-    """The stages of a desk with a platform that executes orders at once; keeps each journal record and
-    published state.
-    """
+    """The stages of a desk with a platform that executes orders at once; keeps all that was published."""
 
     def __init__(self):
         self.stages, self.now, self.serial = ReleaseStages(RELEASE, [f"p{n}" for n in range(4)], 41), 0, 0
