--- a/cobaltpond/gateway/__init__.py
+++ b/cobaltpond/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The running gateway: a door for clients, connections to instances, and the host of the decisions."""
+"""The gateway process: the frontend for clients, the instance connections, and the host of the decisions."""
--- a/cobaltpond/gateway/body_buffer.py
+++ b/cobaltpond/gateway/body_buffer.py
@@ -1,72 +1,88 @@
-"""The body of a hit: kept up to a bound so that it can be sent again, streamed beyond it."""
+"""Buffers a request body: small bodies are kept for another forward, larger ones are streamed once."""
 
 from cobaltpond.loop import Event
 
 
 class BodyDiscardedError(Exception):
-    """The beginning was not kept: it cannot be sent again."""
+    """The beginning of the body is no longer buffered, so it cannot be sent again."""
 
 
 class BodyTruncatedError(Exception):
-    """The client left in the middle of its body."""
+    """The client disconnected before the end of its body."""
 
 
 class BodyBuffer:
-    def __init__(self, hold: int):
-        self.hold, self.chunks, self.buffered_bytes, self.start = (
-            hold,
+    """The body of one request, written by the frontend and read by one forward at a time.
+
+    Up to `max_bytes` are kept, so that another forward can read the body from its beginning. Beyond that the
+    body is streamed: chunks are discarded once they are read, and the body cannot be sent again.
+    """
+
+    def __init__(self, max_bytes: int):
+        self.max_bytes, self.chunks, self.buffered_bytes, self.first_chunk = (
+            max_bytes,
             [],
             0,
             0,
-        )  # start: number of the first chunk kept
-        self.ended, self.cut, self.streaming, self.readers = False, False, False, 0
+        )  # first_chunk: the number of the first chunk that is still buffered
+        self.ended, self.truncated, self.streaming, self.readers = False, False, False, 0
         self.data_added, self.data_removed = Event(), Event()
 
     def write(self, data: bytes):
-        """Waits while more than `hold` bytes lie unread: back-pressure on the client."""
-        while self.buffered_bytes > self.hold and not self.cut:
+        """Appends a chunk.
+
+        Waits while more than `max_bytes` are unread, which is back-pressure on the client.
+        """
+        while self.buffered_bytes > self.max_bytes and not self.truncated:
             yield self.data_removed
         self.chunks.append(data)
         self.buffered_bytes += len(data)
-        if self.buffered_bytes > self.hold:
+        if self.buffered_bytes > self.max_bytes:
             self.streaming = True
-            self.drop_read()
+            self.discard_read_chunks()
         self.data_added.set()
 
-    def finish(self, cut: bool = False) -> None:
-        self.ended, self.cut = not cut, cut
+    def finish(self, truncated: bool = False) -> None:
+        """Marks the end of the body; `truncated` where the client disconnected before it."""
+        self.ended, self.truncated = not truncated, truncated
         self.data_added.set()
         self.data_removed.set()
 
     @property
     def complete_body(self) -> bytes | None:
-        """All of it, where it is all here and kept."""
-        return b"".join(self.chunks) if self.ended and not self.start else None
+        """The whole body; None while it is incomplete or where its beginning is discarded."""
+        return b"".join(self.chunks) if self.ended and not self.first_chunk else None
 
-    def drop_read(self) -> None:
-        """Beyond the bound, what the one reader has passed is let go."""
+    def discard_read_chunks(self) -> None:
+        """Frees the chunks that the reader has passed.
+
+        Does nothing unless the body is streamed to a reader.
+        """
         if not self.streaming or not self.readers:
             return
-        while self.chunks and self.start < self.position:
+        while self.chunks and self.first_chunk < self.position:
             self.buffered_bytes -= len(self.chunks.pop(0))
-            self.start += 1
+            self.first_chunk += 1
         self.data_removed.set()
 
     def read(self):
-        """A generator-coroutine per chunk for one reader: `rewind()` first. b"" at the end."""
-        while self.position - self.start >= len(self.chunks):
-            if self.cut:
+        """Returns the next chunk, b"" at the end; waits for data. The reader calls `rewind()` first.
+
+        Raises BodyTruncatedError where the client disconnected before the end.
+        """
+        while self.position - self.first_chunk >= len(self.chunks):
+            if self.truncated:
                 raise BodyTruncatedError
             if self.ended:
                 return b""
             yield self.data_added
-        data = self.chunks[self.position - self.start]
+        data = self.chunks[self.position - self.first_chunk]
         self.position += 1
-        self.drop_read()
+        self.discard_read_chunks()
         return data
 
     def rewind(self) -> None:
-        """From the beginning again; Torn where that has been let go."""
-        if self.start:
+        """Moves the reader to the beginning. Raises BodyDiscardedError where the beginning is discarded."""
+        if self.first_chunk:
             raise BodyDiscardedError
         self.position, self.readers = 0, 1
--- a/cobaltpond/gateway/decision_host.py
+++ b/cobaltpond/gateway/decision_host.py
@@ -1,10 +1,10 @@
-"""The host of the decisions: feeds events in the order of the loop, carries out what they ask for.
+"""Hosts the decisions: delivers events to them in the order of the loop and carries out what they request.
 
-What happens during a turn of the loop is told to the decisions at its end, as one batch at one time: first
-what was heard of the list and from the desk (after a stand-still they must not act on what was true before
-it), then all else in the order in which the loop delivered it; a hit's taking always precedes whatever else
-happens to it. What the decisions ask for happens at once, but nothing that follows from it is told to them in
-the same batch.
+Events of one turn of the loop are delivered at its end, as one batch with one time. The events from the list
+and from the desk come first: after a stall the decisions must not act on a state that has been replaced. All
+other events follow in the order in which the loop produced them, so the acceptance of a hit precedes every
+other event of that hit. Requests of the decisions are carried out at once, but what results from them is
+never delivered in the same batch.
 """
 
 from cobaltpond.decisions.rules import Gateway
@@ -12,61 +12,82 @@
 
 
 class GatewayDecisionHost:
-    """`runsheet`: what the decisions get; `most_hits` open at once; `slack`: how long before the client's own
-    time is up the decisions believe it to be up, in microseconds."""
+    """The host of one gateway's decisions; implements `decisions.interface.DecisionHost`.
 
-    name = "decisions"  # as tasks have one, for the log
+    `policy_settings`: the mapping that the decisions read. `max_open_hits`: hits open at once. `slack`: how
+    long before the client's timeout the decisions take it as expired, in microseconds.
+    """
 
-    def __init__(self, loop, runsheet: dict, start: int, most_hits: int, slack: int, places, forwards, log):
+    name = "decisions"  # named as tasks are, for the log of a failure
+
+    def __init__(
+        self,
+        loop,
+        policy_settings: dict,
+        start: int,
+        max_open_hits: int,
+        slack: int,
+        endpoints,
+        forwards,
+        log,
+    ):
         self.loop, self.policy_settings, self.number, self.start, self.log = (
             loop,
-            runsheet,
-            runsheet["number"],
+            policy_settings,
+            policy_settings["number"],
             start,
             log,
         )
-        self.most_hits, self.slack, self.most_forwards = most_hits, slack, runsheet.get("most_forwards", 1)
-        self.endpoints, self.forwards = places, forwards
-        self.hits, self.first, self.inbox, self.open_hits = {}, [], [], 0
-        self.taken, self.probes_out, self.decisions = 0, 0, None
+        self.max_open_hits, self.slack, self.max_forwards = (
+            max_open_hits,
+            slack,
+            policy_settings.get("most_forwards", 1),
+        )
+        self.endpoints, self.forwards = endpoints, forwards
+        self.hits, self.priority_inbox, self.inbox, self.open_hits = {}, [], [], 0
+        self.taken, self.probes_in_flight, self.decisions = 0, 0, None
         self.instance_source, self.desk_client, self.peers = (
             None,
             None,
             None,
-        )  # set by whoever puts the gateway together
+        )  # set by the process that creates the host
         self.is_allowed = (
             lambda what, verdict="": True
-        )  # may this phase of the gateway vote so, or tell a sample?
+        )  # whether the gateway's phase permits this vote, or sending samples to peers
         self.counts = {"forwards": 0, "overdue": 0, "probes": 0, "votes": 0, "told": 0, "peer sends lost": 0}
         loop.after_turn.append(self.deliver_events)
 
     def start_decisions(self, decisions=Gateway, seed: int | None = None) -> None:
-        """Makes the decisions; from here on they are told everything."""
+        """Creates the decisions, which receive every event from now on. `seed`: None takes a random one."""
         seed = self.loop.kernel.random_seed() if seed is None else seed
         self.decisions = decisions(self, self.loop.now(), seed, self.policy_settings)
 
     def deliver_events(self) -> None:
+        """Delivers the events of this turn; runs at its end."""
         now = self.loop.now()
-        batch, self.first, self.inbox = self.first + self.inbox, [], []
+        batch, self.priority_inbox, self.inbox = self.priority_inbox + self.inbox, [], []
         for name, *arguments in batch:
             try:
                 getattr(self.decisions, name)(now, *arguments)
-            except Exception as trouble:  # guards all other hits against a fault met by one
-                self.loop.on_task_failure(self, trouble)
+            except Exception as error:  # a fault that one hit meets must not stop all other hits
+                self.loop.on_task_failure(self, error)
 
     def post_event(self, name: str, *arguments) -> None:
-        """Tells the decisions at the end of this turn."""
+        """Queues a call of the decisions' method `name` for the end of this turn."""
         self.inbox.append((name, *arguments))
 
     def post_event_first(self, name: str, *arguments) -> None:
-        self.first.append((name, *arguments))
+        """As `post_event`, ahead of all events that were not posted this way."""
+        self.priority_inbox.append((name, *arguments))
 
-    # --- the door ----------------------------------------------------------------------------------------
+    # --- calls from the frontend -------------------------------------------------------------------------
 
     def is_full(self) -> bool:
-        return self.open_hits >= self.most_hits
+        """Whether the limit of open hits is reached."""
+        return self.open_hits >= self.max_open_hits
 
     def next_number(self) -> int:
+        """The number of the next hit; numbers start at 1."""
         self.taken += 1
         return self.taken
 
@@ -76,113 +97,150 @@
         group: str,
         customer: str | None,
         key: int | None,
-        left: int,
+        time_left: int,
         cost: int | None,
-        again: bool,
-        net: int | None = None,
+        is_retry: bool,
+        answer_within: int | None = None,
     ) -> None:
-        """From here on a final answer is owed within `left` microseconds; the safety net answers after
-        `net`."""
+        """Makes the host responsible for one final answer within `time_left` microseconds.
+
+        `answer_within`: microseconds until `answer_overdue` answers instead of the decisions; None:
+        `time_left`. `cost`: expected microseconds of work, None where unknown.
+        """
         self.hits[hit.number] = hit
         self.open_hits += 1
-        hit.overdue = self.loop.call_in(left if net is None else net, lambda: self.answer_overdue(hit))
-        self.post_event("on_hit", hit.number, group, customer, key, max(1, left - self.slack), cost, again)
+        hit.overdue = self.loop.call_in(
+            time_left if answer_within is None else answer_within, lambda: self.answer_overdue(hit)
+        )
+        self.post_event(
+            "on_hit", hit.number, group, customer, key, max(1, time_left - self.slack), cost, is_retry
+        )
 
     def hit_ended(self, hit: PendingHit) -> None:
+        """Called once when the hit becomes final."""
         self.open_hits -= 1
         self.loop.call_in(
             0, lambda: self.drop_finished(hit)
-        )  # not before the decisions have heard of its end
+        )  # not before the decisions have received the event of its end
 
     def drop_finished(self, hit: PendingHit) -> None:
+        """Forgets the hit once it is final and none of its forwards runs."""
         if hit.final and all(task is None or task.done for task in hit.forwards):
             self.hits.pop(hit.number, None)
 
     def abandon_hit(self, hit: PendingHit) -> None:
+        """Ends a hit whose client disconnected or sent a malformed body; does nothing where it is final."""
         if not hit.final:
             hit.finalize("gone")
             self.post_event("on_gone", hit.number)
 
     def answer_overdue(self, hit: PendingHit) -> None:
-        """The decisions answer every hit before its client timeout. Guards against a gateway that stood still
-        over it: the client is told at once, and the decisions that nothing is owed any more."""
+        """Fails a hit that the decisions have not answered before the client's timeout.
+
+        The decisions answer every hit in time unless the gateway stalled past it. The client then gets its
+        answer at once, and the decisions learn that the hit needs none any more.
+        """
         if not hit.final:
             self.counts["overdue"] += 1
             self.log.error("answer overdue", hit=hit.name)
             hit.fail(late=True)
             self.post_event("on_gone", hit.number)
 
-    # --- what the decisions ask for ----------------------------------------------------------------------
+    # --- requests of the decisions: see `decisions.interface.DecisionHost` ---------------------------------
 
     def send_forward(self, hit, instance, time_out, send_within):
-        held, place = self.hits[hit], self.endpoints.by_id.get(instance)
-        number = len(held.forwards)
-        if held.final:  # its client left in this very turn
-            held.forwards.append(None)
+        """Starts a forward; `on_outcome` reports its result exactly once. Times in microseconds.
+
+        `send_within`: how long the request may wait to be written; None: for the whole `time_out`.
+        """
+        pending_hit, endpoint = self.hits[hit], self.endpoints.by_id.get(instance)
+        number = len(pending_hit.forwards)
+        if pending_hit.final:  # its client disconnected in this turn
+            pending_hit.forwards.append(None)
             self.loop.call_in(0, lambda: self.post_event("on_outcome", hit, number, "moot", 0, True, {}))
             return
 
-        def tell(ending, took, closed, report):
-            held.last_ending = ending
-            self.post_event("on_outcome", hit, number, ending, took, closed, report)
-            self.loop.call_in(0, lambda: self.drop_finished(held))
+        def report_result(result, duration, hit_final, load_report):
+            pending_hit.last_result = result
+            self.post_event("on_outcome", hit, number, result, duration, hit_final, load_report)
+            self.loop.call_in(0, lambda: self.drop_finished(pending_hit))
 
-        if place is None or number >= self.most_forwards:
-            held.forwards.append(None)
-            self.forwards.observations["not listed" if place is None else "nothing to send"] += 1
-            self.loop.call_in(0, lambda: tell("unreachable" if place is None else "moot", 0, held.final, {}))
+        if endpoint is None or number >= self.max_forwards:
+            pending_hit.forwards.append(None)
+            self.forwards.observations["not listed" if endpoint is None else "nothing to send"] += 1
+            self.loop.call_in(
+                0,
+                lambda: report_result(
+                    "unreachable" if endpoint is None else "moot", 0, pending_hit.final, {}
+                ),
+            )
             return
         self.counts["forwards"] += 1
-        self.endpoints.reserve(place)
-        held.forwards.append(
+        self.endpoints.reserve(endpoint)
+        pending_hit.forwards.append(
             self.loop.spawn(
-                self.forwards.run_forward(held, number, place, time_out, send_within, tell),
-                f"forward-{held.name}-{number}",
+                self.forwards.run_forward(
+                    pending_hit, number, endpoint, time_out, send_within, report_result
+                ),
+                f"forward-{pending_hit.name}-{number}",
             )
         )
 
     def cancel_forward(self, hit, forward):
-        held = self.hits.get(hit)
-        # past the point of no return nothing is called off
+        """Cancels a running forward; does nothing once its answer is being streamed to the client."""
+        pending_hit = self.hits.get(hit)
         if (
-            held is not None
-            and not held.streaming
-            and forward < len(held.forwards)
-            and held.forwards[forward]
+            pending_hit is not None
+            and not pending_hit.streaming
+            and forward < len(pending_hit.forwards)
+            and pending_hit.forwards[forward]
         ):
-            held.forwards[forward].cancel()
+            pending_hit.forwards[forward].cancel()
 
     def reject_hit(self, hit, retry_after):
-        held = self.hits.get(hit)
-        if held is not None and not held.final:
-            held.reject(retry_after)
+        """Bounces an open hit; `retry_after`: advice to the client in microseconds, 0 for none."""
+        pending_hit = self.hits.get(hit)
+        if pending_hit is not None and not pending_hit.final:
+            pending_hit.reject(retry_after)
 
     def fail_hit(self, hit):
-        held = self.hits.get(hit)
-        if held is not None and not held.final:
-            held.fail(late=held.last_ending == "timeout")
+        """Answers an open hit with an error: late where its last forward timed out."""
+        pending_hit = self.hits.get(hit)
+        if pending_hit is not None and not pending_hit.final:
+            pending_hit.fail(late=pending_hit.last_result == "timeout")
 
     def schedule_wakeup(self, token, delay):
+        """Posts `on_wake(token)` after `delay` microseconds."""
         self.loop.call_in(delay, lambda: self.post_event("on_wake", token))
 
     def probe_instance(self, instance):
+        """Sends a probe to an instance; `on_probed` reports the result."""
         self.counts["probes"] += 1
-        place = self.endpoints.by_id.get(instance)
-        if place is None:
+        endpoint = self.endpoints.by_id.get(instance)
+        if endpoint is None:
             self.loop.call_in(0, lambda: self.post_event("on_probed", instance, "unreachable", 0, {}))
             return
-        self.endpoints.reserve(place)
+        self.endpoints.reserve(endpoint)
         self.loop.spawn(
-            self.forwards.run_probe(place, lambda *told: self.post_event("on_probed", instance, *told)),
+            self.forwards.run_probe(
+                endpoint, lambda *result: self.post_event("on_probed", instance, *result)
+            ),
             "probe",
         )
 
     def is_reachable(self, instance):
-        """May a forward go there now: is a kept connection idle, or a new one our turn?"""
-        place = self.endpoints.by_id.get(instance)
-        return place is None or self.endpoints.is_reachable(place)
+        """Whether a forward may use an idle connection or dial a new one now.
+
+        True for an unknown instance.
+        """
+        endpoint = self.endpoints.by_id.get(instance)
+        return endpoint is None or self.endpoints.is_reachable(endpoint)
 
     def cast_vote(self, build, stage, verdict):
+        """Sends a vote to the desk; `on_news` reports the answer.
+
+        A vote that the phase forbids answers "full".
+        """
         if not self.is_allowed("vote", verdict):  # not counted: it may be cast again later
             self.loop.call_in(
                 0, lambda: self.post_event_first("on_news", build, stage, "trial", 0.0, 0, True, "full")
@@ -193,12 +251,15 @@
         self.loop.spawn(self.desk_client.cast_vote(build, stage, verdict), "vote")
 
     def fetch_list(self):
+        """Requests the whole list of instances."""
         self.loop.spawn(self.instance_source.request_list(whole=True), "list-fetch")
 
     def watch_list(self):
+        """Requests what has changed in the list of instances."""
         self.loop.spawn(self.instance_source.request_list(whole=False), "list-watch")
 
     def send_to_peer(self, peer, data):
+        """Sends a message to one gateway, to all others where `peer` is None. Delivery is not assured."""
         if not self.is_allowed("tell"):
             return
         self.counts["told"] += 1
@@ -206,4 +267,5 @@
             self.counts["peer sends lost"] += 1
 
     def log_note(self, text):
+        """Logs a decision as text."""
         self.log.info("decision", text=text)
--- a/cobaltpond/gateway/desk_client.py
+++ b/cobaltpond/gateway/desk_client.py
@@ -1,4 +1,4 @@
-"""The release desk as the gateway hears it: news, tallies, wrong answers; and the votes it sends there."""
+"""Follows the release desk's stream (news, tallies, wrong answers) and sends it this gateway's votes."""
 
 import json
 from urllib.parse import urlencode
@@ -8,37 +8,49 @@
 from cobaltpond.wire.address import split_address
 
 PHASES = ("trial", "going back", "released", "withdrawn")
-SHUT, GONE_MOST = ("going back", "withdrawn"), 16
+# phases in which a build gets no more traffic; how many such builds are remembered
+BLOCKED_PHASES, MAX_GONE_BUILDS = ("going back", "withdrawn"), 16
+# HTTP status of the desk -> answer that the decisions get
 VOTE_ANSWERS = {200: "ok", 409: "moot", 429: "full"}
 
 
 class DeskClient:
-    def __init__(self, loop, sheet, host, log):
-        self.loop, self.settings, self.host, self.log = loop, sheet, host, log
-        self.address, self.has_heard, self.last = split_address(sheet.desk.address), False, None
-        self.waits = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
-        self.on_state = lambda *state: None  # called with each word of the desk
-        self.last_seen_state = None  # the newest state acted by, as the desk is told of it again
+    """This gateway's client of the release desk; posts what it receives as events to `host`."""
+
+    def __init__(self, loop, settings, host, log):
+        self.loop, self.settings, self.host, self.log = loop, settings, host, log
+        # last_news: (build, stage, phase, cap) of the newest news, None before the first
+        self.address, self.has_heard, self.last_news = split_address(settings.desk.address), False, None
+        self.backoff = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
+        self.on_state = lambda *state: None  # called with each state that the desk sends
+        self.last_seen_state = (
+            None  # the newest state applied, as it is reported back to the desk; None before the first
+        )
         self.counts = {"news": 0, "tallies": 0, "wrong": 0, "errors": 0}
 
-    def state(self, told: dict) -> tuple:
-        """build, stage, phase, cap, age. Raises KeyError, TypeError or ValueError on what is no news."""
-        if told["phase"] not in PHASES:
-            raise ValueError(f"phase {told['phase']!r}")
+    def parse_state(self, news: dict) -> tuple:
+        """Returns (build, stage, phase, cap, age): cap between 0 and 1, age in microseconds.
+
+        Raises KeyError, TypeError or ValueError on malformed news.
+        """
+        if news["phase"] not in PHASES:
+            raise ValueError(f"phase {news['phase']!r}")
         return (
-            int(told["build"]),
-            int(told["stage"]),
-            told["phase"],
-            min(1.0, max(0.0, float(told["cap"]))),
-            max(0, int(told["age_us"])),
+            int(news["build"]),
+            int(news["stage"]),
+            news["phase"],
+            min(1.0, max(0.0, float(news["cap"]))),
+            max(0, int(news["age_us"])),
         )
 
-    def remember_state(self, told: dict, state: tuple) -> None:
-        """Remembers the newest state by its mark: a desk that has lost its own asks for it. Raises as
-        `state`."""
-        if "mark" not in told:
+    def remember_state(self, news: dict, state: tuple) -> None:
+        """Remembers the newest state by its mark: a desk that has lost its own recovers it from the gateways.
+
+        News without a mark is ignored. Raises as `parse_state`.
+        """
+        if "mark" not in news:
             return
-        epoch, turn = told["mark"]
+        epoch, turn = news["mark"]
         mark, build, gone = (
             [int(epoch), int(turn)],
             state[0],
@@ -46,10 +58,10 @@
         )
         if self.last_seen_state and mark < self.last_seen_state["mark"]:
             return
-        gone += [int(b) for b in told.get("gone", ()) if b not in gone]
-        if state[2] in SHUT and build not in gone:
+        gone += [int(b) for b in news.get("gone", ()) if b not in gone]
+        if state[2] in BLOCKED_PHASES and build not in gone:
             gone.append(build)
-        stable = told.get("stable")
+        stable = news.get("stable")
         self.last_seen_state = {
             "mark": mark,
             "build": build,
@@ -57,73 +69,78 @@
             "phase": state[2],
             "cap": state[3],
             "stable": None if stable is None else int(stable),
-            "gone": gone[-GONE_MOST:],
+            "gone": gone[-MAX_GONE_BUILDS:],
         }
 
-    def target(self) -> str:
-        """What the desk is asked for: its news; it is told what was seen last."""
-        asked = {"gateway": self.host.number}
+    def request_target(self) -> str:
+        """The request target of the news stream; it reports the last seen state to the desk."""
+        arguments = {"gateway": self.host.number}
         if self.last_seen_state is not None:
-            asked["seen"] = json.dumps(self.last_seen_state, separators=(",", ":"))
-        return "/v1/news?" + urlencode(asked)
+            arguments["seen"] = json.dumps(self.last_seen_state, separators=(",", ":"))
+        return "/v1/news?" + urlencode(arguments)
 
-    def handle_message(self, told: dict) -> None:
+    def handle_message(self, message: dict) -> None:
+        """Applies one object of the stream. A malformed one is counted and logged."""
         try:
-            if "news" in told:
-                state = self.state(told["news"])
-                self.remember_state(told["news"], state)
+            if "news" in message:
+                state = self.parse_state(message["news"])
+                self.remember_state(message["news"], state)
                 self.has_heard = True
                 self.counts["news"] += 1
-                if state[:4] != self.last:
-                    self.last = state[:4]
+                if state[:4] != self.last_news:
+                    self.last_news = state[:4]
                     self.log.info("news", build=state[0], stage=state[1], phase=state[2], cap=state[3])
                 self.on_state(*state)
                 self.host.post_event_first("on_news", *state, False, "ok")
-            elif "tally" in told:
-                t = told["tally"]
+            elif "tally" in message:
+                tally = message["tally"]
                 self.counts["tallies"] += 1
                 self.host.post_event(
                     "on_tally",
-                    int(t["build"]),
-                    t["group"],
-                    int(t["count"]),
-                    int(t["errored"]),
-                    int(t["mean_us"]),
-                    int(t["age_us"]),
+                    int(tally["build"]),
+                    tally["group"],
+                    int(tally["count"]),
+                    int(tally["errored"]),
+                    int(tally["mean_us"]),
+                    int(tally["age_us"]),
                 )
-            elif "wrong" in told:
-                w = told["wrong"]
+            elif "wrong" in message:
+                wrong_answer = message["wrong"]
                 self.counts["wrong"] += 1
-                self.host.post_event("on_wrong", w["instance"], w["group"], int(w["age_us"]))
-        except (KeyError, TypeError, ValueError) as trouble:
+                self.host.post_event(
+                    "on_wrong", wrong_answer["instance"], wrong_answer["group"], int(wrong_answer["age_us"])
+                )
+        except (KeyError, TypeError, ValueError) as error:
             self.counts["errors"] += 1
-            self.log.warning("no news", why=repr(trouble))
+            self.log.warning("malformed message from the desk; ignoring it", why=repr(error))
 
     def follow_desk(self):
-        """The stream of news, for ever."""
+        """Follows the stream until cancelled; reconnects after a delay."""
 
-        def take(told):
-            for one in told:
-                self.handle_message(one)
+        def on_messages(messages):
+            for message in messages:
+                self.handle_message(message)
 
-        def broken(trouble):
+        def on_broken(error):
             self.counts["errors"] += 1
-            self.log.warning("desk stream broken", why=f"{type(trouble).__name__}: {trouble}")
+            self.log.warning("desk stream broken; reconnecting", why=f"{type(error).__name__}: {error}")
 
         yield from follow_stream(
             self.loop,
             self.address,
-            self.target,
-            take,
+            self.request_target,
+            on_messages,
             3 * self.settings.release.news_period,
             self.settings.instances.dial_time,
-            self.waits,
-            broken,
+            self.backoff,
+            on_broken,
         )
 
     def cast_vote(self, build, stage, verdict):
-        """One vote and exactly one answer: ok, moot, full, error (it did not count), timeout (it may
-        count)."""
+        """Sends one vote and posts exactly one answer as `on_news`.
+
+        The answer is ok, moot, full, error (the vote did not count) or timeout (it may count).
+        """
         answer, state = "timeout", (build, stage, "trial", 0.0, 0)
         body = json.dumps({"gateway": self.host.number, "build": build, "stage": stage, "verdict": verdict})
         try:
@@ -139,14 +156,14 @@
             answer = VOTE_ANSWERS.get(status, "error")
             if status == 200:
                 news = json.loads(text)["news"]
-                state = self.state(news)
+                state = self.parse_state(news)
                 self.remember_state(news, state)
         except NOT_SENT_ERRORS:
             answer = "error"
         except (*CALL_ERRORS, DeadlineExceededError):
             answer = "timeout"
         except (KeyError, TypeError, ValueError):
-            answer = "timeout"  # it was heard, and what was said makes no sense
+            answer = "timeout"  # the desk received the vote, but its reply is malformed
         if answer == "ok":
             self.on_state(*state)
         self.log.info("vote answered", build=build, stage=stage, verdict=verdict, answer=answer)
--- a/cobaltpond/gateway/endpoints.py
+++ b/cobaltpond/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""The instances as the gateway reaches them: one record each, with its address and kept connections."""
+"""Pools connections to the instances: one record per instance, with its address and its idle connections."""
 
 from collections import deque
 
@@ -13,168 +13,202 @@
     dial,
 )
 
-SWEEP_LEAST = 20_000  # between two sweeps, however short the idle time is
-RESERVATION_TIME = 100_000  # a forward that has not asked by then will not ask any more
+MIN_SWEEP_PERIOD_US = 20_000  # between two sweeps, however short the idle time is
+RESERVATION_TIME = 100_000  # microseconds; a forward that has not acquired its connection by then never will
 
 
 class NoConnectionError(Exception):
-    """None was to be had, and nothing was sent; the text is a key of `endings.SEEN`."""
+    """No connection was available and nothing was sent; the text is a key of `FORWARD_RESULTS`."""
 
 
 class InstanceEndpoint:
-    """One instance of the list: `row` as the decisions get it, where to dial, connections that wait."""
+    """One instance of the list: `row` as the decisions get it, the address to dial, the idle connections."""
 
     def __init__(self, row: dict, address: tuple[str, int]):
         self.row, self.address = row, address
-        self.idle, self.open_count = deque(), 0  # (connection, since); all that are open
-        self.reserved = self.dials = self.reserved_at = (
-            0  # forwards on their way to a kept connection, to a dial
-        )
+        # idle: (connection, idle since), in the order of release; open_count: all open connections, idle or
+        # used
+        self.idle, self.open_count = deque(), 0
+        # forwards that will use an idle connection, and those that will dial; when the last reservation was
+        # made
+        self.reserved = self.reserved_dials = self.reserved_at = 0
 
 
 class EndpointPool:
-    def __init__(self, loop, limits, greet=None, most=None):
-        """`limits`: the sheet's `instances`. `greet(connection)`: what a protocol needs before the first hit,
-        within the dial's time; raises NoConnectionError. `most()`: connections to all instances together,
-        now."""
-        self.loop, self.limits, self.by_id, self.handshake, self.most = loop, limits, {}, greet, most
+    """The endpoints of all listed instances, with limits on connections and on the rate of dials.
+
+    `limits`: the `instances` section of the settings. `handshake(connection)`: a coroutine for what a
+    protocol exchanges before the first hit, within the dial time; it raises NoConnectionError.
+    `max_connections()`: the limit of connections to all instances together at this time; None: no limit.
+    """
+
+    def __init__(self, loop, limits, handshake=None, max_connections=None):
+        self.loop, self.limits, self.by_id, self.handshake, self.max_connections = (
+            loop,
+            limits,
+            {},
+            handshake,
+            max_connections,
+        )
         self.open_count, self.dial_limiter = (
             0,
             None,
-        )  # `recovery.rate_limiter.DialRateLimiter`, where new connections are paced
+        )  # `recovery.rate_limiter.DialRateLimiter`, None where the rate of dials is not limited
 
-    def is_reachable(self, place: InstanceEndpoint) -> bool:
-        """Is a kept connection left for one more forward, or a new one allowed now?"""
+    def is_reachable(self, endpoint: InstanceEndpoint) -> bool:
+        """Whether one more forward finds an idle connection or may dial now."""
         if self.dial_limiter is not None:
-            self.expire_reservations(place)
+            self.expire_reservations(endpoint)
         return (
             self.dial_limiter is None
-            or self.idle_count(place) > place.reserved
-            or self.dial_limiter.is_due(place.row["id"], self.loop.now())
+            or self.idle_count(endpoint) > endpoint.reserved
+            or self.dial_limiter.is_due(endpoint.row["id"], self.loop.now())
         )
 
-    def expire_reservations(self, place: InstanceEndpoint) -> None:
-        """Forwards that were called off before they asked for their connection do not keep it from others for
-        ever."""
-        if self.loop.now() - place.reserved_at > RESERVATION_TIME:
-            place.reserved = place.dials = 0
+    def expire_reservations(self, endpoint: InstanceEndpoint) -> None:
+        """Drops reservations of forwards that were cancelled before they acquired their connection.
+
+        Otherwise these connections would stay withheld from other forwards for ever.
+        """
+        if self.loop.now() - endpoint.reserved_at > RESERVATION_TIME:
+            endpoint.reserved = endpoint.reserved_dials = 0
 
-    def idle_count(self, place: InstanceEndpoint) -> int:
-        """Kept connections that have rested, and not for too long."""
+    def idle_count(self, endpoint: InstanceEndpoint) -> int:
+        """How many connections `acquire` may reuse: idle for `rest_time`, but not for `idle_time`."""
         now = self.loop.now()
-        return sum(self.limits.rest_time <= now - since < self.limits.idle_time for _, since in place.idle)
+        return sum(
+            self.limits.rest_time <= now - idle_since < self.limits.idle_time
+            for _, idle_since in endpoint.idle
+        )
+
+    def reserve(self, endpoint: InstanceEndpoint) -> None:
+        """Reserves an idle connection or a dial for a forward that will acquire it in this turn of the loop.
 
-    def reserve(self, place: InstanceEndpoint) -> None:
-        """A forward will ask for a connection in this turn of the loop: what it will use is not promised
-        twice."""
+        This way no connection is counted for two forwards. Does nothing where the rate of dials is not
+        limited.
+        """
         if self.dial_limiter is None:
             return
-        self.expire_reservations(place)
-        place.reserved_at = self.loop.now()
-        if self.idle_count(place) > place.reserved:
-            place.reserved += 1
-        elif self.dial_limiter.try_acquire(place.row["id"], self.loop.now()):
-            place.dials += 1
-
-    def may_dial(self, place: InstanceEndpoint) -> bool:
-        """May this forward make a new connection? One that was promised a kept one, which has ended
-        meanwhile, needs a turn of its own: guards against hundreds that all dial again when a zone resets
-        what they had."""
-        self.expire_reservations(place)
-        if place.dials:
-            place.dials -= 1
+        self.expire_reservations(endpoint)
+        endpoint.reserved_at = self.loop.now()
+        if self.idle_count(endpoint) > endpoint.reserved:
+            endpoint.reserved += 1
+        elif self.dial_limiter.try_acquire(endpoint.row["id"], self.loop.now()):
+            endpoint.reserved_dials += 1
+
+    def may_dial(self, endpoint: InstanceEndpoint) -> bool:
+        """Whether this forward may dial; uses up a reserved dial, else a permit of the rate limiter.
+
+        A forward whose reserved idle connection has closed meanwhile needs a permit of its own. Otherwise
+        hundreds of forwards would redial at once when a zone resets its connections (thundering herd).
+        """
+        self.expire_reservations(endpoint)
+        if endpoint.reserved_dials:
+            endpoint.reserved_dials -= 1
             return True
-        return self.dial_limiter is None or self.dial_limiter.try_acquire(place.row["id"], self.loop.now())
+        return self.dial_limiter is None or self.dial_limiter.try_acquire(endpoint.row["id"], self.loop.now())
 
     def update(self, whole: bool, rows: list[tuple[dict, tuple[str, int]]]) -> None:
-        """`rows`: what the decisions get, and the address. Connections to what restarted or left are
-        closed."""
+        """Applies the list; `rows`: (row as the decisions get it, address).
+
+        `whole`: absent instances are removed.
+
+        Idle connections to instances that restarted or left are closed.
+
+        """
         if whole:
             listed = {row["id"] for row, _ in rows}
             for id in [id for id in self.by_id if id not in listed]:
                 self.close_idle(self.by_id.pop(id))
         for row, address in rows:
-            place = self.by_id.get(row["id"])
+            endpoint = self.by_id.get(row["id"])
             if row["state"] == "gone":
-                if place is not None:
+                if endpoint is not None:
                     self.close_idle(self.by_id.pop(row["id"]))
             elif (
-                place is None
-                or place.address != address
-                or any(place.row[mark] != row[mark] for mark in ("started", "build"))
+                endpoint is None
+                or endpoint.address != address
+                or any(endpoint.row[field] != row[field] for field in ("started", "build"))
             ):
-                if place is not None:  # nothing of the last one carries over
-                    self.close_idle(place)
+                if endpoint is not None:  # a restarted instance inherits no connection
+                    self.close_idle(endpoint)
                 self.by_id[row["id"]] = InstanceEndpoint(row, address)
             else:
-                place.row = row
+                endpoint.row = row
 
-    def close_idle(self, place: InstanceEndpoint) -> None:
-        while place.idle:
-            self.close(place, place.idle.popleft()[0])
+    def close_idle(self, endpoint: InstanceEndpoint) -> None:
+        """Closes all idle connections of an endpoint."""
+        while endpoint.idle:
+            self.close(endpoint, endpoint.idle.popleft()[0])
 
-    def acquire(self, place: InstanceEndpoint):
-        """A connection, and whether it was kept from an earlier hit. Raises NoConnectionError.
+    def acquire(self, endpoint: InstanceEndpoint):
+        """Returns (connection, whether it is reused from an earlier hit). Raises NoConnectionError.
 
-        A kept one is looked at before it is given out: guards against an instance that closed it meanwhile.
-        One that closes between this look and the first byte is found by the write, see `forwards.py`. Until
-        it has rested it is not given out: guards against a second answer to the hit before, which comes a
-        little later and would pass for the answer to the next.
+        An idle connection is checked before it is handed out, since the instance may have closed it
+        meanwhile. A close between this check and the first byte is detected by the write, see `forwards.py`.
+        A connection is not reused before it has been idle for `rest_time`: an instance may send a second
+        response to the earlier hit a little later, which would be taken for the response to the next one.
         """
-        place.reserved = max(0, place.reserved - 1)
-        while (connection := self.rested(place)) is not None:
+        endpoint.reserved = max(0, endpoint.reserved - 1)
+        while (connection := self.take_idle(endpoint)) is not None:
             try:
                 if connection.read_now(1) is None:
                     return connection, True
             except ConnectionLostError:
                 pass
-            self.close(place, connection)
-        if place.open_count >= self.limits.connections or (
-            self.most is not None and self.open_count >= self.most() and not self.evict()
+            self.close(endpoint, connection)
+        if endpoint.open_count >= self.limits.connections or (
+            self.max_connections is not None
+            and self.open_count >= self.max_connections()
+            and not self.evict()
         ):
             raise NoConnectionError("no connection free")
-        if not self.may_dial(place):
+        if not self.may_dial(endpoint):
             raise NoConnectionError("not our turn")
-        place.open_count += 1
+        endpoint.open_count += 1
         self.open_count += 1
         try:
             try:
-                connection = yield from self.made(place)
+                connection = yield from self.connect(endpoint)
             except HandlesExhaustedError:
                 if not self.evict():
                     raise
-                connection = yield from self.made(place)
-        except BaseException as trouble:
-            place.open_count -= 1
+                connection = yield from self.connect(endpoint)
+        except BaseException as error:
+            endpoint.open_count -= 1
             self.open_count -= 1
-            why = {
+            reason = {
                 RefusedError: "refused",
                 UnreachableError: "no route",
                 DeadlineExceededError: "dial too slow",
                 HandlesExhaustedError: "no handle",
                 ConnectionLostError: "no route",
-            }.get(type(trouble))
-            if why is None:
+            }.get(type(error))
+            if reason is None:
                 raise
-            raise NoConnectionError(why) from None
+            raise NoConnectionError(reason) from None
         return connection, False
 
-    def rested(self, place: InstanceEndpoint):
-        """The kept connection that came back last of those that have rested; None where there is none. What
-        has idled its time is left to the sweep. Guards against the machine that closes it with a request on
-        its way."""
+    def take_idle(self, endpoint: InstanceEndpoint):
+        """Removes and returns the latest released connection that has been idle for `rest_time`, or None.
+
+        One past `idle_time` is left to `sweep`: the instance may close it while a request is on its way.
+        """
         now = self.loop.now()
-        for at in range(len(place.idle) - 1, -1, -1):
-            connection, since = place.idle[at]
-            if self.limits.rest_time <= now - since < self.limits.idle_time:
-                del place.idle[at]
+        for index in range(len(endpoint.idle) - 1, -1, -1):
+            connection, idle_since = endpoint.idle[index]
+            if self.limits.rest_time <= now - idle_since < self.limits.idle_time:
+                del endpoint.idle[index]
                 return connection
         return None
 
-    def made(self, place: InstanceEndpoint):
-        """A new connection, ready for a hit."""
+    def connect(self, endpoint: InstanceEndpoint):
+        """Dials a new connection and completes the handshake.
+
+        Raises the loop's errors and NoConnectionError.
+        """
         with Deadline(self.loop, self.limits.dial_time):
-            connection = yield from dial(self.loop, place.address, self.limits.dial_time)
+            connection = yield from dial(self.loop, endpoint.address, self.limits.dial_time)
             if self.handshake is not None:
                 try:
                     yield from self.handshake(connection)
@@ -183,40 +217,45 @@
                     raise
         return connection
 
-    def release(self, place: InstanceEndpoint, connection) -> None:
-        """Kept for the next hit, unless the instance has left meanwhile."""
-        if self.by_id.get(place.row["id"]) is place and not connection.closed:
-            place.idle.append((connection, self.loop.now()))
+    def release(self, endpoint: InstanceEndpoint, connection) -> None:
+        """Keeps the connection for a later hit.
+
+        Closes it where the instance has restarted or left meanwhile.
+        """
+        if self.by_id.get(endpoint.row["id"]) is endpoint and not connection.closed:
+            endpoint.idle.append((connection, self.loop.now()))
         else:
-            self.close(place, connection)
+            self.close(endpoint, connection)
 
-    def close(self, place: InstanceEndpoint, connection, reset: bool = False) -> None:
-        place.open_count -= 1
+    def close(self, endpoint: InstanceEndpoint, connection, reset: bool = False) -> None:
+        """Closes a connection of the pool, with a TCP reset where `reset` is set."""
+        endpoint.open_count -= 1
         self.open_count -= 1
         connection.abort() if reset else connection.close()
 
     def evict(self) -> bool:
-        """Closes the kept connection that has been idle the longest. False where there is none."""
-        place = min((p for p in self.by_id.values() if p.idle), key=lambda p: p.idle[0][1], default=None)
-        if place is not None:
-            self.close(place, place.idle.popleft()[0])
-        return place is not None
+        """Closes the connection that has been idle the longest. False where none is idle."""
+        endpoint = min((e for e in self.by_id.values() if e.idle), key=lambda e: e.idle[0][1], default=None)
+        if endpoint is not None:
+            self.close(endpoint, endpoint.idle.popleft()[0])
+        return endpoint is not None
 
     def sweep(self):
-        """Closes what has been idle for long; a task without end."""
+        """Closes connections that have been idle for `idle_time`; runs until cancelled."""
         while True:
-            yield Sleep(max(SWEEP_LEAST, self.limits.idle_time // 4))
-            for place in list(self.by_id.values()):
-                while place.idle and self.loop.now() - place.idle[0][1] >= self.limits.idle_time:
-                    self.close(place, place.idle.popleft()[0])
+            yield Sleep(max(MIN_SWEEP_PERIOD_US, self.limits.idle_time // 4))
+            for endpoint in list(self.by_id.values()):
+                while endpoint.idle and self.loop.now() - endpoint.idle[0][1] >= self.limits.idle_time:
+                    self.close(endpoint, endpoint.idle.popleft()[0])
 
     def counts(self) -> dict:
+        """Connections, state and build of each instance, for `/-/status`."""
         return {
             id: {
-                "open": place.open_count,
-                "idle": len(place.idle),
-                "state": place.row["state"],
-                "build": place.row["build"],
+                "open": endpoint.open_count,
+                "idle": len(endpoint.idle),
+                "state": endpoint.row["state"],
+                "build": endpoint.row["build"],
             }
-            for id, place in self.by_id.items()
+            for id, endpoint in self.by_id.items()
         }
--- a/cobaltpond/gateway/forward_results.py
+++ b/cobaltpond/gateway/forward_results.py
@@ -1,69 +1,83 @@
-"""How each way in which a forward can end maps onto one `ForwardResult` of the decisions, and why.
+"""Maps each way in which a forward can end to one `ForwardResult` of the decisions, with the reason.
 
-The rules hang on one question: may the hit have run? "unreachable", "full" and "moot" say that it has not;
-all others leave it open. When in doubt it is open.
+The mapping depends on whether the hit may have run at the instance. "unreachable", "full" and "moot" state
+that it has not run; all other results leave that open, and so does every doubtful case.
 """
 
 from cobaltpond.wire.http1 import MessageHead
 
+# header field of a response by which an instance states that it has not run the hit
 NOT_RUN_FIELD = b"cobaltpond-not-run"
 
-# what was seen -> (ending, reason)
+# observation -> (result, reason)
 FORWARD_RESULTS = {
-    "refused": ("unreachable", "the dial was refused: no byte of the hit has left"),
-    "no route": ("unreachable", "the dial failed: no byte of the hit has left"),
-    "dial too slow": ("unreachable", "no connection in time: no byte of the hit has left"),
-    "no handle": ("unreachable", "this process may open no more sockets: no byte of the hit has left"),
-    "no connection free": ("unreachable", "the limit of connections to that instance: no byte has left"),
+    "refused": ("unreachable", "the dial was refused: no byte of the hit was sent"),
+    "no route": ("unreachable", "the dial failed: no byte of the hit was sent"),
+    "dial too slow": ("unreachable", "no connection in time: no byte of the hit was sent"),
+    "no handle": ("unreachable", "this process may open no more sockets: no byte of the hit was sent"),
+    "no connection free": (
+        "unreachable",
+        "the limit of connections to that instance is reached: no byte was sent",
+    ),
     "not our turn": (
         "unreachable",
-        "its kept connections had ended, and of the new ones that an instance bears from "
-        "all gateways none was ours now: no byte has left",
+        "its idle connections had closed, and the rate limit of dials that all gateways share "
+        "allowed no new one now: no byte was sent",
     ),
-    "turned away": ("full", "the instance answered the dial with a refusal: no byte of the hit has left"),
+    "turned away": ("full", "the instance answered the dial with a refusal: no byte of the hit was sent"),
     "no welcome": (
         "unreachable",
-        "the dial was answered with no sense or an error: no byte of the hit has left",
+        "the handshake failed with a malformed answer or an error: no byte of the hit was sent",
     ),
     "changed meanwhile": (
         "unreachable",
-        "while the dial lasted, the list or the desk took back what the decision "
-        "was built on: no byte of the hit has left",
+        "during the dial the list or the desk invalidated what the decision "
+        "was based on: no byte of the hit was sent",
     ),
     "window over": (
         "unreachable",
-        "its key was no longer remembered when it could have been sent again: the last byte " "has not left",
+        "the instance no longer remembered its key when it could have been sent again: the last byte "
+        "was not sent",
     ),
     "cut while sending": ("unreachable", "the connection broke before the last byte of the hit was written"),
     "closed while idle": (
         "unreachable",
-        "a kept connection had ended before the first byte was written, " "and no new one was to be had",
+        "an idle connection had closed before the first byte was written, " "and no new one was available",
+    ),
+    "not listed": ("unreachable", "the instance is no longer in the list: nothing was dialled"),
+    "refusal": ("full", "the instance states that it rejected the hit without running it"),
+    "answer": ("ok", "a complete response, or one whose streaming to the client has begun"),
+    "server error": ("error", "a 5xx without that statement: it may have run in part"),
+    "no sense": (
+        "error",
+        "the response is not HTTP/1.1 within the limits; the instance has received the hit",
     ),
-    "not listed": ("unreachable", "the list no longer knows that instance: nothing was dialled"),
-    "refusal": ("full", "the instance says that it sent the hit away without a look"),
-    "answer": ("ok", "a whole answer, or one beyond the point of no return"),
-    "server error": ("error", "a 5xx without that promise: it may have run half"),
-    "no sense": ("error", "the answer is no HTTP/1.1 within the limits; the instance has seen the hit"),
     "spoilt": (
         "reset",
-        "the answer broke into bytes that make no sense: the connection is of no further use, and the "
-        "hit may have run; unlike an error it is not the instance's word on the hit",
+        "the response turned into malformed bytes: the connection can't be used any more, and the "
+        "hit may have run; unlike an error this is not the instance's own result of the hit",
     ),
     "cut before an answer": (
         "reset",
-        "the connection broke after the first byte was written; also a kept "
-        "connection that ends just then: HTTP/1.1 cannot tell whether it was read",
+        "the connection broke after the first byte was written; also an idle "
+        "connection that closes just then: HTTP/1.1 cannot tell whether it was read",
+    ),
+    "cut in the answer": ("reset", "the response broke off before its streaming to the client began"),
+    "too late": ("timeout", "no complete response within the time-out"),
+    "called off": ("cancelled", "the decisions cancelled it; the connection was closed"),
+    "nothing to send": (
+        "moot",
+        "its body was streamed and is no longer buffered, or the hit already has its final answer",
     ),
-    "cut in the answer": ("reset", "the answer broke off before the point of no return"),
-    "too late": ("timeout", "no whole answer in the time given"),
-    "called off": ("cancelled", "the decisions called it off; the connection was closed"),
-    "nothing to send": ("moot", "its body has passed and was not kept, or the hit has its final answer"),
 }
 
 
 def classify_response(head: MessageHead, refusals: tuple[int, ...]) -> str:
-    """The key in SEEN for a whole answer. A refusal is a status that the sheet names as one, or an answer
-    that carries `Cobaltpond-Not-Run`: nothing else promises that the hit did not run."""
+    """The key of FORWARD_RESULTS for a complete response.
+
+    A refusal is a status that the settings list in `refusals`, or a response with the field
+    `Cobaltpond-Not-Run`: nothing else promises that the hit did not run.
+    """
     if head.status in refusals or head.get(NOT_RUN_FIELD) is not None:
         return "refusal"
     return "server error" if head.status >= 500 else "answer"
--- a/cobaltpond/gateway/forwards.py
+++ b/cobaltpond/gateway/forwards.py
@@ -1,10 +1,10 @@
-"""Carries out one forward: a connection, the hit's bytes out, the answer in, one `ForwardResult` at the end.
+"""Runs one forward: acquires a connection, sends the request, reads the response, reports the result.
 
-The point of no return: an answer is held back until it is whole, or until `door.hold` bytes of it are here.
-Until then nothing has gone to the client, and the hit may still be forwarded again by whatever the decisions
-say. From the first byte sent to the client on, the hit belongs to this forward: its time-out and the client's
-no longer run, it can't be called off, and if the instance breaks off, so does the client's answer (its
-connection is closed, which a client sees as an answer cut short, never as a whole one).
+Commit point: a response is buffered until it is complete or exceeds `door.hold` bytes. Until then nothing has
+been sent to the client, and the decisions may forward the hit again. From the first byte sent to the client
+on, the hit is committed to this forward: the time-outs of the forward and of the client no longer apply, the
+forward can't be cancelled, and if the instance breaks off, the client's connection is aborted, so that the
+client sees a truncated response and never takes it for a complete one.
 """
 
 from cobaltpond.gateway.body_buffer import BodyBuffer, BodyDiscardedError, BodyTruncatedError
@@ -13,65 +13,83 @@
 from cobaltpond.loop import ConnectionLostError, Deadline, DeadlineExceededError
 from cobaltpond.wire import http1, orca
 
-ANSWER_HEAD = 64 << 10
+MAX_RESPONSE_HEAD_BYTES = 64 << 10
 
 
 class Forwards:
-    def __init__(self, loop, places: EndpointPool, sheet, who: str):
-        self.loop, self.endpoints, self.settings, self.who = loop, places, sheet, who
+    """Runs the forwards and probes of one gateway.
+
+    `sender`: the value of the field `Cobaltpond-From`. `observations`: how often each key of FORWARD_RESULTS
+    occurred.
+    """
+
+    def __init__(self, loop, endpoints: EndpointPool, settings, sender: str):
+        self.loop, self.endpoints, self.settings, self.sender = loop, endpoints, settings, sender
         self.observations = dict.fromkeys(FORWARD_RESULTS, 0)
 
     def run_forward(
-        self, hit, number: int, place: InstanceEndpoint, time_out: int, send_within: int | None, tell
+        self,
+        hit,
+        number: int,
+        endpoint: InstanceEndpoint,
+        time_out: int,
+        send_within: int | None,
+        report_result,
     ):
-        """A task. `send_within`: not written later than that. `tell(ending, took, closed, report)` is called
-        exactly once, also when it is cancelled."""
-        sent, seen, report, closed = self.loop.now(), "called off", {}, False
-        run = ForwardAttempt(self, hit, number, place, time_out, send_within)
+        """Runs one forward; the body of a task. Times are microseconds.
+
+        `send_within`: nothing is written later than that; None: within `time_out`. `report_result(result,
+        duration, hit_final, load_report)` is called exactly once, also on cancellation.
+        """
+        began, seen, load_report, hit_final = self.loop.now(), "called off", {}, False
+        run = ForwardAttempt(self, hit, number, endpoint, time_out, send_within)
         try:
             try:
                 with Deadline(self.loop, time_out):
                     seen = yield from run.first_part()
             except DeadlineExceededError:
-                seen = "too late" if run.wrote else "dial too slow"
-            took = self.loop.now() - sent
-            report = orca.parse_load_report(run.head.get(orca.HEADER)) if run.head else {}
+                seen = "too late" if run.has_written else "dial too slow"
+            duration = self.loop.now() - began
+            load_report = orca.parse_load_report(run.head.get(orca.HEADER)) if run.head else {}
             if seen == "answer":
-                closed = True
+                hit_final = True
                 if run.streaming:
                     seen = yield from run.stream()
                 elif not hit.final:
-                    hit.deliver(run.head, b"".join(run.body), place)
+                    hit.deliver(run.head, b"".join(run.body), endpoint)
         finally:
             run.close(reuse=seen in ("answer", "refusal", "server error"))
             self.observations[seen] += 1
             if seen in ("called off", "too late", "dial too slow") or run.head is None:
-                took = self.loop.now() - sent
-            tell(FORWARD_RESULTS[seen][0], took, closed or hit.final, report)
+                duration = self.loop.now() - began
+            report_result(FORWARD_RESULTS[seen][0], duration, hit_final or hit.final, load_report)
 
-    def run_probe(self, place: InstanceEndpoint, tell):
-        """A task: one cheap question to an instance. `tell(ending, took, report)`."""
-        sent, seen, head = self.loop.now(), "called off", None
+    def run_probe(self, endpoint: InstanceEndpoint, report_result):
+        """Sends one request for the probe page; the body of a task.
+
+        `report_result(result, duration, load_report)` is called exactly once; duration in microseconds.
+        """
+        began, seen, head = self.loop.now(), "called off", None
         run = ForwardAttempt(
-            self, Probe(self.settings.instances.probe_path), 0, place, self.settings.instances.probe_time
+            self, Probe(self.settings.instances.probe_path), 0, endpoint, self.settings.instances.probe_time
         )
         try:
             with Deadline(self.loop, self.settings.instances.probe_time):
                 seen = yield from run.first_part()
             head = run.head
         except DeadlineExceededError:
-            seen = "too late" if run.wrote else "dial too slow"
+            seen = "too late" if run.has_written else "dial too slow"
         finally:
             run.close(reuse=seen in ("answer", "refusal", "server error"))
-            tell(
+            report_result(
                 FORWARD_RESULTS[seen][0],
-                self.loop.now() - sent,
+                self.loop.now() - began,
                 orca.parse_load_report(head.get(orca.HEADER)) if head else {},
             )
 
 
 class Probe:
-    """Stands where a hit does."""
+    """The request of a probe, in the place of a hit."""
 
     def __init__(self, path):
         self.final, self.name, self.request_body = False, "probe", BodyBuffer(1024)
@@ -80,37 +98,46 @@
 
 
 class ForwardAttempt:
-    """One forward under way."""
+    """One forward while it runs.
+
+    `number`: of this forward among those of its hit. `time_out` and `send_within` in microseconds from now.
+    `head`, `body` and `body_size`: the response as far as it is read. `streaming`: the hit is committed.
+    """
 
-    def __init__(self, forwards, hit, number, place, time_out, send_within=None):
-        self.forwards, self.loop, self.hit, self.number, self.place = (
+    def __init__(self, forwards, hit, number, endpoint, time_out, send_within=None):
+        self.forwards, self.loop, self.hit, self.number, self.endpoint = (
             forwards,
             forwards.loop,
             hit,
             number,
-            place,
+            endpoint,
+        )
+        self.deadline = self.loop.now() + time_out
+        self.send_deadline = None if send_within is None else self.loop.now() + send_within
+        self.connection, self.writer, self.has_written = None, None, False
+        self.head, self.body, self.body_size = None, [], 0
+        self.response_ended = self.streaming = self.begun = False
+        limits = http1.MessageLimits(
+            head=MAX_RESPONSE_HEAD_BYTES, body=forwards.settings.instances.answer_limit
         )
-        self.end_at = self.loop.now() + time_out
-        self.send_by = None if send_within is None else self.loop.now() + send_within
-        self.connection, self.writer, self.wrote = None, None, False
-        self.head, self.body, self.size = None, [], 0
-        self.ended = self.streaming = self.begun = False
-        limits = http1.MessageLimits(head=ANSWER_HEAD, body=forwards.settings.instances.answer_limit)
         self.parser = http1.ResponseParser(limits, hit.head.method == "HEAD")
 
     def first_part(self):
-        """Up to the whole answer or the point of no return; gives a key of SEEN."""
+        """Runs the forward up to the complete response or the commit point.
+
+        Returns the key of FORWARD_RESULTS. It is "answer" with `streaming` set at the commit point.
+        """
         if self.hit.final:
             return "nothing to send"
         while True:
             try:
                 self.hit.request_body.rewind()
-                self.connection, kept = yield from self.forwards.endpoints.acquire(self.place)
+                self.connection, reused = yield from self.forwards.endpoints.acquire(self.endpoint)
             except BodyDiscardedError:
                 return "nothing to send"
-            except NoConnectionError as trouble:
-                return str(trouble)
-            if self.send_by is not None and self.loop.kernel.now() >= self.send_by:
+            except NoConnectionError as error:
+                return str(error)
+            if self.send_deadline is not None and self.loop.kernel.now() >= self.send_deadline:
                 self.close(reuse=True)  # nothing was written to it
                 return "window over"
             try:
@@ -119,112 +146,126 @@
             except BodyDiscardedError:
                 return "nothing to send"
             except ConnectionLostError:
-                if self.wrote:
-                    break  # the answer may have come before the end: read on
-                self.close(reuse=False)  # an idle connection that ended: nothing left on it
-                if not kept:
+                if self.has_written:
+                    break  # the response may have arrived before the connection broke
+                self.close(reuse=False)  # a reused connection that had closed: nothing was sent on it
+                if not reused:
                     return "closed while idle"
         try:
             return (yield from self.receive())
-        except http1.HttpMessageError as trouble:
-            if not isinstance(trouble, http1.TruncatedMessageError):
+        except http1.HttpMessageError as error:
+            if not isinstance(error, http1.TruncatedMessageError):
                 return "no sense"
             return "cut in the answer" if self.parser.begun else "cut before an answer"
         except ConnectionLostError:
             return "cut in the answer" if self.head else "cut before an answer"
 
     def send(self):
-        head, whole = self.hit.head, self.hit.request_body.complete_body
+        """Writes the request as far as the socket accepts it at once; `writer` sends the rest.
+
+        Raises BodyDiscardedError and ConnectionLostError.
+        """
+        head, body = self.hit.head, self.hit.request_body.complete_body
         timeout = self.forwards.settings.door.timeout_field.encode()
         fields = http1.end_to_end_fields(
             head.fields, {b"expect", b"cobaltpond-hit", b"cobaltpond-from", timeout}
         )
-        left = max(1, (self.end_at - self.loop.now()) // 1000)
+        remaining_ms = max(1, (self.deadline - self.loop.now()) // 1000)
         fields += [
-            (timeout, b"%d" % left),  # what is past it the instance need not begin
+            (timeout, b"%d" % remaining_ms),  # the instance need not begin the work after that time
             (b"cobaltpond-hit", self.hit.name.encode()),
-            (b"cobaltpond-from", self.forwards.who.encode()),
+            (b"cobaltpond-from", self.forwards.sender.encode()),
             (b"cobaltpond-forward", b"%d" % self.number),
         ]
         length = head.get(b"content-length")
-        if whole is None and length is not None:  # streamed, but of a stated length
+        if body is None and length is not None:  # streamed, with a known length
             fields.append((b"content-length", length))
             data = http1.request_head(head.method, head.target, fields)
         else:
-            data = http1.request(head.method, head.target, fields, whole)
-        sent = self.connection.write_now(data)
-        self.wrote = sent > 0
-        if whole is None or sent < len(data):
+            data = http1.request(head.method, head.target, fields, body)
+        written = self.connection.write_now(data)
+        self.has_written = written > 0
+        if body is None or written < len(data):
             self.writer = self.loop.spawn(
-                self.send_rest(data[sent:], whole is None, length is None), "forward-body"
+                self.send_rest(data[written:], body is None, length is None), "forward-body"
             )
         return
         yield
 
     def send_rest(self, data, streamed, chunked):
-        """The rest of the hit; an answer may come before all of it is sent."""
+        """Sends the rest of the request; the response may arrive before all of it is sent.
+
+        `streamed`: the body follows from the buffer after `data`. `chunked`: in the chunked transfer coding.
+        """
         try:
             yield from self.connection.write(data)
             while streamed:
-                piece = yield from self.hit.request_body.read()
-                if piece or chunked:
-                    yield from self.connection.write(http1.encode_chunk(piece) if chunked else piece)
-                if not piece:
+                chunk = yield from self.hit.request_body.read()
+                if chunk or chunked:
+                    yield from self.connection.write(http1.encode_chunk(chunk) if chunked else chunk)
+                if not chunk:
                     return
         except ConnectionLostError:
-            pass  # the reading side finds out what that means
+            pass  # `receive` reads what has arrived and classifies the failure
         except BodyTruncatedError:
             self.connection.abort()
 
     def receive(self):
-        hold = self.forwards.settings.door.hold
-        while not self.ended:
+        """Reads the response up to its end or the commit point; returns the key of FORWARD_RESULTS."""
+        stream_above = self.forwards.settings.door.hold
+        while not self.response_ended:
             self.apply_events(*(yield from self.read_events()))
-            if self.head and not self.ended and self.size > hold:
+            if self.head and not self.response_ended and self.body_size > stream_above:
                 seen = classify_response(self.head, self.forwards.settings.instances.refusals)
                 if seen != "answer" or self.hit.final:
-                    self.connection.abort()  # not worth reading to its end
+                    self.connection.abort()  # the rest of this response has no use
                     return seen
                 self.streaming = True
                 return seen
         return classify_response(self.head, self.forwards.settings.instances.refusals)
 
     def read_events(self):
+        """Waits for data; returns (events of the parser, whether the connection has ended)."""
         data = yield from self.connection.read()
         return self.parser.feed(data) if data else self.parser.closed(), data == b""
 
     def apply_events(self, events, closed):
+        """Applies parser events to the response. A connection with surplus data is not reused."""
         for kind, value in events:
-            if self.ended:  # an instance that answers twice is heard once
+            if self.response_ended:  # a second response on the connection is ignored
                 self.head.keep_alive = False
                 return
             if kind == "head":
                 self.head = value
             elif kind == "body":
                 self.body.append(value)
-                self.size += len(value)
+                self.body_size += len(value)
             else:
-                self.ended = True
+                self.response_ended = True
         if closed:
             self.head.keep_alive = False
 
     def stream(self):
-        """Beyond the point of no return: reads only as fast as the client takes it."""
+        """Streams the committed response, reading only as fast as the client accepts it.
+
+        Returns the key of FORWARD_RESULTS. Where either side breaks off, the client's connection is aborted.
+        """
         try:
-            yield from self.hit.start_stream(self.head, self.place)
+            yield from self.hit.start_stream(self.head, self.endpoint)
             while True:
-                body, self.body = b"".join(self.body), []
-                yield from self.hit.send_chunk(body)
-                if self.ended:
+                data, self.body = b"".join(self.body), []
+                yield from self.hit.send_chunk(data)
+                if self.response_ended:
                     break
                 self.apply_events(*(yield from self.read_events()))
             yield from self.hit.finish_stream()
             return "answer"
-        except (ConnectionLostError, http1.HttpMessageError, DeadlineExceededError) as trouble:
-            self.hit.break_off(str(trouble))
+        except (ConnectionLostError, http1.HttpMessageError, DeadlineExceededError) as error:
+            self.hit.break_off(str(error))
             return "cut in the answer" if not self.hit.client_gone else "answer"
 
     def close(self, reuse):
+        """Stops the writer and returns or closes the connection; only a complete exchange is reused."""
         if self.writer is not None and not self.writer.done:
             reuse = False
             self.writer.cancel()
@@ -233,14 +274,15 @@
             return
         if (
             reuse
-            and self.ended
+            and self.response_ended
             and self.head.keep_alive
             and not self.parser.no_body
             and not connection.closed
         ):
-            self.forwards.endpoints.release(self.place, connection)
+            self.forwards.endpoints.release(self.endpoint, connection)
         else:
-            # With a reset, what the instance has not got yet is never sent to it. An orderly close goes on
-            # sending over a cut until it heals: a tagged hit then ran seconds after its repeat, past the time
-            # that repeats are dropped, and took effect twice (found by the bad day, seed 2).
-            self.forwards.endpoints.close(self.place, connection, reset=not self.ended)
+            # A reset discards what the instance has not received yet. After an orderly close the kernel goes
+            # on retransmitting through a network partition until it heals: a tagged hit then ran seconds
+            # after its retry, past the window in which duplicates are dropped, and took effect twice (found
+            # by the scenario `bad day`, seed 2).
+            self.forwards.endpoints.close(self.endpoint, connection, reset=not self.response_ended)
--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -1,10 +1,10 @@
-"""Follows the list of instances: a pushed stream, or a watch that is asked for; keeps a copy on disk.
+"""Follows the list of instances, by a pushed stream or by polling, and keeps a copy of it on disk.
 
-Each object of the list is `{"epoch", "revision", "base", "rows"}`: `base` null is the whole list, else a
-change to revision `base` of the same epoch. A change that does not fit what is held is a gap: the whole list
-is asked for. A row's `age_us` says how long the instance had been up when the row was written; its start on
-this gateway's own clock is worked out once for each `start` mark, so that a restart, and nothing else, moves
-it.
+Each object of the list is `{"epoch", "revision", "base", "rows"}`. With `base` null it is the whole list,
+else a change to revision `base` of the same epoch. A change that does not apply to the stored list is a gap:
+the whole list is then requested. A row's `age_us` states how long the instance had been up when the row was
+written. Its start on this gateway's clock is computed once for each value of `start`, so that only a restart
+moves it.
 """
 
 import json
@@ -19,36 +19,43 @@
 from cobaltpond.wire.json_lines import JsonLineError, JsonLineParser
 
 STATES = ("up", "draining", "gone")
-ANSWERS_FOR = 30_000_000  # so long ago an answer speaks for an instance
+ANSWER_VALID_US = 30_000_000  # an instance counts as answering for so long after its last answer
 
 
 class ListGapError(Exception):
-    """A change to a list that is not the one held."""
+    """A change does not apply to the stored revision of the list."""
 
 
 class InstanceList:
-    """The list as last heard. Free of I/O."""
+    """The list as last received. Does no I/O.
+
+    `rows`: by instance id, as received, with `at`: the loop time of the receipt. `starts`: (id, start) to the
+    time of the start on this gateway's clock, in microseconds.
+    """
 
     def __init__(self):
         self.epoch, self.revision, self.rows, self.starts = None, 0, {}, {}
 
     def apply(self, now: int, told: dict) -> tuple[bool, list]:
-        """(whole, rows for the decisions with their addresses). Raises ListGapError, or JsonLineError on what
-        is no list."""
+        """Applies one object of the list; returns (whether it is the whole list, [(row, address), ...]).
+
+        The rows are in the form that the decisions get. Raises ListGapError, and JsonLineError on a malformed
+        object.
+        """
         try:
             whole = told["base"] is None
             if not whole and (told["epoch"], told["base"]) != (self.epoch, self.revision):
                 if told["epoch"] == self.epoch and told["revision"] <= self.revision:
-                    return False, []  # heard already, over another connection
+                    return False, []  # received already, over another connection
                 raise ListGapError(
                     f"a change to {told['epoch']}/{told['base']}, held is {self.epoch}/{self.revision}"
                 )
             if whole and told["epoch"] == self.epoch and told["revision"] < self.revision:
-                return False, []  # an answer that was overtaken
-            rows = [self.row(now, entry) for entry in told["rows"]]
+                return False, []  # a response that a newer one has overtaken
+            rows = [self.parse_row(now, entry) for entry in told["rows"]]
             self.epoch, self.revision = told["epoch"], int(told["revision"])
-        except (KeyError, TypeError, ValueError, AttributeError) as trouble:
-            raise JsonLineError(f"no list: {trouble!r}") from trouble
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            raise JsonLineError(f"malformed list object: {error!r}") from error
         if whole:
             self.rows = {}
         for entry in told["rows"]:
@@ -57,15 +64,19 @@
             else:
                 self.rows[entry["id"]] = {**entry, "at": now}
         known = {(id, entry["start"]) for id, entry in self.rows.items()}
-        self.starts = {mark: at for mark, at in self.starts.items() if mark in known}
+        self.starts = {start_key: at for start_key, at in self.starts.items() if start_key in known}
         return whole, rows
 
-    def row(self, now: int, entry: dict) -> tuple[dict, tuple]:
+    def parse_row(self, now: int, entry: dict) -> tuple[dict, tuple]:
+        """Returns (row for the decisions, address).
+
+        Raises KeyError, TypeError or ValueError on a malformed entry.
+        """
         if entry["state"] not in STATES:
             raise ValueError(f"state {entry['state']!r}")
-        mark = entry["id"], entry["start"]
-        if mark not in self.starts:
-            self.starts[mark] = now - int(entry["age_us"])
+        start_key = entry["id"], entry["start"]
+        if start_key not in self.starts:
+            self.starts[start_key] = now - int(entry["age_us"])
         address = split_address(entry["address"])
         return {
             "id": str(entry["id"]),
@@ -74,11 +85,11 @@
             "zone": entry["zone"],
             "state": entry["state"],
             "weight": entry.get("weight", 1),
-            "started": self.starts[mark],
+            "started": self.starts[start_key],
         }, address
 
     def to_disk(self, now: int) -> bytes:
-        """What goes to disk, with a checksum: a torn file is found out."""
+        """The list as file content; its checksum detects a file that was written only in part."""
         rows = [
             {**{k: v for k, v in entry.items() if k != "at"}, "age_us": entry["age_us"] + now - entry["at"]}
             for entry in self.rows.values()
@@ -89,7 +100,7 @@
         return b"%08x %s\n" % (zlib.crc32(body), body)
 
     def draining_tags(self) -> list[int]:
-        """Tags of those that drain by it, as gateways tell each other of instances."""
+        """The tags of the draining instances, as gateways identify instances to each other."""
         return [
             SampleMessage.instance_tag(id, entry["build"])
             for id, entry in self.rows.items()
@@ -98,57 +109,66 @@
 
     @staticmethod
     def from_disk(data: bytes | None) -> dict | None:
-        """None where nothing whole is there."""
-        mark, _, body = (data or b"").rstrip(b"\n").partition(b" ")
+        """Parses file content; None where it is absent, incomplete or corrupt."""
+        checksum, _, body = (data or b"").rstrip(b"\n").partition(b" ")
         try:
-            return json.loads(body) if int(mark, 16) == zlib.crc32(body) else None
+            return json.loads(body) if int(checksum, 16) == zlib.crc32(body) else None
         except ValueError:
             return None
 
 
 class InstanceListFollower:
-    def __init__(self, loop, sheet, place, host, log):
-        self.loop, self.settings, self.host, self.log = loop, sheet, host, log
-        self.address, self.memory = split_address(sheet.listing.address), place.memory
-        self.instance_list, self.has_heard, self.dirty = InstanceList(), False, False
-        self.on_applied = lambda: None  # called whenever the list has been applied
+    """Receives the list, applies it to the endpoints and the decisions, and keeps the copy on disk.
+
+    `gateway_settings`: this gateway's section; its `memory` is the path of the copy, empty for none.
+    `has_heard`: whether a list has been received since the start.
+    """
+
+    def __init__(self, loop, settings, gateway_settings, host, log):
+        self.loop, self.settings, self.host, self.log = loop, settings, host, log
+        self.address, self.copy_path = split_address(settings.listing.address), gateway_settings.memory
+        self.instance_list, self.has_heard, self.needs_write = InstanceList(), False, False
+        self.on_applied = lambda: None  # called after each object that was applied
         self.reconciler, self.kept_list = (
             ListReconciler(self.is_answering),
             {},
-        )  # rows of the kept list, until one has been heard
-        self.waits = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
+        )  # the list restored from disk, empty once a list has been received
+        self.backoff = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
         self.counts = {"applied": 0, "gaps": 0, "errors": 0}
 
     def restore_kept_list(self) -> None:
-        """The list as it was kept: it may be out of date, and its revision is not built upon."""
-        told = InstanceList.from_disk(self.loop.kernel.read_file(self.memory)) if self.memory else None
-        if told is not None:
+        """Applies the copy on disk. It may be out of date, so no change is applied on top of its revision."""
+        stored = (
+            InstanceList.from_disk(self.loop.kernel.read_file(self.copy_path)) if self.copy_path else None
+        )
+        if stored is not None:
             try:
-                _, rows = InstanceList().apply(self.loop.now(), told)
-            except JsonLineError as trouble:
-                self.log.warning("kept list unreadable", why=str(trouble))
+                _, rows = InstanceList().apply(self.loop.now(), stored)
+            except JsonLineError as error:
+                self.log.warning("stored list unreadable; starting without one", why=str(error))
                 return
             self.kept_list = {
-                "epoch": told["epoch"],
+                "epoch": stored["epoch"],
                 "rows": {
                     row["id"]: {**row, "at": self.loop.now()}
-                    for row in told["rows"]
+                    for row in stored["rows"]
                     if row["state"] != "gone"
                 },
             }
-            self.reconciler.record_rows(told["rows"])
+            self.reconciler.record_rows(stored["rows"])
             self.host.endpoints.update(True, rows)
             self.host.post_event_first("on_list", True, [row for row, _ in rows])
-            self.log.info("list recalled", revision=told["revision"], rows=len(rows))
+            self.log.info("list restored from disk", revision=stored["revision"], rows=len(rows))
 
-    def apply_object(self, told: dict) -> None:
-        if told.get("beat"):
+    def apply_object(self, message: dict) -> None:
+        """Applies one object of the list; a heartbeat is ignored. Raises as `InstanceList.apply`."""
+        if message.get("beat"):
             return
-        told = self.reconcile(told)
-        whole, rows = self.instance_list.apply(self.loop.now(), told)
-        self.reconciler.record_rows(told["rows"])
-        self.reconciler.apply_change(() if whole else told["rows"])
-        self.has_heard, self.dirty, self.kept_list = True, True, {}
+        message = self.reconcile(message)
+        whole, rows = self.instance_list.apply(self.loop.now(), message)
+        self.reconciler.record_rows(message["rows"])
+        self.reconciler.apply_change(() if whole else message["rows"])
+        self.has_heard, self.needs_write, self.kept_list = True, True, {}
         self.on_applied()
         if rows or whole:
             self.counts["applied"] += 1
@@ -161,9 +181,12 @@
                 rows=[f"{r['id']} {r['state']} build {r['build']}" for r, _ in rows][:20],
             )
 
-    def reconcile(self, told: dict) -> dict:
-        """A whole list of another epoch than the one held, or kept, is looked at before it is obeyed. What is
-        no list at all is left to `InstanceList.apply`."""
+    def reconcile(self, message: dict) -> dict:
+        """Filters a whole list of another epoch than the current one, or than the one on disk.
+
+        Rows that contradict what this gateway knows are replaced, see `ListReconciler`. A malformed object is
+        returned unchanged; `InstanceList.apply` rejects it.
+        """
         epoch = (
             self.instance_list.epoch if self.instance_list.epoch is not None else self.kept_list.get("epoch")
         )
@@ -172,41 +195,49 @@
             if self.instance_list.epoch is not None
             else self.kept_list.get("rows", {})
         )
-        if epoch is None or told.get("base", 0) is not None or told.get("epoch") == epoch:
-            return told
+        if epoch is None or message.get("base", 0) is not None or message.get("epoch") == epoch:
+            return message
         now = self.loop.now()
-        held = {
+        current_rows = {
             id: {k: v for k, v in {**row, "age_us": row["age_us"] + now - row["at"]}.items() if k != "at"}
             for id, row in rows.items()
         }
         try:
-            obeyed = self.reconciler.filter_whole_list(now, held, told["rows"])
+            accepted_rows = self.reconciler.filter_whole_list(now, current_rows, message["rows"])
         except (KeyError, TypeError, ValueError):
-            return told
-        if len(obeyed) != len(told["rows"]) or obeyed != told["rows"]:
+            return message
+        if len(accepted_rows) != len(message["rows"]) or accepted_rows != message["rows"]:
             self.log.warning(
-                "list doubted", epoch=told.get("epoch"), rows=len(told["rows"]), **self.reconciler.counts
+                "list doubted",
+                epoch=message.get("epoch"),
+                rows=len(message["rows"]),
+                **self.reconciler.counts,
             )
-        return {**told, "rows": obeyed}
+        return {**message, "rows": accepted_rows}
 
     def is_answering(self, id: str, now: int) -> bool:
-        """For all that this gateway knows, does the instance still answer? One not asked yet is not held for
-        gone."""
+        """Whether the instance still answers, as far as this gateway knows.
+
+        False while it is ejected, failing, or silent for ANSWER_VALID_US; true where it was not contacted yet.
+        One that the decisions do not know counts as answering only until a list has been received.
+        """
         fleet = getattr(self.host.decisions, "fleet", None)
         instance = fleet.by_id.get(id) if fleet is not None else None
         if instance is None:
             return not self.has_heard
         if now < instance.ejected_until or instance.faults > 0.5:
             return False
-        return not instance.heard_at or now - instance.heard_at < ANSWERS_FOR
+        return not instance.heard_at or now - instance.heard_at < ANSWER_VALID_US
 
     def resolve_doubts(self):
-        """Ends the doubt about instances that a new epoch of the list has lost: for ever."""
+        """Removes instances that a new epoch of the list lost, once they are due; runs until cancelled."""
         while True:
             yield Sleep(1_000_000)
             rows = self.reconciler.due_rows(self.loop.now())
             if rows:
-                self.log.warning("gone after all", rows=[row["id"] for row in rows][:20])
+                self.log.warning(
+                    "removing instances that the new list has lost", rows=[row["id"] for row in rows][:20]
+                )
                 self.apply_object(
                     {
                         "epoch": self.instance_list.epoch,
@@ -216,86 +247,102 @@
                     }
                 )
 
-    def query(self, whole: bool, stream: bool) -> str:
-        asked = {"gateway": self.host.number}
+    def request_target(self, whole: bool, stream: bool) -> str:
+        """The request target: for the whole list or what has changed, once or as a stream."""
+        arguments = {"gateway": self.host.number}
         if stream:
-            asked["watch"] = 1
+            arguments["watch"] = 1
         if not whole and self.instance_list.epoch is not None:
-            asked.update(epoch=self.instance_list.epoch, after=self.instance_list.revision)
-        return "/v1/list?" + urlencode(asked)
+            arguments.update(epoch=self.instance_list.epoch, after=self.instance_list.revision)
+        return "/v1/list?" + urlencode(arguments)
 
     def follow_pushed(self):
-        """The pushed stream, for ever."""
-        whole = [False]
+        """Follows the pushed stream until cancelled.
+
+        Reconnects after a delay, with the whole list after a gap.
+        """
+        needs_whole = [False]
 
         def target():
-            asked, whole[0] = self.query(whole[0], True), False
-            return asked
+            request_target, needs_whole[0] = self.request_target(needs_whole[0], True), False
+            return request_target
 
-        def take(told):
-            for one in told:
-                self.apply_object(one)
+        def on_messages(messages):
+            for message in messages:
+                self.apply_object(message)
 
-        def broken(trouble):
-            whole[0] = isinstance(trouble, ListGapError)
-            self.counts["gaps" if whole[0] else "errors"] += 1
+        def on_broken(error):
+            needs_whole[0] = isinstance(error, ListGapError)
+            self.counts["gaps" if needs_whole[0] else "errors"] += 1
             self.log.warning(
-                "list gap" if whole[0] else "list broken", why=f"{type(trouble).__name__}: {trouble}"
+                "list gap; requesting the whole list"
+                if needs_whole[0]
+                else "list stream broken; reconnecting",
+                why=f"{type(error).__name__}: {error}",
             )
 
         yield from follow_stream(
             self.loop,
             self.address,
             target,
-            take,
+            on_messages,
             self.settings.listing.silence,
             self.settings.instances.dial_time,
-            self.waits,
-            broken,
+            self.backoff,
+            on_broken,
             (ListGapError,),
         )
 
     def request_list(self, whole: bool):
-        """One call: what has changed since, or all. The decisions hear of it either way."""
+        """Polls once for what has changed, or for the whole list.
+
+        The decisions always get one event, `on_list` or `on_list_error`. A gap in a change is followed by a
+        request for the whole list.
+        """
         try:
             with Deadline(self.loop, self.settings.listing.ask_within // 3):
                 status, body = yield from call(
                     self.loop,
                     self.address,
                     "GET",
-                    self.query(whole, False),
+                    self.request_target(whole, False),
                     b"",
                     self.settings.instances.dial_time,
                 )
             if status != 200:
                 raise JsonLineError(f"status {status}")
-            told = JsonLineParser().feed(body + b"\n")
-            before = self.counts["applied"]
-            for one in told:
-                self.apply_object(one)
-            if before == self.counts["applied"]:  # nothing new is an answer too
+            messages = JsonLineParser().feed(body + b"\n")
+            applied_before = self.counts["applied"]
+            for message in messages:
+                self.apply_object(message)
+            # the decisions wait for the reply also where nothing has changed
+            if applied_before == self.counts["applied"]:
                 self.host.post_event_first("on_list", False, [])
-        except ListGapError as trouble:
+        except ListGapError as error:
             self.counts["gaps"] += 1
-            self.log.warning("list gap", why=str(trouble))
+            self.log.warning("list gap", why=str(error))
             if whole:
                 self.host.post_event_first("on_list_error")
             else:
                 yield from self.request_list(whole=True)
-        except (*CALL_ERRORS, DeadlineExceededError) as trouble:
+        except (*CALL_ERRORS, DeadlineExceededError) as error:
             self.counts["errors"] += 1
-            self.log.warning("list call failed", why=f"{type(trouble).__name__}: {trouble}")
+            self.log.warning("list call failed", why=f"{type(error).__name__}: {error}")
             self.host.post_event_first("on_list_error")
 
     def persist_list(self):
-        """Writes the copy at most once a second; without a sync, since it is a hint: the checksum tells."""
+        """Writes the copy at most once a second; runs until cancelled.
+
+        The file is not synced, since the copy is only a hint: its checksum detects a file that was written in
+        part.
+        """
         while True:
             yield Sleep(1_000_000)
-            if self.dirty and self.memory:
-                self.dirty = False
+            if self.needs_write and self.copy_path:
+                self.needs_write = False
                 try:
                     self.loop.kernel.replace_file(
-                        self.memory, self.instance_list.to_disk(self.loop.now()), sync=False
+                        self.copy_path, self.instance_list.to_disk(self.loop.now()), sync=False
                     )
-                except OSError as trouble:
-                    self.log.warning("list not kept", why=str(trouble))
+                except OSError as error:
+                    self.log.warning("list not written to disk; going on without a new copy", why=str(error))
--- a/cobaltpond/gateway/main.py
+++ b/cobaltpond/gateway/main.py
@@ -1,5 +1,4 @@
-"""One gateway process: puts the parts together, opens the door when list and news are there, stops in
-order."""
+"""The gateway process: wires its components, serves once list and news have arrived, stops in order."""
 
 from cobaltpond.decisions.records import RandomSource
 from cobaltpond.gateway.admission_limits import AdmissionLimits
@@ -19,66 +18,74 @@
 from cobaltpond.recovery.service import Recovery
 from cobaltpond.settings.sections import split_address
 
-REPLACED = 3  # exit code of one whose name a newer start has taken
-EVIDENCE = 3  # cold times, a little more than the module keeps its own
-START_WAIT = 10  # times the dial time: how long the door waits for news
+REPLACED = 3  # exit code of a gateway that a newer process with the same number has replaced
+EVIDENCE_COLD_TIMES = (
+    3  # the window of the shared trial counts; a little more than the decisions keep their own
+)
+START_WAIT_DIAL_TIMES = 10  # how long the start waits for list and news before clients are accepted anyway
 
 
 class GatewayProcess:
-    def __init__(self, loop: Loop, sheet, number: int, log, decisions=None):
-        self.loop, self.settings, self.number, self.log = loop, sheet, number, log
-        self.gateway_settings = sheet.gateways[number]
+    """One gateway with all its components.
+
+    `number`: of the gateway in the settings. `decisions`: the class of the decisions, None for the regular
+    one.
+    """
+
+    def __init__(self, loop: Loop, settings, number: int, log, decisions=None):
+        self.loop, self.settings, self.number, self.log = loop, settings, number, log
+        self.gateway_settings = settings.gateways[number]
         self.start = loop.kernel.random_seed() >> 40
-        self.endpoints = EndpointPool(loop, sheet.instances)
+        self.endpoints = EndpointPool(loop, settings.instances)
         self.forwards = Forwards(
-            loop, self.endpoints, sheet, f"{self.gateway_settings.zone}/{number}/{self.start:x}"
+            loop, self.endpoints, settings, f"{self.gateway_settings.zone}/{number}/{self.start:x}"
         )
         self.host = GatewayDecisionHost(
             loop,
-            sheet.policy_settings(number),
+            settings.policy_settings(number),
             self.start,
-            sheet.door.hits,
-            sheet.rules.answer_slack,
+            settings.door.hits,
+            settings.rules.answer_slack,
             self.endpoints,
             self.forwards,
             log,
         )
         self.list_follower = self.host.instance_source = InstanceListFollower(
-            loop, sheet, self.gateway_settings, self.host, log
+            loop, settings, self.gateway_settings, self.host, log
         )
-        self.desk_client = self.host.desk_client = DeskClient(loop, sheet, self.host, log)
+        self.desk_client = self.host.desk_client = DeskClient(loop, settings, self.host, log)
         self.members = None
-        if (sheet.allow.tell or sheet.members) and self.gateway_settings.peers:
-            addresses = {g.number: split_address(g.peers) for g in sheet.gateways if g.peers}
-            bound = (
+        if (settings.allow.tell or settings.members) and self.gateway_settings.peers:
+            addresses = {g.number: split_address(g.peers) for g in settings.gateways if g.peers}
+            bind_address = (
                 split_address(self.gateway_settings.bind) if self.gateway_settings.bind else addresses[number]
             )
-            self.host.peers = Peers(loop, addresses, bound, number, self.host)
-        if sheet.members:
-            self.start_membership(sheet)
-        self.frontend = Frontend(loop, sheet, self.host, log, self.status, self.members)
-        if sheet.limits:
-            self.frontend.admission_limits = AdmissionLimits(loop, sheet, number, self.members, log)
-        self.recovery = Recovery(self, RandomSource(loop.kernel.random_seed())) if sheet.recovery else None
+            self.host.peers = Peers(loop, addresses, bind_address, number, self.host)
+        if settings.members:
+            self.start_membership(settings)
+        self.frontend = Frontend(loop, settings, self.host, log, self.status, self.members)
+        if settings.limits:
+            self.frontend.admission_limits = AdmissionLimits(loop, settings, number, self.members, log)
+        self.recovery = Recovery(self, RandomSource(loop.kernel.random_seed())) if settings.recovery else None
         self.decisions, self.lag_histogram, self.stop_asked = decisions, LagHistogram(), False
         loop.on_timer_lag = self.lag_histogram.record
 
-    def start_membership(self, sheet) -> None:
-        """Membership, and what is heard of the release and of instances on its way."""
+    def start_membership(self, settings) -> None:
+        """Creates the membership service and feeds it the release state and the draining instances."""
         self.members = Members(
             self.loop,
-            {g.number: g.zone for g in sheet.gateways},
+            {g.number: g.zone for g in settings.gateways},
             self.number,
-            ProbeSettings(sheet.members.period, sheet.members.wait),
+            ProbeSettings(settings.members.period, settings.members.wait),
             self.host.peers,
-            self.post_member,
+            self.post_membership_event,
             self.describe_self,
             self.log,
             RandomSource(self.loop.kernel.random_seed()),
-            sheet.digest(),
+            settings.digest(),
             trial=self.trial_counts,
-            groups=[g.name for g in sheet.path_groups],
-            window=EVIDENCE * sheet.rules.cold_time,
+            groups=[g.name for g in settings.path_groups],
+            window=EVIDENCE_COLD_TIMES * settings.rules.cold_time,
         )
         self.desk_client.on_state = self.members.desk_news
         self.list_follower.on_applied = lambda: self.members.gossip.set_draining(
@@ -88,27 +95,34 @@
         )
 
     def trial_counts(self) -> list[tuple]:
-        """Counts of the newest build and the one before it, by path group, with how long ago the last hit
-        ended."""
+        """Counts of the newest build and the one before it.
+
+        One tuple per build and path group with hits: (build, index of the path group, hits, errored hits,
+        microseconds since the last hit ended).
+        """
         decisions, now = self.host.decisions, self.loop.now()
         newest = getattr(decisions, "newest", None)
         if newest is None:
             return []
         rows = []
         for build in (newest, newest.earlier):
-            for place, group in enumerate(self.settings.path_groups):
+            for group_index, group in enumerate(self.settings.path_groups):
                 samples = build.samples.get(group.name) if build is not None else None
                 errored, hits = build.errored.get(group.name, (0, 0)) if build is not None else (0, 0)
                 if samples and hits:
-                    rows.append((build.number, place, hits, errored, max(0, now - samples[-1].at)))
+                    rows.append((build.number, group_index, hits, errored, max(0, now - samples[-1].at)))
         return rows
 
-    def post_member(self, name: str, *arguments) -> None:
+    def post_membership_event(self, name: str, *arguments) -> None:
+        """Posts an event to the decisions.
+
+        Drops `on_members` where the settings let membership judge nothing.
+        """
         if name != "on_members" or self.settings.members.judges:
             self.host.post_event(name, *arguments)
 
     def describe_self(self) -> dict:
-        """What this gateway says of itself to the others."""
+        """The facts that this gateway sends to the others about itself."""
         ready = hasattr(self.frontend, "listener") and not self.frontend.draining
         settled = self.recovery is not None and self.recovery.phase_machine.phase == SETTLED and ready
         return {
@@ -119,7 +133,8 @@
         }
 
     def status(self) -> dict:
-        heard = self.desk_client.last
+        """The content of `/-/status`."""
+        last_news = self.desk_client.last_news
         return {
             "gateway": self.number,
             "start": f"{self.start:x}",
@@ -136,7 +151,7 @@
             "desk": {
                 **self.desk_client.counts,
                 "seen": self.desk_client.last_seen_state and self.desk_client.last_seen_state["mark"],
-                "news": heard and dict(zip(("build", "stage", "phase", "cap"), heard, strict=True)),
+                "news": last_news and dict(zip(("build", "stage", "phase", "cap"), last_news, strict=True)),
             },
             "peers": self.host.peers.counts if self.host.peers else None,
             "members": self.members.status() if self.members else None,
@@ -149,48 +164,49 @@
         }
 
     def run(self):
-        """The main task."""
+        """The main task: starts all others, serves until asked to stop, returns the exit code."""
         loop, push = self.loop, self.settings.listing.by == "push"
         if self.decisions is None:
             self.host.start_decisions()
         else:
             self.host.start_decisions(self.decisions)
         self.list_follower.restore_kept_list()
-        spaced = self.recovery.jittered if self.recovery else lambda generator: generator
-        names = [
-            (spaced(self.desk_client.follow_desk()), "news"),
+        jittered = self.recovery.jittered if self.recovery else lambda generator: generator
+        named_tasks = [
+            (jittered(self.desk_client.follow_desk()), "news"),
             (self.list_follower.persist_list(), "list-keep"),
             (self.endpoints.sweep(), "sweep"),
             (self.list_follower.resolve_doubts(), "list-doubts"),
         ]
         if push:
-            names.append((spaced(self.list_follower.follow_pushed()), "list"))
+            named_tasks.append((jittered(self.list_follower.follow_pushed()), "list"))
         if self.frontend.admission_limits and self.frontend.admission_limits.leases:
-            names.append((self.frontend.admission_limits.leases.run(), "leases"))
+            named_tasks.append((self.frontend.admission_limits.leases.run(), "leases"))
         if self.recovery:
-            names.append((self.recovery.run(), "recovery"))
+            named_tasks.append((self.recovery.run(), "recovery"))
         if self.host.peers:
-            names.append((self.host.peers.listen(), "peers"))
+            named_tasks.append((self.host.peers.listen(), "peers"))
         if self.members:
-            names.append((self.members.run(), "members"))
-        for generator, name in names:
+            named_tasks.append((self.members.run(), "members"))
+        for generator, name in named_tasks:
             loop.spawn(generator, name)
-        end = loop.now() + START_WAIT * self.settings.instances.dial_time
+        wait_until = loop.now() + START_WAIT_DIAL_TIMES * self.settings.instances.dial_time
         while (
-            loop.now() < end
+            loop.now() < wait_until
             and not (self.list_follower.has_heard and self.desk_client.has_heard)
             and not self.stop_asked
         ):
             yield Sleep(5_000)
-        # without news everything counts as on trial; without a list nothing can be sent: hits are bounced
+        # Without news every build counts as on trial. Without a list no hit can be forwarded: hits are
+        # bounced.
         self.log.info(
             "door open",
             door=self.gateway_settings.door,
             list=self.list_follower.has_heard,
             news=self.desk_client.has_heard,
         )
-        # not before: guards against hits that wait unread in the backlog of a gateway that is still starting,
-        # past their client timeout, while another gateway could have had them
+        # The listener opens only now. Otherwise hits would wait in the backlog of a gateway that is still
+        # starting until past their client timeout, while another gateway could have served them.
         self.frontend.start_accepting(
             loop.kernel.listen(split_address(self.gateway_settings.door), self.settings.door.backlog)
         )
@@ -206,11 +222,12 @@
         return REPLACED if replaced else 0
 
     def stop(self, name: str = "") -> None:
+        """Asks the main task to stop; `name`: the signal, unused."""
         self.stop_asked = True
 
 
 class LagHistogram:
-    """How late due timers were run: what the loop itself adds to every wait."""
+    """A histogram of how late the loop runs due timers, in microseconds."""
 
     def __init__(self):
         from hdrh.histogram import HdrHistogram
@@ -218,14 +235,16 @@
         self.histogram = HdrHistogram(1, 60_000_000, 2)
 
     def record(self, late: int) -> None:
+        """Records one timer that ran `late` microseconds after its time."""
         self.histogram.record_value(max(1, late))
 
     def summary(self) -> dict:
+        """Percentiles in microseconds; `p100` is the maximum."""
         return {f"p{p:g}": self.histogram.get_value_at_percentile(p) for p in (50, 99, 99.9, 100)}
 
 
-def run_gateway(kernel, sheet, number: int, log, decisions=None) -> int:
-    """Until a signal to stop. Gives the exit code."""
+def run_gateway(kernel, settings, number: int, log, decisions=None) -> int:
+    """Runs a gateway until a signal to stop; returns the exit code."""
     return run_component(
-        kernel, lambda loop: GatewayProcess(loop, sheet, number, log, decisions), log, "gateway"
+        kernel, lambda loop: GatewayProcess(loop, settings, number, log, decisions), log, "gateway"
     )
--- a/cobaltpond/gateway/peers.py
+++ b/cobaltpond/gateway/peers.py
@@ -1,67 +1,80 @@
-"""Short messages between gateways, one UDP datagram each: late, lost, twice or out of order as it happens."""
+"""Datagrams between gateways over UDP: they may be late, lost, duplicated or reordered."""
 
 import struct
 
 from cobaltpond.loop import Readable
 
-FORM, MAGIC = ">2sHH", b"cp"  # magic, number of the sender, length of what it says
-MEMBERS = b"cm"  # the magic of what membership says, where there is any
-MOST = 256  # bytes of a datagram, all in all
+# the header's struct format (magic, number of the sender, length of the payload); the magic of a decision's
+# message
+HEADER_FORMAT, MAGIC = ">2sHH", b"cp"
+MEMBERSHIP_MAGIC = b"cm"  # the magic of membership datagrams, which are accepted only where membership runs
+MAX_DATAGRAM_BYTES = 256  # header included
 
 
 class Peers:
-    def __init__(self, loop, addresses: dict[int, tuple], listen: tuple, number: int, host, everyone=None):
-        """`addresses`: of every gateway, by number; `everyone`: one that reaches them all, where there is."""
-        self.loop, self.host, self.addresses, self.everyone = loop, host, addresses, everyone
+    """The socket for messages to and from the other gateways.
+
+    `addresses`: the address of every gateway, by number. `broadcast`: an address that reaches all of them,
+    None where there is none. `host` receives the messages as `on_peer` events.
+    """
+
+    def __init__(self, loop, addresses: dict[int, tuple], listen: tuple, number: int, host, broadcast=None):
+        self.loop, self.host, self.addresses, self.broadcast = loop, host, addresses, broadcast
         self.numbers = {address: number for number, address in addresses.items()}
         self.handle = loop.kernel.open_datagrams(listen)
         self.number, self.counts, self.on_membership = (
             number,
             {"heard": 0, "odd": 0},
             None,
-        )  # takes (number, data)
+        )  # on_membership: called with (number of the sender, payload)
 
     def send_to(self, peer: int | None, data: bytes) -> bool:
-        """To one gateway, or to all others (None). False where none was sent."""
-        packet = self.packet(MAGIC, data)
-        if len(packet) > MOST:
+        """Sends to one gateway, or to all others where `peer` is None. False where nothing was sent."""
+        packet = self.encode(MAGIC, data)
+        if len(packet) > MAX_DATAGRAM_BYTES:
             return False
-        if peer is None and self.everyone is not None:
-            return self.handle.send(packet, self.everyone)
-        to = [peer] if peer is not None else [n for n in self.addresses if n != self.number]
-        return any([self.handle.send(packet, self.addresses[n]) for n in to if n in self.addresses])
+        if peer is None and self.broadcast is not None:
+            return self.handle.send(packet, self.broadcast)
+        recipients = [peer] if peer is not None else [n for n in self.addresses if n != self.number]
+        return any([self.handle.send(packet, self.addresses[n]) for n in recipients if n in self.addresses])
 
     def send_membership(self, peer: int, data: bytes) -> bool:
-        """One datagram of membership."""
-        return peer in self.addresses and self.handle.send(self.packet(MEMBERS, data), self.addresses[peer])
+        """Sends one membership datagram. False where the peer is unknown or nothing was sent."""
+        return peer in self.addresses and self.handle.send(
+            self.encode(MEMBERSHIP_MAGIC, data), self.addresses[peer]
+        )
 
-    def packet(self, magic: bytes, data: bytes) -> bytes:
-        return struct.pack(FORM, magic, self.number, len(data)) + data
+    def encode(self, magic: bytes, data: bytes) -> bytes:
+        """A datagram with this gateway as its sender."""
+        return struct.pack(HEADER_FORMAT, magic, self.number, len(data)) + data
 
     def listen(self):
-        """For ever; what does not come from a gateway of the sheet is counted and dropped."""
-        head = struct.calcsize(FORM)
+        """Receives datagrams until cancelled.
+
+        One that is not from a configured gateway is counted and dropped.
+        """
+        header_size = struct.calcsize(HEADER_FORMAT)
         while True:
-            got = self.handle.recv(2048)
-            if got is None:
+            received = self.handle.recv(2048)
+            if received is None:
                 yield Readable(self.handle)
                 continue
-            data, sender = got
-            if len(data) < head:
+            data, sender = received
+            if len(data) < header_size:
                 self.counts["odd"] += 1
                 continue
-            magic, number, length = struct.unpack(FORM, data[:head])
-            known = magic == MAGIC or magic == MEMBERS and self.on_membership is not None
+            magic, number, length = struct.unpack(HEADER_FORMAT, data[:header_size])
+            known = magic == MAGIC or magic == MEMBERSHIP_MAGIC and self.on_membership is not None
             if (
                 not known
                 or self.numbers.get(sender) != number
-                or length != len(data) - head
-                or len(data) > MOST
+                or length != len(data) - header_size
+                or len(data) > MAX_DATAGRAM_BYTES
             ):
                 self.counts["odd"] += 1
                 continue
             self.counts["heard"] += 1
-            if magic == MEMBERS:
-                self.on_membership(number, data[head:])
+            if magic == MEMBERSHIP_MAGIC:
+                self.on_membership(number, data[header_size:])
             else:
-                self.host.post_event("on_peer", number, data[head:])
+                self.host.post_event("on_peer", number, data[header_size:])
--- a/cobaltpond/gateway/pending_hit.py
+++ b/cobaltpond/gateway/pending_hit.py
@@ -1,18 +1,37 @@
-"""A hit as the host and its forwards see it, whatever protocol it came by."""
+"""The state of one hit that awaits its final answer, independent of the client's protocol."""
 
 
 class PendingHit:
-    """A final answer is owed until `finalize`. A door's own kind adds what came and how the answer is worded:
-    `deliver`, `bounce(retry_after)` and `error(late)`, each of which ends it and sends the answer."""
+    """A hit from its acceptance to its final answer.
 
-    def __init__(self, number: int, name: str, door):
-        self.number, self.name, self.frontend = number, name, door
+    States: `open` while `final` is false, then exactly one final `outcome`, which `finalize` sets:
+
+        open -> delivered   a forward's answer is sent, or the first byte of a streamed answer is about to be
+        open -> bounced     rejected without effect; a retry is harmless
+        open -> errored     failed or late; it may have run
+        open -> gone        the client disconnected, or its body is malformed
+        delivered -> cut    a streamed answer broke off; the client's connection is aborted
+
+    `streaming` is true while a streamed answer is being sent. The last transition does not end the hit again:
+    it is final since `delivered`.
+
+    A protocol's subclass adds the request and the form of the answers: `deliver`, `reject(retry_after)` and
+    `fail(late)`. Each of them calls `finalize` and sends the answer.
+    """
+
+    def __init__(self, number: int, name: str, frontend):
+        self.number, self.name, self.frontend = number, name, frontend
         self.final = self.streaming = False
-        self.outcome, self.overdue = None, None  # delivered, bounced, errored, gone or cut; timer
-        self.forwards, self.last_ending = [], None  # tasks, None where nothing was sent
+        # `overdue` is the timer that answers the hit where the decisions have not answered it in time
+        self.outcome, self.overdue = None, None
+        # tasks of the forwards, None where nothing was sent; the `ForwardResult` of the last that ended
+        self.forwards, self.last_result = [], None
 
     def finalize(self, outcome: str) -> None:
-        """The one place where a hit becomes final."""
+        """Changes the state from open to the final `outcome`: the only place where a hit becomes final.
+
+        Cancels the overdue timer and reports the end to the frontend. It is called once per hit.
+        """
         self.final, self.outcome = True, outcome
         if self.overdue is not None:
             self.overdue.cancel()
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -189,7 +189,7 @@
             (b"cobaltpond-try", b"1"),
         )
     )
-    assert (asked.group.name, asked.customer, asked.left, asked.again) == (
+    assert (asked.group.name, asked.customer, asked.time_left, asked.is_retry) == (
         "listing-read",
         None,
         2_500_000,
