--- a/cobaltpond/gateway/desk_client.py
+++ b/cobaltpond/gateway/desk_client.py
@@ -8,7 +8,7 @@
 from cobaltpond.wire.address import split_address
 
 PHASES = ("trial", "going back", "released", "withdrawn")
-# phases in which a build gets no more traffic; how many such builds are remembered
+# phases of a build that is being, or has been, withdrawn; how many such builds are remembered
 BLOCKED_PHASES, MAX_GONE_BUILDS = ("going back", "withdrawn"), 16
 # HTTP status of the desk -> answer that the decisions get
 VOTE_ANSWERS = {200: "ok", 409: "moot", 429: "full"}
--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -218,7 +218,7 @@
     def is_answering(self, id: str, now: int) -> bool:
         """Whether the instance still answers, as far as this gateway knows.
 
-        False while it is ejected, failing, or silent for ANSWER_VALID_US; true where it was not contacted yet.
+        False while it is ejected, failing, or silent for ANSWER_VALID_US; true where it was never contacted.
         One that the decisions do not know counts as answering only until a list has been received.
         """
         fleet = getattr(self.host.decisions, "fleet", None)
