--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP door and what follows the list and the desk: streams, limits, stops, votes, datagrams."""
+"""The HTTP frontend: streamed bodies, slow readers, disconnects, pipelining, and the stop of the gateway."""
 
 from world import World, answer_of, endings, good, hits, requests
 
@@ -6,15 +6,16 @@
 from cobaltpond.wire import http1
 
 
-def test_long_answers_stream_without_being_held_and_slow_readers_hold_them_back():
-    sent = []
+def test_long_response_is_streamed_at_the_pace_of_the_client():
+    """While the client reads nothing the instance must stall: the gateway must not buffer a long response."""
+    sizes_sent = []
 
     def long(world, connection):
         yield from requests(connection)()
         yield from connection.write(http1.response_head(200, [], True, True))
         for _ in range(400):
             yield from connection.write(http1.encode_chunk(b"x" * 65536))
-            sent.append(65536)
+            sizes_sent.append(65536)
         yield from connection.write(http1.encode_chunk(b""))
 
     world = World(long)
@@ -23,19 +24,21 @@
         connection = yield from world.connect()
         yield from connection.write(http1.request("GET", "/look", [(b"host", b"t")]))
         yield Sleep(1_200_000)
-        behind, size = sum(sent), 0
+        sent_before_reading, size = sum(sizes_sent), 0
         parser = http1.ResponseParser(http1.MessageLimits(body=1 << 30))
         while True:
             for kind, value in parser.feed((yield from connection.read())):
                 if kind == "end":
-                    return behind, size
+                    return sent_before_reading, size
                 size += len(value) if kind == "body" else 0
 
-    behind, whole = world.run(go())
-    assert whole == 400 * 65536 and behind < whole / 2, behind
+    sent_before_reading, size_received = world.run(go())
+    assert size_received == 400 * 65536 and sent_before_reading < size_received / 2, sent_before_reading
 
 
-def test_a_reader_that_takes_nothing_is_cut_off_and_its_answer_never_looks_whole():
+def test_client_that_reads_nothing_is_disconnected_with_a_truncated_response():
+    """A slow reader must not hold a connection, and its truncated response must not look complete."""
+
     def long(world, connection):
         yield from requests(connection)()
         yield from connection.write(http1.response_head(200, [(b"content-length", b"%d" % (64 << 20))]))
@@ -50,8 +53,8 @@
         yield from world.until(lambda: hits(world).get("cut"))
         size = 0
         try:
-            while piece := (yield from connection.read()):
-                size += len(piece)
+            while data := (yield from connection.read()):
+                size += len(data)
         except ConnectionLostError:
             pass
         return size
@@ -60,8 +63,10 @@
     assert hits(world) == {"delivered": 1, "cut": 1} and endings(world) == {"cut in the answer": 1}
 
 
-def test_an_instance_that_breaks_off_beyond_the_point_of_no_return_cuts_the_client_too():
-    def breaks(world, connection):
+def test_instance_failure_in_a_streamed_response_truncates_it_for_the_client():
+    """The hit is committed by then: it is not forwarded again, and the client sees the truncation."""
+
+    def breaks_off(world, connection):
         yield from requests(connection)()
         yield from connection.write(
             http1.response_head(200, [], True, True) + http1.encode_chunk(b"x" * (128 << 10))
@@ -69,7 +74,7 @@
         yield Sleep(50_000)
         connection.abort()
 
-    world = World(breaks, breaks)
+    world = World(breaks_off, breaks_off)
 
     def go():
         try:
@@ -80,14 +85,15 @@
     assert world.run(go()) == "cut" and sum(world.seen) == 1 and endings(world) == {"cut in the answer": 1}
 
 
-def test_a_long_body_is_streamed_to_the_instance_and_not_sent_twice():
+def test_long_request_body_is_streamed_and_not_sent_twice():
+    """Beyond `door.hold` the body is not buffered, so not even a tagged hit is forwarded again."""
     world = World(good, more="door(hold = 65536, body_limit = 33554432)")
     body = bytes(range(256)) * (80 << 10 >> 3)
     assert world.run(world.ask("POST", "/pay", body=body))[0] == 200 and world.got[0][1] == body
-    tried = []
+    attempts = []
 
     def cut(world, connection):
-        tried.append(1)
+        attempts.append(1)
         size = 0
         while size < 1 << 20:
             size += len((yield from connection.read()))
@@ -97,12 +103,14 @@
     status = world.run(world.ask("POST", "/hold", body=body))[0]
     assert (
         status in (429, 503)
-        and len(tried) == 1
+        and len(attempts) == 1
         and endings(world) == {"cut before an answer": 1, "nothing to send": 1}
     )
 
 
-def test_a_client_that_hangs_up_is_gone():
+def test_client_disconnect_ends_its_hit():
+    """Guards against open hits that leak after a disconnect."""
+
     def slow(world, connection):
         yield from requests(connection)()
         yield Sleep(300_000)
@@ -122,6 +130,8 @@
 
 
 def test_pipelined_hits_are_answered_in_order():
+    """The instance delays the first response; responses still come in the order of the requests."""
+
     def by_path(world, connection):
         get = requests(connection)
         while (head := (yield from get())[0]) is not None:
@@ -144,7 +154,9 @@
     assert world.run(go()) == b"/look1/look2/look3"
 
 
-def test_head_requests_and_empty_answers():
+def test_head_requests_and_responses_without_a_body():
+    """Guards against a connection that loses its framing where no body follows the head."""
+
     def head_only(world, connection):
         get = requests(connection)
         while (head := (yield from get())[0]) is not None:
@@ -165,7 +177,9 @@
     assert (status, head.get(b"content-length"), body, other) == (200, b"99", b"", 204)
 
 
-def test_a_stopping_gateway_answers_what_it_holds_and_what_still_comes():
+def test_stopping_gateway_answers_open_and_late_hits():
+    """A hit that is open and one that arrives during the stop are answered; idle connections are closed."""
+
     def slow(world, connection):
         get = requests(connection)
         while (yield from get())[0] is not None:
--- a/tests/test_frontend_limits.py
+++ b/tests/test_frontend_limits.py
@@ -1,4 +1,4 @@
-"""The limits and the request framing rules at the gateway's door."""
+"""The frontend's limits on requests, and its rules against ambiguous request framing."""
 
 import pytest
 from world import World, answer_of, good, hits
@@ -8,7 +8,8 @@
 LIMIT = "door(head_limit = 1024, target_limit = 64, field_limit = 10, body_limit = 100)"
 
 
-def padded(size):
+def padded_request(size):
+    """A request whose head has exactly `size` bytes."""
     start = b"GET /look HTTP/1.1\r\nhost: t\r\nx: "
     return start + b"y" * (size - len(start) - 4) + b"\r\n\r\n"
 
@@ -16,8 +17,8 @@
 @pytest.mark.parametrize(
     "data, status",
     [
-        (padded(1024), 200),
-        (padded(1025), 431),
+        (padded_request(1024), 200),
+        (padded_request(1025), 431),
         (b"GET /look" + b"a" * 59 + b" HTTP/1.1\r\nhost: t\r\n\r\n", 200),
         (b"GET /look" + b"a" * 60 + b" HTTP/1.1\r\nhost: t\r\n\r\n", 414),
         (b"GET /look HTTP/1.1\r\nhost: t\r\n" + b"a: b\r\n" * 9 + b"\r\n", 200),
@@ -43,15 +44,16 @@
         (b"GET /look HTTP/1.1\r\nhost: t\r\nexpect: magic\r\n\r\n", 417),
     ],
 )
-def test_each_limit_at_it_and_one_past_it(data, status):
+def test_request_limits_at_and_beyond_their_bounds(data, status):
+    """Guards against limits that are off by one and against invalid heads that become hits."""
     world = World(good, more=LIMIT)
 
     def go():
         connection = yield from world.connect()
         yield from connection.write(data)
-        got = (yield from answer_of(connection))[0]
+        got_status = (yield from answer_of(connection))[0]
         connection.close()
-        return got
+        return got_status
 
     assert world.run(go()) == status
 
@@ -74,15 +76,17 @@
         b"GET /look HTTP/2.0\r\nhost: t\r\n\r\n",
     ],
 )
-def test_no_hit_is_smuggled(data):
+def test_request_smuggling_is_rejected(data):
+    """An ambiguous request gets one error and ends the connection; what follows it never becomes a hit."""
     world = World(good)
-    follow = b"GET /look HTTP/1.1\r\nhost: t\r\n\r\n"
-    got = world.run(world.raw(data + follow))
-    assert got.startswith(b"HTTP/1.1 4") or got.startswith(b"HTTP/1.1 5"), got
-    assert got.count(b"HTTP/1.1 ") == 1 and not world.got
+    next_request = b"GET /look HTTP/1.1\r\nhost: t\r\n\r\n"
+    received = world.run(world.raw(data + next_request))
+    assert received.startswith(b"HTTP/1.1 4") or received.startswith(b"HTTP/1.1 5"), received
+    assert received.count(b"HTTP/1.1 ") == 1 and not world.got
 
 
-def test_expect_continue_and_a_body_that_makes_no_sense():
+def test_expect_continue_and_a_malformed_chunked_body():
+    """An open hit with a malformed body ends with a 400 as its only answer."""
     world = World(good)
 
     def go():
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,5 +1,7 @@
-"""One process with a gateway, a scripted list, desk and instances, and raw clients, on real loopback
-sockets."""
+"""One process with a gateway, scripted stand-ins for the list, the desk and the instances, and raw clients.
+
+All of them use real loopback sockets.
+"""
 
 import json
 
@@ -43,28 +45,37 @@
 
 
 class Log:
+    """Records log calls in `lines` as (level, event, fields)."""
+
     def __init__(self):
         self.lines = []
 
     def __getattr__(self, level):
-        return lambda event, **more: self.lines.append((level, event, more))
+        return lambda event, **fields: self.lines.append((level, event, fields))
 
 
 class Around:
-    """What the worlds of all gateways share; they set `loop`, `lock`, `deaths`, `door` and say when it is
-    `opened`."""
+    """The base of the test worlds of all gateways.
+
+    A subclass sets `loop`, `lock` (the reserved ports), `deaths` (tasks that failed) and `door` (the address
+    for clients); its `opened()` returns whether the gateway accepts clients.
+    """
 
     def run(self, generator, bound=12 * SECOND):
-        """Once the gateway's door is open; whatever died on the way fails the test."""
+        """Runs a coroutine once the gateway accepts clients; returns its result.
 
-        def all_of_it():
+        A task that failed or still runs at the end fails the test, and so does a run longer than `bound`
+        microseconds.
+        """
+
+        def when_open():
             with Deadline(self.loop, bound):
                 while not self.opened():
                     yield Sleep(2_000)
                 return (yield from generator)
 
         try:
-            return self.finish(self.loop.spawn(all_of_it(), "test"))
+            return self.finish(self.loop.spawn(when_open(), "test"))
         finally:
             self.loop.close()
             self.lock.close()
@@ -72,35 +83,42 @@
             assert not self.loop.tasks, self.loop.tasks
 
     def finish(self, task):
+        """Runs the loop until the task ends; returns the task's result."""
         return self.loop.run(task)
 
     def until(self, what, bound=5 * SECOND):
+        """Waits until `what()` is true, at most `bound` microseconds."""
         with Deadline(self.loop, bound):
             while not what():
                 yield Sleep(2_000)
 
     def raw(self, data):
-        """What comes back until the gateway closes."""
-        connection, got = (yield from dial(self.loop, self.door, SECOND)), b""
+        """Sends bytes on a connection of its own; returns what the gateway sends until it closes."""
+        connection, received = (yield from dial(self.loop, self.door, SECOND)), b""
         try:
             yield from connection.write(data)
-            while piece := (yield from connection.read()):
-                got += piece
+            while data_read := (yield from connection.read()):
+                received += data_read
         except ConnectionLostError:
             pass
         connection.close()
-        return got
+        return received
 
 
 class World(Around):
-    """`scripts`: one generator function `(world, connection)` an instance, called for each connection to
-    it."""
+    """A world with one HTTP gateway.
+
+    `scripts`: one coroutine function `(world, connection)` per instance, called for each connection to it.
+    `more`: further settings. `by`: how the gateway gets the list, "push" or "asking". `seen`: connections per
+    instance. `got`: (head, body) of the requests that `good` has received. `rows`, `revision`: the list.
+    `asked`: how often the list was polled.
+    """
 
     def __init__(self, *scripts, more="", decisions=None, by="push"):
         self.deaths = []
-        self.loop = Loop(EpollKernel(), lambda task, trouble: self.deaths.append((task.name, trouble)))
-        self.log, self.votes, self.streams, self.desk_script = Log(), [], [], None
-        self.asked, self.list_fails = 0, False
+        self.loop = Loop(EpollKernel(), lambda task, error: self.deaths.append((task.name, error)))
+        self.log, self.votes, self.list_streams, self.answer_vote = Log(), [], [], None
+        self.asked, self.list_unavailable = 0, False
         self.lock, base = reserve_ports(self.loop.kernel, 4)
         names = {"list": base, "desk": base + 1, "door": base + 2, "peers": base + 3}
         self.door = ("127.0.0.1", names["door"])
@@ -129,17 +147,21 @@
         self.main = self.loop.spawn(self.process.run(), "gateway")
 
     def opened(self):
+        """Whether the gateway accepts clients."""
         return hasattr(self.process.frontend, "listener")
 
     def scripted(self, number, script):
-        def answer(connection):
+        """The connection handler of an instance: counts the connection and runs its script."""
+
+        def handle_connection(connection):
             self.seen[number] += 1
             yield from script(self, connection)
 
-        return answer
+        return handle_connection
 
     def on_list(self, request):
-        if self.list_fails:
+        """Serves the list of instances: whole on a poll, as a stream on a watch."""
+        if self.list_unavailable:
             raise RpcError(503, "not now")
         if "watch" not in request.query:
             self.asked += 1
@@ -147,22 +169,23 @@
             return json_response(200, whole)
         stream = ResponseStream()
         stream.send_object({"epoch": "e", "revision": self.revision, "base": None, "rows": self.rows})
-        self.streams.append(stream)
+        self.list_streams.append(stream)
         return stream
 
     def tell(self, row):
-        """A change of one row."""
+        """Changes one row of the list and pushes the change."""
         self.rows = [r if r["id"] != row["id"] else row for r in self.rows]
         self.revision += 1
-        for stream in self.streams:
+        for stream in self.list_streams:
             stream.send_object(
                 {"epoch": "e", "revision": self.revision, "base": self.revision - 1, "rows": [row]}
             )
 
     def on_desk(self, request):
+        """Serves the desk: votes as the test scripts them, else the news stream."""
         if request.path == "/v1/votes":
             self.votes.append(json.loads(request.body))
-            return self.desk_script()
+            return self.answer_vote()
         self.news = ResponseStream()
         self.news.send_object(
             {"news": {"build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age_us": 0}}
@@ -172,11 +195,12 @@
     # --- clients --------------------------------------------------------------------------------------------
 
     def connect(self):
+        """A new client connection."""
         return (yield from dial(self.loop, self.door, SECOND))
 
     def ask(self, method="GET", path="/look", fields=(), body=b"", connection=None):
-        """(status, head, body) of one hit; on a connection of its own where none is given."""
-        own = connection is None
+        """Sends one request, by default on a new connection; returns (status, head, body)."""
+        own_connection = connection is None
         connection = connection or (yield from self.connect())
         try:
             fields = [(b"host", b"t"), *fields]
@@ -185,11 +209,11 @@
             yield from connection.write(http1.request(method, path, fields, body))
             return (yield from answer_of(connection, method == "HEAD"))
         finally:
-            if own:
+            if own_connection:
                 connection.close()
 
-    def asks(self, count, method, path):
-        """The statuses of some hits, one after the other."""
+    def ask_repeatedly(self, count, method, path):
+        """Sends requests one after the other; returns their statuses."""
         statuses = []
         for _ in range(count):
             statuses.append((yield from self.ask(method, path))[0])
@@ -197,6 +221,7 @@
 
 
 def answer_of(connection, no_body=False):
+    """Reads one response; returns (status, head, body). `no_body`: it is the response to a HEAD request."""
     parser, head, body = http1.ResponseParser(LIMITS, no_body), None, b""
     while True:
         data = yield from connection.read()
@@ -210,13 +235,13 @@
 
 
 def requests(connection):
-    """A parser to be asked again and again: `head, body = yield from get()`; (None, b"") at the end."""
-    parser, waiting, state = http1.RequestParser(LIMITS), [], [None, b""]
+    """Returns `get`: each `head, body = yield from get()` reads a request; (None, b"") at the end."""
+    parser, events, state = http1.RequestParser(LIMITS), [], [None, b""]
 
     def get():
         while True:
-            while waiting:
-                kind, value = waiting.pop(0)
+            while events:
+                kind, value = events.pop(0)
                 if kind == "head":
                     state[:] = [value, b""]
                 elif kind == "body":
@@ -226,25 +251,31 @@
             data = yield from connection.read()
             if not data:
                 return None, b""
-            waiting.extend(parser.feed(data))
+            events.extend(parser.feed(data))
 
     return get
 
 
 def good(world, connection, body=b"fine", fields=()):
-    """An instance that answers everything."""
+    """The script of an instance that answers every request with 200."""
     get = requests(connection)
     while True:
-        head, got = yield from get()
+        head, request_body = yield from get()
         if head is None:
             return
-        world.got.append((head, got))
+        world.got.append((head, request_body))
         yield from connection.write(http1.response(200, list(fields), body))
 
 
 def endings(world):
-    return {seen: n for seen, n in world.process.forwards.observations.items() if n and seen != "answer"}
+    """How often each key of FORWARD_RESULTS but "answer" occurred."""
+    return {
+        observation: n
+        for observation, n in world.process.forwards.observations.items()
+        if n and observation != "answer"
+    }
 
 
 def hits(world):
+    """The frontend's counters, by outcome."""
     return {k: v for k, v in world.process.frontend.counts.items()}
