--- a/cobaltpond/gateway/desk_client.py
+++ b/cobaltpond/gateway/desk_client.py
@@ -19,8 +19,8 @@
 
     def __init__(self, loop, settings, host, log):
         self.loop, self.settings, self.host, self.log = loop, settings, host, log
-        # last_news: (build, stage, phase, cap) of the newest news, None before the first
-        self.address, self.has_heard, self.last_news = split_address(settings.desk.address), False, None
+        # last: (build, stage, phase, cap) of the newest news, None before the first
+        self.address, self.has_heard, self.last = split_address(settings.desk.address), False, None
         self.backoff = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
         self.on_state = lambda *state: None  # called with each state that the desk sends
         self.last_seen_state = (
@@ -87,8 +87,8 @@
                 self.remember_state(message["news"], state)
                 self.has_heard = True
                 self.counts["news"] += 1
-                if state[:4] != self.last_news:
-                    self.last_news = state[:4]
+                if state[:4] != self.last:
+                    self.last = state[:4]
                     self.log.info("news", build=state[0], stage=state[1], phase=state[2], cap=state[3])
                 self.on_state(*state)
                 self.host.post_event_first("on_news", *state, False, "ok")
--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -235,9 +235,7 @@
             yield Sleep(1_000_000)
             rows = self.reconciler.due_rows(self.loop.now())
             if rows:
-                self.log.warning(
-                    "removing instances that the new list has lost", rows=[row["id"] for row in rows][:20]
-                )
+                self.log.warning("gone after all", rows=[row["id"] for row in rows][:20])
                 self.apply_object(
                     {
                         "epoch": self.instance_list.epoch,
@@ -275,9 +273,7 @@
             needs_whole[0] = isinstance(error, ListGapError)
             self.counts["gaps" if needs_whole[0] else "errors"] += 1
             self.log.warning(
-                "list gap; requesting the whole list"
-                if needs_whole[0]
-                else "list stream broken; reconnecting",
+                "list gap" if needs_whole[0] else "list stream broken; reconnecting",
                 why=f"{type(error).__name__}: {error}",
             )
 
--- a/cobaltpond/gateway/main.py
+++ b/cobaltpond/gateway/main.py
@@ -134,7 +134,7 @@
 
     def status(self) -> dict:
         """The content of `/-/status`."""
-        last_news = self.desk_client.last_news
+        last_news = self.desk_client.last
         return {
             "gateway": self.number,
             "start": f"{self.start:x}",
