--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -145,7 +145,7 @@
             try:
                 _, rows = InstanceList().apply(self.loop.now(), stored)
             except JsonLineError as error:
-                self.log.warning("stored list unreadable; starting without one", why=str(error))
+                self.log.warning("kept list unreadable", why=str(error))
                 return
             self.kept_list = {
                 "epoch": stored["epoch"],
