--- a/cobaltpond/decisions/records.py
+++ b/cobaltpond/decisions/records.py
@@ -6,7 +6,7 @@
 
 FOREVER = 1 << 60
 # One outcome as evidence; stretch: when it was sent, in stretches; warmth and crowd: as it was sent.
-Sample = namedtuple("Sample", "at latency errored instance stretch warmth crowd")
+Sample = namedtuple("Sample", "at latency errored instance stratum warmth inflight")
 
 
 class RandomSource:
@@ -59,12 +59,12 @@
         self.benefit, self.late_benefit = row.get("benefit", 1), row.get("late_benefit", 0)
         self.ledger = self.name if runsheet.get("exposure_by") == "path group" else "all"
         self.by_work = runsheet.get("benefit_by") == "work"
-        self.usual = 0.0  # running mean of latencies, all instances
-        self.owed = 0  # samples of the earlier build still to be told
+        self.mean_latency = 0.0  # running mean of latencies, all instances
+        self.reference_samples_due = 0  # samples of the earlier build still to be told
 
-    def worth(self):
+    def benefit_per_work(self):
         """Benefit for the work that a hit makes."""
-        return self.benefit / (1 if self.by_work else max(1, self.usual))
+        return self.benefit / (1 if self.by_work else max(1, self.mean_latency))
 
 
 class Build:
@@ -76,9 +76,9 @@
         self.counted_from = -FOREVER  # when the exposure count last started anew
         self.samples = {}  # path group name -> recent samples
         self.errored = {}  # path group name -> [errored, hits] so far
-        self.tallied = 0, 0  # the same as the platform counts it, all path groups
+        self.platform_counts = 0, 0  # the same as the platform counts it, all path groups
         self.condemned = False
-        self.places = 0  # instances listed when the build was first seen
+        self.listed_instances = 0  # instances listed when the build was first seen
 
     def add_sample(self, group, sample):
         self.samples.setdefault(group, deque()).append(sample)
@@ -93,14 +93,14 @@
         self.id, self.zone, self.cell = row["id"], row["zone"], row["cell"]
         self.fleet, self.build = fleet, fleet.build(row["build"])
         self.started, self.state = row["started"], row["state"]
-        self.out, self.limit, self.cut_at = 0, limit, 0
+        self.out, self.limit, self.limit_cut_at = 0, limit, 0
         self.other_inflight = 0.0  # hits of other gateways that it last reported
-        self.latency_ratio, self.lag = 1.0, 0.0  # latency against the usual, and against the target
+        self.latency_ratio, self.lateness = 1.0, 0.0  # latency against the usual, and against the target
         self.faults = 0.0  # share of its late outcomes that failed
         self.heard_at, self.ejected_until, self.ejection_time = 0, 0, 0
         self.tokens = tokens  # what may be sent to it while it is cold
 
-    def drops_with(self, other, scope):
+    def shares_deduplication(self, other, scope):
         """Do the two drop each other's repeats of a tagged hit?"""
         return scope == "all" or self.zone == other.zone and (scope != "cell" or self.cell == other.cell)
 
@@ -118,16 +118,16 @@
     """The instances as the list tells them, one record each, found by id."""
 
     def __init__(self, runsheet):
-        self.by_id, self.up, self.cold, self.ids, self.tags, self.builds = {}, [], [], [], {}, {}
+        self.by_id, self.up, self.cold_instances, self.ids, self.by_tag, self.builds = {}, [], [], [], {}, {}
         self.cold_share, self.cold_time = runsheet.get("cold_share", 1.0), runsheet.get("cold_time", 0)
-        self.window = runsheet.get("exposure_window", 0)
+        self.exposure_window = runsheet.get("exposure_window", 0)
 
     def build(self, number):
         """The record of a build; the earlier one is the highest below it that was not found bad."""
         if number not in self.builds:
             earlier = [b for b in self.builds.values() if b.number < number and not b.condemned]
-            made = Build(number, max(earlier, key=lambda b: b.number, default=None), self.window)
-            made.places = sum(i.build.number < number for i in self.up)
+            made = Build(number, max(earlier, key=lambda b: b.number, default=None), self.exposure_window)
+            made.listed_instances = sum(i.build.number < number for i in self.up)
             self.builds[number] = made
             # guards a gateway that starts in mid-trial: it may hear of the trial before what came earlier
             for later in self.builds.values():
@@ -159,13 +159,13 @@
 
     def rebuild_index(self):
         self.up = sorted((i for i in self.by_id.values() if i.state == "up"), key=lambda i: i.id)
-        self.ids, self.tags, self.cold = [i.id for i in self.up], {}, self.up
+        self.ids, self.by_tag, self.cold_instances = [i.id for i in self.up], {}, self.up
 
     def still_cold(self, now):
-        self.cold = [i for i in self.cold if i.warmth(now) < 1]
-        return self.cold
+        self.cold_instances = [i for i in self.cold_instances if i.warmth(now) < 1]
+        return self.cold_instances
 
-    def from_turn(self, last):
+    def rotation_after(self, last):
         """All that are up, beginning after the last one chosen."""
         after = bisect_right(self.ids, last)
         return chain(self.up[after:], self.up[:after])
@@ -173,21 +173,21 @@
 
 class Hit:
     def __init__(self, id, group, customer, key, again, now, left, state):
-        self.id, self.group, self.customer, self.key, self.again = id, group, customer, key, again
+        self.id, self.group, self.customer, self.key, self.is_repeat = id, group, customer, key, again
         self.arrived, self.deadline = now, now + left
-        self.state, self.forwards, self.open = state, [], 0
-        self.asked, self.free = [], []  # instances probed for it, and those that answered
-        self.risky = None  # the first forward that may have run
+        self.state, self.forwards, self.open_forwards = state, [], 0
+        self.probed, self.probe_replied = [], []  # instances probed for it, and those that answered
+        self.first_executed = None  # the first forward that may have run
 
     def add_forward(self, instance, now):
         self.forwards.append(Forward(instance, now))
-        self.open += 1
+        self.open_forwards += 1
         instance.out += 1
 
     def settle_forward(self, number):
         forward = self.forwards[number]
-        forward.settled = True
-        self.open -= 1
+        forward.has_outcome = True
+        self.open_forwards -= 1
         forward.instance.out -= 1
         return forward
 
@@ -203,6 +203,6 @@
 
 class Forward:
     def __init__(self, instance, now):
-        self.instance, self.sent, self.settled, self.dropped = instance, now, False, False
-        self.asked = None  # when the instance was asked whether it is there
-        self.crowd = instance.out + instance.other_inflight  # hits it found there, as far as we know
+        self.instance, self.sent, self.has_outcome, self.cancelled = instance, now, False, False
+        self.probed_at = None  # when the instance was asked whether it is there
+        self.inflight_seen = instance.out + instance.other_inflight  # hits it found there, as far as we know
--- a/cobaltpond/decisions/sample_message.py
+++ b/cobaltpond/decisions/sample_message.py
@@ -24,7 +24,7 @@
             cls.tag_of(sample.instance),
             group << 1 | sample.errored,
             min(65535, sample.latency // 1000),
-            min(255, int(sample.crowd)),
+            min(255, int(sample.inflight)),
         )
         return (
             pack(cls.OLDER, *fields, min(65535, age // 10_000)) if age >= 10_000 else pack(cls.FORM, *fields)
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -19,13 +19,13 @@
 class RunsTwice(Gateway):
     """Sends a mutating hit that came back with an error, or is slow, to another instance."""
 
-    def barred(self, hit, now):
+    def refusal_reason(self, hit, now):
         return None if len(hit.forwards) < 3 and now + 2 * self.tick < hit.deadline else "broken"
 
-    def watch_silent(self, now):
+    def check_overdue_forwards(self, now):
         for hit in [h for h in self.hits.values() if h.state == HitState.OUT]:
-            if now - hit.forwards[-1].sent > 100_000 and not hit.forwards[-1].dropped:
-                hit.forwards[-1].dropped = True
+            if now - hit.forwards[-1].sent > 100_000 and not hit.forwards[-1].cancelled:
+                hit.forwards[-1].cancelled = True
                 self.host.cancel_forward(hit.id, len(hit.forwards) - 1)
         self.wake_by(now + 20_000, now)
 
@@ -44,19 +44,19 @@
 class CrushesCold(Gateway):
     """Takes a cold instance for the best one of all."""
 
-    def fits(self, hit, instance, now):
+    def is_eligible(self, hit, instance, now):
         return self.exposure_allows(instance.build, hit.group, now)
 
-    def crowding(self, instance, now):
-        return -FOREVER if instance.warmth(now) < 1 else super().crowding(instance, now)
+    def queue_cost(self, instance, now):
+        return -FOREVER if instance.warmth(now) < 1 else super().queue_cost(instance, now)
 
 
 class IgnoresCaps(Gateway):
-    def fits(self, hit, instance, now):
+    def is_eligible(self, hit, instance, now):
         return instance.out < 8
 
     def exposure_allows(self, build, group, now):
         return True
 
-    def crowding(self, instance, now):
-        return super().crowding(instance, now) - 5 * (instance.build is self.newest)
+    def queue_cost(self, instance, now):
+        return super().queue_cost(instance, now) - 5 * (instance.build is self.newest)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -303,7 +303,7 @@
                 asked[forward[0]][3].append((forward[1], "cancelled", now))
                 bench.end(forward, "cancelled")
         bench.host.now += 5 * MS
-    while bench.host.open or bench.gateway.held:
+    while bench.host.open or bench.gateway.held_hits:
         bench.host.now += 5 * MS
         for forward in list(bench.host.open):
             if bench.host.now >= forward[2] + forward[4]:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -87,10 +87,10 @@
     bench.gateway.on_list(bench.host.now, False, [{**one, "state": "draining"} for one in OLD])
     bench.serve(9_000 * MS, steady(500), groups=("look",))
     new, old = (
-        gateway.window(b, gateway.groups["look"], bench.host.now)
+        gateway.recent_samples(b, gateway.groups["look"], bench.host.now)
         for b in (gateway.newest, gateway.newest.earlier)
     )
-    pairs, alone = gateway.alike(new, old, bench.host.now)
+    pairs, alone = gateway.stratify(new, old, bench.host.now)
     assert sum(s.at > released for s in new) > 30 and alone == []
     counted = sum(len(some) for some, _ in pairs)
     assert 0 < counted <= sum(s.at <= released for s in new)
@@ -105,9 +105,10 @@
     gateway = bench.gateway
     for group in gateway.groups.values():
         new, old = (
-            gateway.window(build, group, bench.host.now) for build in (gateway.newest, gateway.newest.earlier)
+            gateway.recent_samples(build, group, bench.host.now)
+            for build in (gateway.newest, gateway.newest.earlier)
         )
-        pairs, alone = gateway.alike(new, old, bench.host.now)
+        pairs, alone = gateway.stratify(new, old, bench.host.now)
         last = max(sample.at - sample.latency for sample in old) if old else 0
         paired, since = sum(len(some) for some, _ in pairs), max(new[0].at, old[0].at) if new and old else 0
         assert paired == sum(since <= sample.at <= last for sample in new) or group.name == "pay"
@@ -135,7 +136,7 @@
         bench = Bench(
             OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0], gateways=gateways, layout="beside"
         )
-        bench.gateway.trusted = True
+        bench.gateway.build_trusted = True
         for _ in range(60):
             bench.hit()
             bench.end(bench.host.open[0])
@@ -155,4 +156,6 @@
     bench.gateway.on_probed(bench.host.now, asked, "timeout", 250 * MS, {})
     bench.run(1_500 * MS)
     assert bench.host.open and bench.host.named("cancel_forward") == []
-    assert bench.gateway.fleet.by_id[asked].ejected_until > 0 and bench.gateway.shy == pytest.approx(0.1)
+    assert bench.gateway.fleet.by_id[
+        asked
+    ].ejected_until > 0 and bench.gateway.unreachable_share == pytest.approx(0.1)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -49,7 +49,7 @@
     bench = Bench([row(id) for id in "abcd"], gateways=100, may_probe=True, probe_price=0.2)
     reports(bench, dict.fromkeys("abcd", 3))
     bench.host.now += 601 * MS
-    bench.gateway.late = 0.7  # a third of it is worth one probe, not two
+    bench.gateway.late_share = 0.7  # a third of it is worth one probe, not two
     bench.hit()
     ((_, _, (probed,)),) = [call for call in bench.host.named("probe_instance") if call[0] == bench.host.now]
     bench.probes(lambda id: load)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -239,7 +239,7 @@
     cold = [row(f"c{n}", started=0) for n in range(2)]
     bench = Bench(OLD + cold, cold_time=100_000 * MS)
     for _ in range(200):
-        bench.gateway.fill_cold_budget(bench.host.now)
+        bench.gateway.refill_cold_tokens(bench.host.now)
     assert all(i.tokens < 2 for i in bench.gateway.fleet.up)
 
 
--- a/tests/test_thin.py
+++ b/tests/test_thin.py
@@ -11,7 +11,10 @@
 def test_level_bears_as_many_errors_as_the_votes_make_harmless():
     assert max_expected_events(1, 0.0001) == pytest.approx(0.0001)
     lone, many = Bench(OLD, gateways=500).gateway, Bench(OLD, gateways=500, back_votes=25).gateway
-    assert many.level < lone.level == many.strict and many.least < lone.least
+    assert (
+        many.significance_z < lone.significance_z == many.strict_significance_z
+        and many.min_samples < lone.min_samples
+    )
     assert poisson_tail(25, max_expected_events(25, 0.0001)) < 0.0001
 
 
@@ -32,8 +35,8 @@
 def test_errors_below_the_least_sample_say_nothing():
     gateway = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), gateways=47).gateway
     build = gateway.fleet.builds[2]
-    assert gateway.errors_say(build, "all", (4, 5, 0, 85), gateway.level) == "fine"
-    assert gateway.errors_say(build, "all", (6, 9, 0, 85), gateway.level) == "fail"
+    assert gateway.assess_errors(build, "all", (4, 5, 0, 85), gateway.significance_z) == "fine"
+    assert gateway.assess_errors(build, "all", (6, 9, 0, 85), gateway.significance_z) == "fail"
 
 
 def test_many_votes_let_a_thin_gateway_speak_up_on_a_handful_of_hits():
@@ -91,9 +94,11 @@
     ]
     counts, window = (40, 200, 2, 200), int(2.5 * gateway.cold_time)
     gateway.assess(build, gateway.stage_began + window - 1)
-    assert gateway.errors_say(build, "all", counts, gateway.level, new) == "fail"  # beside the earlier build
+    assert (
+        gateway.assess_errors(build, "all", counts, gateway.significance_z, new) == "fail"
+    )  # beside the earlier build
     gateway.assess(build, gateway.stage_began + window)
-    assert gateway.errors_say(build, "all", counts, gateway.level, new) == says
+    assert gateway.assess_errors(build, "all", counts, gateway.significance_z, new) == says
 
 
 @pytest.mark.parametrize("failing, says", [(10, "fail"), (5, "fine")])
@@ -109,11 +114,13 @@
         for n, instance in enumerate(instances)
         for at in range(20)
     ]
-    gateway.settled = True  # of what the platform counts no instance is known
-    assert gateway.errors_say(build, "platform", (60, 100_000, 0, 0), gateway.strict) == "fine"
-    assert gateway.errors_say(build, "all", (40, 200, 0, 0), gateway.level, new) == says
-    gateway.settled = False  # the earlier build's record may still come
-    assert gateway.errors_say(build, "all", (40, 200, 0, 0), gateway.level, new) == "fine"
+    gateway.release_settled = True  # of what the platform counts no instance is known
+    assert (
+        gateway.assess_errors(build, "platform", (60, 100_000, 0, 0), gateway.strict_significance_z) == "fine"
+    )
+    assert gateway.assess_errors(build, "all", (40, 200, 0, 0), gateway.significance_z, new) == says
+    gateway.release_settled = False  # the earlier build's record may still come
+    assert gateway.assess_errors(build, "all", (40, 200, 0, 0), gateway.significance_z, new) == "fine"
 
 
 def test_weeks_without_a_release_keep_no_more_than_days():
@@ -177,7 +184,7 @@
         instance = gateway.fleet.by_id[f"{'i' if n % 6 else 'n'}{n // 6 % 30:02}"]
         errored = instance.id[0] == "n" and n >= 3_600 - 12 * 6
         latency = (2500 if errored else 80) * MS
-        gateway.enter_sample(group, Sample(n * MS, latency, errored, instance, n // 1_000, 1.0, 0), n * MS)
+        gateway.record_sample(group, Sample(n * MS, latency, errored, instance, n // 1_000, 1.0, 0), n * MS)
     assert gateway.assess(gateway.newest, 3_600 * MS) == "fail"
 
 
@@ -197,12 +204,12 @@
             (
                 n * MS + latency,
                 n,
-                Sample(n * MS + latency, latency, False, instance, n * MS // gateway.stretch, 1.0, 0),
+                Sample(n * MS + latency, latency, False, instance, n * MS // gateway.stratum_length, 1.0, 0),
             )
         )
     said = []
     for at, n, sample in sorted(ended):
-        gateway.enter_sample(group, sample, at)
+        gateway.record_sample(group, sample, at)
         if n % 200 == 0 and n > 4_000:
             said.append(gateway.assess(gateway.newest, at))
     assert len(said) > 30 and "fail" not in said and said.count("suspect") < len(said) / 5
@@ -218,7 +225,10 @@
         told = SampleMessage.pack(Sample(0, 2500 * MS, errored, instance, 0, 1.0, 0), 0)
         gateway.on_peer(90_000 * MS, 5, told)
     first, second = instance.build.samples["look"]
-    assert (first.stretch, second.stretch) == (90_000 * MS // gateway.stretch, 87_500 * MS // gateway.stretch)
+    assert (first.stratum, second.stratum) == (
+        90_000 * MS // gateway.stratum_length,
+        87_500 * MS // gateway.stratum_length,
+    )
     assert first.errored and first.latency == 2500 * MS
 
 
@@ -295,6 +305,6 @@
     other = Bench(
         OLD + NEW, news=(2, 0, "trial", 0.2), stage_caps=[0.2, 1.0], keys_stay=True, seed=9, number=2
     )
-    assert all(other.gateway.spares(key, other.gateway.newest) == (key in bound) for key in range(40))
+    assert all(other.gateway.may_bind_key(key, other.gateway.newest) == (key in bound) for key in range(40))
     other.news(2, 1, "trial", 1.0)
-    assert all(other.gateway.spares(key, other.gateway.newest) for key in range(40))
+    assert all(other.gateway.may_bind_key(key, other.gateway.newest) for key in range(40))
