--- a/cobaltpond/decisions/voting.py
+++ b/cobaltpond/decisions/voting.py
@@ -1,19 +1,21 @@
-"""How the gateway votes, and what it holds of the release: news of the desk, and words that shut a build.
+"""Votes on a release, and the state of the release as the desk and other gateways report it.
 
-A part of `rules.Gateway`, which has the state.
+A mixin of `rules.Gateway`, which holds the state and documents it.
 """
 
-from cobaltpond.decisions.judging import MIN_SAMPLES, ASSESS_PERIOD_US
+from cobaltpond.decisions.judging import ASSESS_PERIOD_US, MIN_SAMPLES
 from cobaltpond.decisions.stats import SECOND
 
-READY_DELAY_US, MAX_HOLD_US = (
-    16 * SECOND // 5,
-    3 * SECOND,
-)  # "on" so long after a start; so long a stage is held
+# "on" is voted so long after a stage's instances have started; the longest time a stage is held
+READY_DELAY_US, MAX_HOLD_US = 16 * SECOND // 5, 3 * SECOND
 
 
 class Voting:
+    """The voting part of `rules.Gateway`."""
+
     def on_news(self, now, build, stage, phase, cap, age, reply, answer):
+        """The desk has told the state of the release, which is `age` microseconds old. `reply` marks the
+        answer to a ballot; where `answer` is not "ok" it carries no state."""
         self.cast_answer = answer if reply else self.cast_answer
         if answer != "ok":
             return
@@ -29,23 +31,25 @@
         self.dispatch_held(now)
 
     def on_shut(self, now, build):
-        """Another gateway has heard that this build goes back, or gets less: nothing more is sent there until
-        our own desk has spoken (None). No such word ever opens what is shut."""
+        """Another gateway reports that this build goes back or that its cap falls: it gets no hits until the
+        own desk answers, which the host reports as None. Such a report never lifts a restriction."""
         self.blocked_build = None if build is None else self.fleet.build(build)
         self.dispatch_held(now)
 
     def is_ready_to_advance(self, now):
-        """The design's patience after the stage's last listed start, or the latest it can have been."""
+        """Whether the stage has had its delay since the last listed start of its instances, or since the
+        latest time at which they can have started."""
         starts = [i.started or 0 for i in self.fleet.up if i.build is self.newest]
-        due = int(
+        expected = int(
             self.newest.listed_instances * (self.settings.get("stage_shares") or [1.0])[self.stage] + 0.5
         )
-        since = max(starts, default=0) if len(starts) >= max(1, due) else self.stage_began + 8 * SECOND
+        since = max(starts, default=0) if len(starts) >= max(1, expected) else self.stage_began + 8 * SECOND
         return now - max(since, self.stage_began) >= READY_DELAY_US
 
     def vote(self, now):
-        """Back on any fail; else on after patience; a suspect build waits, or is held under a clock."""
-        build, passed, self.last_assessed, fresh = (
+        """Assesses the newest build and votes: "back" on any fail, else "on" after the delay. A suspect build
+        waits, or is held where the gate is a clock."""
+        build, passed, self.last_assessed, changed = (
             self.newest,
             now - self.last_assessed,
             now,
@@ -54,27 +58,27 @@
         self.evidence_changed = False
         if build is None or self.phase not in ("trial", "released") or build.earlier is None:
             return
-        self.verdict = self.assess(build, now) if fresh else self.verdict
+        self.verdict = self.assess(build, now) if changed else self.verdict
         build.condemned = build.condemned or self.verdict == "fail"
         seen, beside = sum(map(len, build.samples.values())), self.settings.get("layout") == "beside"
-        self.build_trusted = (
-            beside and self.verdict == "fine" and seen >= 5 * MIN_SAMPLES
-        )  # in place, no room to gain
-        clock, want = self.settings.get("gate") == "clock", "none"
+        # where a release replaces instances in place, it adds no capacity that traffic could move to
+        self.build_trusted = beside and self.verdict == "fine" and seen >= 5 * MIN_SAMPLES
+        clock, verdict = self.settings.get("gate") == "clock", "none"
         if build.condemned:
-            want = "back"
+            verdict = "back"
         elif self.phase == "trial" and (clock or self.is_ready_to_advance(now)):
             if self.verdict == "suspect" and self.vote_hold_time < MAX_HOLD_US:
                 self.vote_hold_time += passed
-                want = "hold" if clock else "none"
+                verdict = "hold" if clock else "none"
             elif not clock:
-                want = "on"
-        self.cast_ballot(build, want, now)
+                verdict = "on"
+        self.cast_ballot(build, verdict, now)
 
-    def cast_ballot(self, build, want, now):
-        """Cast once; again well before it runs out, or when a lost answer cannot come any more."""
-        ballot = (build, self.stage if want in ("on", "hold") else 0, want)
-        if want == "none" and (
+    def cast_ballot(self, build, verdict, now):
+        """Casts a ballot once, and again well before it expires or when a lost answer cannot come any more.
+        "none" is cast only to withdraw a "hold"."""
+        ballot = (build, self.stage if verdict in ("on", "hold") else 0, verdict)
+        if verdict == "none" and (
             not self.last_ballot or self.last_ballot[0] is not build or self.last_ballot[2] != "hold"
         ):
             return
@@ -82,7 +86,7 @@
             "ok": self.settings.get("vote_life", SECOND) // 2,
             None: self.settings.get("vote_wait", SECOND),
         }
-        late = now - self.last_ballot_at >= waits.get(self.cast_answer, SECOND // 2)
-        if late or ballot != self.last_ballot and self.cast_answer is not None:
+        overdue = now - self.last_ballot_at >= waits.get(self.cast_answer, SECOND // 2)
+        if overdue or ballot != self.last_ballot and self.cast_answer is not None:
             self.last_ballot, self.last_ballot_at, self.cast_answer = ballot, now, None
-            self.host.cast_vote(build.number, self.stage, want)
+            self.host.cast_vote(build.number, self.stage, verdict)
