--- a/cobaltpond/decisions/__init__.py
+++ b/cobaltpond/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the hit path and of the votes, free of I/O; the same text serves bench and gateway."""
+"""Routing, release evaluation and votes of a gateway, free of I/O; bench and gateway run the same code."""
--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -13,7 +13,7 @@
 EJECTION_COLD_TIMES = 0.25  # length of a first ejection, which doubles up to eight times as long
 USEFUL_SHARE = 0.9  # no further forward past this share of the target latency
 COLD_RATE_FACTOR = 0.6  # of what a cold instance could be sent, as its capacity is a rough guess
-# limit in flight (additive increase, multiplicative decrease): grows by one below the first, is cut above it
+# limit in flight: grows by one below this share of the target latency, is multiplied by the second above it
 FAST_SHARE, LIMIT_DECREASE = 0.3, 0.7
 ADMISSION_INCREASE, ADMISSION_DECREASE = 0.1, 0.7  # the same for a low-traffic gateway's admitted share
 # share of dials or probes that fail; share of a customer's hits that fail, which must also be twice the
--- a/cobaltpond/decisions/interface.py
+++ b/cobaltpond/decisions/interface.py
@@ -1,8 +1,8 @@
-"""What a host (the bench link, later the gateway) calls and offers. Types only; times are whole microseconds.
+"""The interface between the decisions and their host, the bench adapter or the gateway process.
 
-A host makes one `rules.Gateway(host, now, seed, runsheet)` for each start of a gateway and feeds it events
+A host makes one `rules.Gateway(host, now, seed, settings)` for each start of a gateway and feeds it events
 through `Decisions`. The gateway acts only through the `DecisionHost` it was given, and only while handling an
-event.
+event. Types only; times are whole microseconds.
 """
 
 from typing import Any, Literal, Protocol
@@ -17,25 +17,61 @@
 
 
 class DecisionHost(Protocol):
-    """What the decisions may ask for."""
-
-    # send_within: no last byte of it later than that; None: within the time-out
-    def send_forward(self, hit: int, instance: str, time_out: int, send_within: int | None) -> None: ...
-    def cancel_forward(self, hit: int, forward: int) -> None: ...
-    def reject_hit(self, hit: int, retry_after: int) -> None: ...
-    def fail_hit(self, hit: int) -> None: ...
-    def schedule_wakeup(self, token: int, delay: int) -> None: ...
-    def probe_instance(self, instance: str) -> None: ...
-    def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None: ...
-    def fetch_list(self) -> None: ...
-    def watch_list(self) -> None: ...
-    def send_to_peer(self, peer: int | None, data: bytes) -> None: ...
-    def log_note(self, text: str) -> None: ...
-    def is_reachable(self, instance: str) -> bool: ...  # asked only where the runsheet says "paced"
+    """What the decisions may ask of their host; results come as events."""
+
+    def send_forward(self, hit: int, instance: str, time_out: int, send_within: int | None) -> None:
+        """Sends the hit to an instance and reports to `on_outcome`, after `time_out` at the latest. The last
+        byte is sent within `send_within`; None: within the time-out."""
+        ...
+
+    def cancel_forward(self, hit: int, forward: int) -> None:
+        """Cancels forward number `forward` of the hit; its outcome is still reported."""
+        ...
+
+    def reject_hit(self, hit: int, retry_after: int) -> None:
+        """Answers that the hit is rejected and a retry harmless, with the advised delay; 0: no advice."""
+        ...
+
+    def fail_hit(self, hit: int) -> None:
+        """Answers that the hit has failed; it may have been executed."""
+        ...
+
+    def schedule_wakeup(self, token: int, delay: int) -> None:
+        """Calls `on_wake` with the token after the delay."""
+        ...
+
+    def probe_instance(self, instance: str) -> None:
+        """Sends a probe to an instance and reports to `on_probed`."""
+        ...
+
+    def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
+        """Sends a ballot to the release desk; its answer is reported to `on_news`."""
+        ...
+
+    def fetch_list(self) -> None:
+        """Requests the whole instance list once."""
+        ...
+
+    def watch_list(self) -> None:
+        """Requests the instance list and the changes that follow."""
+        ...
+
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
+        """Sends data to the gateway with this number; it may be lost."""
+        ...
+
+    def log_note(self, text: str) -> None:
+        """Writes a line to the operator's log."""
+        ...
+
+    def is_reachable(self, instance: str) -> bool:
+        """Whether a forward may go to the instance now: an idle connection is kept, or a new one may be
+        dialled. Asked only where the settings say "paced"."""
+        ...
 
 
 class Decisions(Protocol):
-    """What a host calls. Every call carries the time at which it happens."""
+    """The events that a host reports. Every call carries the time at which it happens."""
 
     def on_hit(
         self,
@@ -47,13 +83,29 @@
         left: int,
         cost: int | None,
         again: bool,
-    ) -> None: ...
+    ) -> None:
+        """A hit has arrived, with its path group, `left` until its deadline and its cost (None: unknown);
+        `again`: the client retries."""
+        ...
+
     def on_outcome(
         self, now: int, hit: int, forward: int, ending: ForwardResult, took: int, closed: bool, report: Report
-    ) -> None: ...
-    def on_gone(self, now: int, hit: int) -> None: ...
-    def on_list(self, now: int, whole: bool, rows: list[Row]) -> None: ...
-    def on_list_error(self, now: int) -> None: ...
+    ) -> None:
+        """A forward has ended after `took`; `closed`: the client has its final answer."""
+        ...
+
+    def on_gone(self, now: int, hit: int) -> None:
+        """The client has left before its answer."""
+        ...
+
+    def on_list(self, now: int, whole: bool, rows: list[Row]) -> None:
+        """The instance list has come, or changes to it where `whole` is false."""
+        ...
+
+    def on_list_error(self, now: int) -> None:
+        """A request for the instance list has failed."""
+        ...
+
     def on_news(
         self,
         now: int,
@@ -64,17 +116,47 @@
         age: int,
         reply: bool,
         answer: Answer,
-    ) -> None: ...
+    ) -> None:
+        """The desk has told the state of the release, whose stage began `age` ago. `reply`: it answers a
+        ballot. Where `answer` is not "ok" the state is not to be used."""
+        ...
+
     def on_tally(
         self, now: int, build: int, group: str, count: int, errored: int, mean: int, age: int
-    ) -> None: ...
-    def on_wrong(self, now: int, instance: str, group: str, age: int) -> None: ...
-    def on_probed(
-        self, now: int, instance: str, ending: ForwardResult, took: int, report: Report
-    ) -> None: ...
-    def on_peer(self, now: int, peer: int, data: bytes) -> None: ...
-    def on_members(self, now: int, living: dict[int, int]) -> None: ...
-    def on_shut(self, now: int, build: int | None) -> None: ...
-    def on_recalled(self, now: int, rows: list[tuple], keys: list[tuple]) -> None: ...
-    def on_drains(self, now: int, tags: list[int]) -> None: ...
-    def on_wake(self, now: int, token: int) -> None: ...
+    ) -> None:
+        """The platform has counted hits of a build and path group; `mean` is their mean latency."""
+        ...
+
+    def on_wrong(self, now: int, instance: str, group: str, age: int) -> None:
+        """An answer that the instance gave `age` ago is reported as wrong."""
+        ...
+
+    def on_probed(self, now: int, instance: str, ending: ForwardResult, took: int, report: Report) -> None:
+        """A probe has ended after `took`; `report` is empty where the instance gave none."""
+        ...
+
+    def on_peer(self, now: int, peer: int, data: bytes) -> None:
+        """Data has come from the gateway with number `peer`."""
+        ...
+
+    def on_members(self, now: int, living: dict[int, int]) -> None:
+        """The membership has changed: numbers of the live gateways, each with its start."""
+        ...
+
+    def on_shut(self, now: int, build: int | None) -> None:
+        """Another gateway reports that a build goes back or that its cap falls; None: the own desk has
+        answered since."""
+        ...
+
+    def on_recalled(self, now: int, rows: list[tuple], keys: list[tuple]) -> None:
+        """Earlier state for a warm start: rows (id, latency ratio, hits in flight, faults, silent) and keys
+        (key, build)."""
+        ...
+
+    def on_drains(self, now: int, tags: list[int]) -> None:
+        """Another gateway's newer list has the instances with these tags draining."""
+        ...
+
+    def on_wake(self, now: int, token: int) -> None:
+        """A scheduled wake-up has come."""
+        ...
--- a/cobaltpond/decisions/voting.py
+++ b/cobaltpond/decisions/voting.py
@@ -14,8 +14,8 @@
     """The voting part of `rules.Gateway`."""
 
     def on_news(self, now, build, stage, phase, cap, age, reply, answer):
-        """The desk has told the state of the release, which is `age` microseconds old. `reply` marks the
-        answer to a ballot; where `answer` is not "ok" it carries no state."""
+        """The desk has told the state of the release, whose stage began `age` microseconds ago. `reply` marks
+        the answer to a ballot; where `answer` is not "ok" it carries no state."""
         self.cast_answer = answer if reply else self.cast_answer
         if answer != "ok":
             return
