--- a/bench/judges.py
+++ b/bench/judges.py
@@ -1,10 +1,11 @@
-"""A bad build while both gateways that judge for all are dead: time to *back*, with membership and without.
+"""Measures the time until a bad build is sent back while both of its judges are dead.
 
     python bench/judges.py --seeds 20
 
-Whole days on the virtual kernel: 14 gateways, 12 instances, a build that is slow; both judges of it are
-killed 1.5 s after its offer and stay away. Without membership they are chosen by number, dead or alive; with
-it, by lot among the living. Figures are of simulated servers.
+Judges are the gateways that evaluate a build on the samples of all. Each run is a whole simulated scenario on
+the virtual kernel: 14 gateways, 12 instances, a build that is slow; both judges of it are killed 1.5 s after
+its offer and stay away. Without membership judges are chosen by number, dead or alive; with it, by rendezvous
+hashing among the living. Figures are of simulated servers.
 """
 
 import argparse
@@ -19,7 +20,7 @@
 from cobaltpond.sim.runner import run_text  # noqa: E402
 
 GATEWAYS, BUILD, OFFER, LENGTH = 14, 42, 2_000_000, 24_000_000
-DAY = """
+SCENARIO = """
 day(length = %(length)d, rate = 110.0, seed = %(seed)d)
 fleet(instances = 12, zones = ["north", "south"], cold_time = s(2), boot = ms(600))
 registry(notice = ms(200), spread = ms(100), add = ms(100), silent = s(2))
@@ -38,10 +39,11 @@
 """
 
 
-def played(job):
-    """(microseconds from the offer to *back* or None, rules broken, forwards to the bad build)"""
+def run_scenario(job):
+    """Runs one scenario, `job` = (seed, with membership, kill the judges, strength of the flaw). Returns
+    (microseconds from the offer until the build goes back, or None, broken rules, forwards to the build)."""
     seed, members, kill, strength = job
-    text = DAY % {"length": LENGTH, "seed": seed, "offer": OFFER, "strength": strength}
+    text = SCENARIO % {"length": LENGTH, "seed": seed, "offer": OFFER, "strength": strength}
     text += "".join(f'gateway(zone = "{("north", "south")[n % 2]}")\n' for n in range(GATEWAYS))
     judges = [(BUILD + n) % GATEWAYS for n in range(2)]
     if members:
@@ -65,12 +67,13 @@
 
 
 def main():
-    reader = argparse.ArgumentParser(
+    """Prints a table of the runs with living and dead judges, with and without membership."""
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    reader.add_argument("--seeds", type=int, default=20)
-    reader.add_argument("--strength", type=float, default=0.6)
-    asked = reader.parse_args()
+    parser.add_argument("--seeds", type=int, default=20)
+    parser.add_argument("--strength", type=float, default=0.6)
+    options = parser.parse_args()
     print(
         "| judges | membership | days | sent back | time to back p50, most | forwards to it p50 | findings |"
     )
@@ -78,7 +81,9 @@
         for kill in (False, True):
             for members in (False, True):
                 found = pool.map(
-                    played, [(seed, members, kill, asked.strength) for seed in range(asked.seeds)], 1
+                    run_scenario,
+                    [(seed, members, kill, options.strength) for seed in range(options.seeds)],
+                    1,
                 )
                 times = [at for at, _, _ in found if at is not None]
                 shown = f"{median(times) / 1e6:.1f}, {max(times) / 1e6:.1f} s" if times else "-"
--- a/cobaltpond/benchlink/__init__.py
+++ b/cobaltpond/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: names and units are converted here, and nothing is decided."""
+"""Adapter that runs the decisions behind the simulator's protocol; it converts names and units only."""
--- a/cobaltpond/benchlink/__main__.py
+++ b/cobaltpond/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""python -m cobaltpond.benchlink: batches of events in, one reply a batch out."""
+"""Runs the adapter on standard input and output: `python -m cobaltpond.benchlink`."""
 
 import sys
 
@@ -7,5 +7,5 @@
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as trouble:
-        sys.exit(f"benchlink: {trouble}")
+    except WireError as error:
+        sys.exit(f"benchlink: {error}")
--- a/cobaltpond/benchlink/adapter.py
+++ b/cobaltpond/benchlink/adapter.py
@@ -1,12 +1,16 @@
-"""Reads batches, feeds each gateway its events in order and writes down what it does."""
+"""Runs the decisions of gateways on batches of JSON lines.
+
+Each batch of events ends with END and gets one reply: the actions of the gateways, one a line, and an END.
+Times on the wire are milliseconds.
+"""
 
 import base64
 import json
 
-from cobaltpond.benchlink.policy_settings import micros, policy_settings
+from cobaltpond.benchlink.policy_settings import milliseconds_to_us, policy_settings
 from cobaltpond.decisions.rules import Gateway
 
-ENDINGS = {
+FORWARD_RESULTS = {
     200: "ok",
     502: "error",
     429: "full",
@@ -22,63 +26,76 @@
 
 
 class WireError(Exception):
-    """Input that is no message of this wire."""
+    """The input is not a message of the protocol."""
 
 
 class Fields(dict):
-    """A decoded object; a field that must be there and is not ends the adapter with a plain message."""
+    """A decoded object; reading a required field that is missing raises WireError, which ends the adapter."""
 
     def __missing__(self, name):
+        """Raises WireError with the name of the field."""
         raise WireError(f"field {name!r} is missing in {dict(self)!r:.120}")
 
 
 class HostAdapter:
-    """The host of one gateway: turns its calls into action lines."""
+    """The `DecisionHost` of one gateway: turns its calls into action lines, added to `out`."""
 
     def __init__(self, who: str, out: list):
         self.who, self.out = who, out
         self.gateway: Gateway | None = None
 
     def emit(self, name: str, **fields) -> None:
+        """Adds one action line."""
         self.out.append(json.dumps({name: {"who": self.who, **fields}}, separators=(",", ":")))
 
     def send_forward(self, hit, instance, time_out, send_within):
-        """The wire has no word for `send_within`: what is sent again there is sent as it is decided."""
+        """Sends a forward. `send_within` has no field: the simulator sends a retry when it is decided."""
         self.emit("RELAY", txn=hit, instance=instance, patience=time_out / 1000)
 
     def cancel_forward(self, hit, forward):
+        """Cancels a forward."""
         self.emit("DROP_ATTEMPT", txn=hit, hop=forward)
 
     def reject_hit(self, hit, retry_after):
+        """Rejects a hit."""
         self.emit("BOUNCE", txn=hit, retryAfter=retry_after / 1000)
 
     def fail_hit(self, hit):
+        """Fails a hit."""
         self.emit("GIVE_UP", txn=hit)
 
     def schedule_wakeup(self, token, delay):
+        """Asks for an ALARM event after the delay."""
         self.emit("AFTER", keyBack=token, wait=delay / 1000)
 
     def probe_instance(self, instance):
+        """Probes an instance."""
         self.emit("TEST", instance=instance)
 
     def cast_vote(self, build, stage, verdict):
+        """Casts a vote."""
         self.emit("SAY_SO", edition=build, tranche=stage, code=VERDICTS[verdict])
 
     def fetch_list(self):
+        """Requests the whole instance list."""
         self.emit("LIST_ALL")
 
     def watch_list(self):
+        """Requests the instance list and its changes."""
         self.emit("TAIL", enable=True)
 
     def send_to_peer(self, peer, data):
+        """Sends a datagram, in base64."""
         self.emit("ANNOUNCE", addressee=peer, data=base64.b64encode(data).decode())
 
     def log_note(self, text):
+        """Logs a remark."""
         self.emit("REMARK", msg=text)
 
 
-def row(entry: dict) -> dict:
-    since = entry.get("upSince")
+def list_row(entry: dict) -> dict:
+    """A row of the instance list in the names and units of the decisions."""
+    started = entry.get("upSince")
     return {
         "id": entry["instance"],
         "build": entry.get("runs") or 0,
@@ -86,98 +103,105 @@
         "zone": entry.get("campus"),
         "state": STATES.get(entry.get("health"), "up"),
         "weight": entry.get("weight") or 1,
-        "started": micros(since) if since else None,
+        "started": milliseconds_to_us(started) if started else None,
     }
 
 
-def deliver(link: HostAdapter, lists: dict, now: int, name: str, e: dict) -> None:
-    """One event, field by field, into one call."""
-    gateway = link.gateway
-    ending = ENDINGS.get(e.get("stateCode"), "error")
+def deliver_event(adapter: HostAdapter, lists: dict, now: int, name: str, event: dict) -> None:
+    """Delivers one event as one call to the gateway; an event of another name is ignored."""
+    gateway = adapter.gateway
+    ending = FORWARD_RESULTS.get(event.get("stateCode"), "error")
     if name == "ORDER":
-        cost = e.get("work")
+        cost = event.get("work")
         gateway.on_hit(
             now,
-            e["txn"],
-            e["cls"],
-            e.get("owner") or None,
-            e.get("targetKey"),
-            micros(e["left"]),
-            micros(cost) if cost else None,
-            bool(e.get("resent")),
+            event["txn"],
+            event["cls"],
+            event.get("owner") or None,
+            event.get("targetKey"),
+            milliseconds_to_us(event["left"]),
+            milliseconds_to_us(cost) if cost else None,
+            bool(event.get("resent")),
         )
     elif name == "OUTCOME":
         gateway.on_outcome(
             now,
-            e["txn"],
-            e["hop"],
+            event["txn"],
+            event["hop"],
             ending,
-            micros(e["duration"]),
-            bool(e.get("closed")),
-            e.get("serverStats") or {},
+            milliseconds_to_us(event["duration"]),
+            bool(event.get("closed")),
+            event.get("serverStats") or {},
         )
     elif name == "ALARM":
-        gateway.on_wake(now, e["keyBack"])
-    elif name == "TOPOLOGY" and e["scope"] == "Error":
+        gateway.on_wake(now, event["keyBack"])
+    elif name == "TOPOLOGY" and event["scope"] == "Error":
         gateway.on_list_error(now)
     elif name == "TOPOLOGY":
-        gateway.on_list(now, e["scope"] != "Partial", lists[e["rosterId"]])
+        gateway.on_list(now, event["scope"] != "Partial", lists[event["rosterId"]])
     elif name == "PHASE_TOLD":
-        phase = PHASES.get(e.get("course"), "trial")
+        phase = PHASES.get(event.get("course"), "trial")
         gateway.on_news(
             now,
-            e.get("edition") or 0,
-            e.get("tranche") or 0,
+            event.get("edition") or 0,
+            event.get("tranche") or 0,
             phase,
-            e.get("mostShare") or 0.0,
-            micros(e.get("lateness") or 0),
-            e.get("code") == 1,
+            event.get("mostShare") or 0.0,
+            milliseconds_to_us(event.get("lateness") or 0),
+            event.get("code") == 1,
             ending,
         )
     elif name == "PLATFORM_SAW":
         gateway.on_tally(
             now,
-            e["edition"],
-            e["cls"],
-            e.get("samples") or 0,
-            e.get("notOk") or 0,
-            micros(e.get("duration") or 0),
-            micros(e.get("lateness") or 0),
+            event["edition"],
+            event["cls"],
+            event.get("samples") or 0,
+            event.get("notOk") or 0,
+            milliseconds_to_us(event.get("duration") or 0),
+            milliseconds_to_us(event.get("lateness") or 0),
         )
     elif name == "FLAGGED":
-        gateway.on_wrong(now, e["instance"], e["cls"], micros(e.get("lateness") or 0))
+        gateway.on_wrong(now, event["instance"], event["cls"], milliseconds_to_us(event.get("lateness") or 0))
     elif name == "PROBED":
-        gateway.on_probed(now, e["instance"], ending, micros(e["duration"]), e.get("serverStats") or {})
+        gateway.on_probed(
+            now,
+            event["instance"],
+            ending,
+            milliseconds_to_us(event["duration"]),
+            event.get("serverStats") or {},
+        )
     elif name == "DATAGRAM":
-        gateway.on_peer(now, e["author"], base64.b64decode(e["data"]))
+        gateway.on_peer(now, event["author"], base64.b64decode(event["data"]))
     elif name == "GONE":
-        gateway.on_gone(now, e["txn"])
+        gateway.on_gone(now, event["txn"])
 
 
 def serve(source, sink) -> None:
-    """Batches until the input ends."""
-    links: dict[str, HostAdapter] = {}
+    """Handles batches from `source` until it ends, and writes the replies to `sink`, both binary streams.
+    Raises WireError where the input is not of the protocol."""
+    adapters: dict[str, HostAdapter] = {}
     lists: dict[int, list] = {}
     out: list[str] = []
     now = 0
     for line in source:
         try:
-            ((name, e),) = json.loads(line, object_hook=Fields).items()
-        except (ValueError, AttributeError) as trouble:
-            raise WireError(f"no valid message: {line[:120]!r}") from trouble
-        if not isinstance(e, dict):
+            ((name, event),) = json.loads(line, object_hook=Fields).items()
+        except (ValueError, AttributeError) as error:
+            raise WireError(f"no valid message: {line[:120]!r}") from error
+        if not isinstance(event, dict):
             raise WireError(f"{name!r} holds no object: {line[:120]!r}")
         if name == "FRAME":
-            now, out[:] = micros(e["time"]), []
+            now, out[:] = milliseconds_to_us(event["time"]), []
         elif name == "END":
             sink.write(("\n".join(out + ['{"END":{}}']) + "\n").encode())
             sink.flush()
         elif name == "LEDGER":
-            lists[e["rosterId"]] = [row(entry) for entry in e["rows"]]
+            lists[event["rosterId"]] = [list_row(entry) for entry in event["rows"]]
         elif name == "ATTACH":
-            link = links[e["who"]] = HostAdapter(e["who"], out)
-            link.gateway = Gateway(link, now, e["initSeed"], policy_settings(e["setup"]))
+            adapter = adapters[event["who"]] = HostAdapter(event["who"], out)
+            adapter.gateway = Gateway(adapter, now, event["initSeed"], policy_settings(event["setup"]))
         elif name == "TEARDOWN":
-            links.pop(e["who"], None)
-        elif e["who"] in links:
-            deliver(links[e["who"]], lists, now, name, e)
+            adapters.pop(event["who"], None)
+        elif event["who"] in adapters:
+            deliver_event(adapters[event["who"]], lists, now, name, event)
--- a/cobaltpond/benchlink/policy_settings.py
+++ b/cobaltpond/benchlink/policy_settings.py
@@ -1,6 +1,7 @@
-"""The start message's settings as a plain name-to-value map, in the project's words and microseconds."""
+"""Converts the settings of the start message to the names of the decisions and to microseconds."""
 
-WORDS = {
+# values on the wire -> values of the decisions
+VALUE_NAMES = {
     "idempotent": "repeatable",
     "deduplicated": "tagged",
     "at_most_once": "mutating",
@@ -12,8 +13,8 @@
     "each_class": "path group",
 }
 
-# name here, where it stands on the wire, and whether it is a time in milliseconds
-PLAIN = [
+# (name in the decisions, path on the wire, whether it is a time in milliseconds)
+SETTINGS_FIELDS = [
     ("gateways", "balancers", False),
     ("number", "position", False),
     ("zone", "zone", False),
@@ -70,7 +71,7 @@
     ("tell_price", "tariffs.peer", False),
     ("waste_price", "tariffs.waste", False),
 ]
-GROUP = [
+PATH_GROUP_FIELDS = [
     ("name", "name", False),
     ("target_latency", "aim", True),
     ("target_stretch", "aimStretch", False),
@@ -83,26 +84,31 @@
 ]
 
 
-def micros(milliseconds: float) -> int:
+def milliseconds_to_us(milliseconds: float) -> int:
+    """Whole microseconds."""
     return round(milliseconds * 1000)
 
 
-def pick(wire: dict, table: list) -> dict:
+def read_fields(wire: dict, table: list) -> dict:
+    """The fields of the table that the message has, converted; the others are left out."""
     found = {}
     for name, path, is_time in table:
         value = wire
         for step in path.split("."):
             value = value.get(step) if isinstance(value, dict) else None
         if value is not None:
-            value = WORDS.get(value, value) if isinstance(value, str) else value
-            found[name] = micros(value) if is_time else value
+            value = VALUE_NAMES.get(value, value) if isinstance(value, str) else value
+            found[name] = milliseconds_to_us(value) if is_time else value
     return found
 
 
 def policy_settings(setup: dict) -> dict:
-    sheet = pick(setup, PLAIN)
-    sheet["path_groups"] = [pick(group, GROUP) for group in setup.get("categories") or []]
-    sheet["list_by"] = "asking" if setup.get("discovery") == "subscribe" else "push"
-    customers = sheet.get("customers") or []
-    sheet["customers"] = [{"name": c.get("name"), "share": c.get("share")} for c in customers]
-    return sheet
+    """The policy settings (`interface.PolicySettings`) for the "setup" object of a start message."""
+    settings = read_fields(setup, SETTINGS_FIELDS)
+    settings["path_groups"] = [
+        read_fields(group, PATH_GROUP_FIELDS) for group in setup.get("categories") or []
+    ]
+    settings["list_by"] = "asking" if setup.get("discovery") == "subscribe" else "push"
+    customers = settings.get("customers") or []
+    settings["customers"] = [{"name": c.get("name"), "share": c.get("share")} for c in customers]
+    return settings
--- a/cobaltpond/decisions/interface.py
+++ b/cobaltpond/decisions/interface.py
@@ -57,7 +57,7 @@
         ...
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        """Sends data to the gateway with this number; it may be lost."""
+        """Sends data to the gateway with this number, or to all others (None); it may be lost."""
         ...
 
     def log_note(self, text: str) -> None:
--- a/cobaltpond/decisions/records.py
+++ b/cobaltpond/decisions/records.py
@@ -1,43 +1,50 @@
-"""What the rules keep of a path group, a build, an instance, a hit and a forward. State, no decisions."""
+"""State of the decisions: records of path groups, builds, instances, hits and forwards, without any
+policy."""
 
 from bisect import bisect_left, bisect_right
 from collections import deque, namedtuple
 from itertools import chain
 
-FOREVER = 1 << 60
-# One outcome as evidence; stretch: when it was sent, in stretches; warmth and crowd: as it was sent.
+FOREVER = 1 << 60  # microseconds
+# The outcome of a forward as evidence: when it ended (at) and the latency, in microseconds; the time stratum
+# in which it was sent; the instance's warmth and the hits in flight there, as it was sent.
 Sample = namedtuple("Sample", "at latency errored instance stratum warmth inflight")
 
 
 class RandomSource:
-    """A linear congruential generator; only its high bits are used."""
+    """A linear congruential generator. Only its high bits are used, as the low ones have short periods."""
 
     def __init__(self, seed):
         self.state = seed
 
     def randbelow(self, most):
+        """An integer from 0 to `most` - 1, in at most 2**31 steps."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % 2**64
         return (self.state >> 33) * most >> 31
 
 
 class SlidingCounts:
-    """Sliding counts by name: when something happened, for two windows back."""
+    """Counts of events by name over a sliding window, kept for two windows at least."""
 
     def __init__(self, window):
         self.window, self.times = window, {}
 
     def add(self, name, now):
+        """Counts one event; `now` never decreases."""
         times = self.times.setdefault(name, [])
         times.append(now)
-        if times[0] < now - 4 * self.window:  # now and then, by half: an entry costs no copy
+        if times[0] < now - 4 * self.window:  # seldom and by half, so that an entry costs no copy
             del times[: bisect_left(times, now - 2 * self.window)]
 
     def count_since(self, name, at):
+        """The number of events at `at` or later."""
         times = self.times.get(name, ())
         return len(times) - bisect_left(times, at)
 
 
 class HitState:
+    """The states of a hit, and to which others each may go."""
+
     TAKEN, HELD, OUT = "taken", "held", "out"
     DELIVERED, BOUNCED, ERRORED, GONE = "delivered", "bounced", "errored", "gone"
     NEXT = {
@@ -52,18 +59,21 @@
 
 
 class PathGroup:
-    def __init__(self, row, runsheet):
+    """The settings of a path group, and what is known of its hits. Times are microseconds."""
+
+    def __init__(self, row, settings):
         self.name, self.kind, self.scope = row["name"], row.get("kind", "mutating"), row.get("scope", "all")
         self.target, self.timeout = row["target_latency"], row["client_timeout"]
-        self.repeat_window = row.get("repeat_window") or 0
+        self.repeat_window = row.get("repeat_window") or 0  # how long instances remember an idempotency key
         self.benefit, self.late_benefit = row.get("benefit", 1), row.get("late_benefit", 0)
-        self.ledger = self.name if runsheet.get("exposure_by") == "path group" else "all"
-        self.by_work = runsheet.get("benefit_by") == "work"
-        self.mean_latency = 0.0  # running mean of latencies, all instances
-        self.reference_samples_due = 0  # samples of the earlier build still to be told
+        # name under which exposure counts its hits
+        self.ledger = self.name if settings.get("exposure_by") == "path group" else "all"
+        self.by_work = settings.get("benefit_by") == "work"
+        self.mean_latency = 0.0  # moving average over all instances; 0: none yet
+        self.reference_samples_due = 0  # samples of the earlier build still to be sent to the judges
 
     def benefit_per_work(self):
-        """Benefit for the work that a hit makes."""
+        """The benefit of a hit for the work that it makes."""
         return self.benefit / (1 if self.by_work else max(1, self.mean_latency))
 
 
@@ -71,40 +81,45 @@
     """One software build: what was sent to it and how its hits went."""
 
     def __init__(self, number, earlier, window):
-        self.number, self.earlier = number, earlier
+        self.number, self.earlier = number, earlier  # earlier: the build before it, None where none is known
         self.sent = SlidingCounts(window)  # forwards to it
         self.counted_from = -FOREVER  # when the exposure count last started anew
         self.samples = {}  # path group name -> recent samples
-        self.errored = {}  # path group name -> [errored, hits] so far
+        self.errored = {}  # path group name -> (errored, hits) so far
         self.platform_counts = 0, 0  # the same as the platform counts it, all path groups
-        self.condemned = False
-        self.listed_instances = 0  # instances listed when the build was first seen
+        self.condemned = False  # an assessment has failed it
+        self.listed_instances = 0  # instances of lower builds that were up when it was first seen
 
     def add_sample(self, group, sample):
+        """Adds a sample of the path group with this name, and counts it."""
         self.samples.setdefault(group, deque()).append(sample)
         errored, hits = self.errored.get(group, (0, 0))
         self.errored[group] = errored + sample.errored, hits + 1
 
 
 class Instance:
-    """All that is known of one instance since its last start."""
+    """All that is known of one instance since its last start. Times are microseconds."""
 
     def __init__(self, row, fleet, limit, tokens):
         self.id, self.zone, self.cell = row["id"], row["zone"], row["cell"]
         self.fleet, self.build = fleet, fleet.build(row["build"])
-        self.started, self.state = row["started"], row["state"]
+        self.started, self.state = row["started"], row["state"]  # started: None where it is not known
+        # own hits in flight, their limit, and when the limit was last cut
         self.out, self.limit, self.limit_cut_at = 0, limit, 0
         self.other_inflight = 0.0  # hits of other gateways that it last reported
-        self.latency_ratio, self.lateness = 1.0, 0.0  # latency against the usual, and against the target
-        self.faults = 0.0  # share of its late outcomes that failed
+        # moving averages: latency over the mean of the path group, and over the target latency
+        self.latency_ratio, self.lateness = 1.0, 0.0
+        self.faults = 0.0  # moving average of the share of its outcomes that failed
+        # last sign of life (0: none), end of the ejection, length of the ejection
         self.heard_at, self.ejected_until, self.ejection_time = 0, 0, 0
-        self.tokens = tokens  # what may be sent to it while it is cold
+        self.tokens = tokens  # hits that may be sent to it while it is cold
 
     def shares_deduplication(self, other, scope):
-        """Do the two drop each other's repeats of a tagged hit?"""
+        """Whether the two recognise each other's idempotency keys, in a path group with this scope."""
         return scope == "all" or self.zone == other.zone and (scope != "cell" or self.cell == other.cell)
 
     def age(self, now):
+        """Microseconds since the start; `FOREVER` where the start is not known."""
         return now - self.started if self.started is not None else FOREVER
 
     def warmth(self, now):
@@ -115,29 +130,33 @@
 
 
 class Fleet:
-    """The instances as the list tells them, one record each, found by id."""
+    """The instances in the list, found by id, and the builds that were heard of, by number."""
 
-    def __init__(self, runsheet):
+    def __init__(self, settings):
+        # by id; those that are up, in order of id; those that may still be cold; ids of those up; those up by
+        # message tag (empty: to be built); builds by number
         self.by_id, self.up, self.cold_instances, self.ids, self.by_tag, self.builds = {}, [], [], [], {}, {}
-        self.cold_share, self.cold_time = runsheet.get("cold_share", 1.0), runsheet.get("cold_time", 0)
-        self.exposure_window = runsheet.get("exposure_window", 0)
+        # share of its capacity that a started instance has, and the longest warm-up in microseconds
+        self.cold_share, self.cold_time = settings.get("cold_share", 1.0), settings.get("cold_time", 0)
+        self.exposure_window = settings.get("exposure_window", 0)
 
     def build(self, number):
-        """The record of a build; the earlier one is the highest below it that was not found bad."""
+        """The record of a build, made where there is none; its earlier build is the highest one below it that
+        is not condemned."""
         if number not in self.builds:
             earlier = [b for b in self.builds.values() if b.number < number and not b.condemned]
             made = Build(number, max(earlier, key=lambda b: b.number, default=None), self.exposure_window)
             made.listed_instances = sum(i.build.number < number for i in self.up)
             self.builds[number] = made
-            # guards a gateway that starts in mid-trial: it may hear of the trial before what came earlier
+            # a gateway that starts in mid-trial may hear of the trial before it hears of the earlier build
             for later in self.builds.values():
                 if later.number > number and (not later.earlier or later.earlier.number < number):
                     later.earlier = made
         return self.builds[number]
 
     def update(self, whole, rows, made):
-        """`made(row)`: the record of a new instance, a restarted one or an id used again; nothing known of
-        the last one holds."""
+        """Applies the list, or changes to it where `whole` is false. `made(row)` makes the record of a new or
+        restarted instance or of an id in use again; nothing known under that id is kept."""
         if whole:
             listed = {row["id"] for row in rows}
             self.by_id = {id: i for id, i in self.by_id.items() if id in listed}
@@ -152,39 +171,45 @@
         self.rebuild_index()
 
     def drain(self, instances):
-        """Not by the list: the next row of the list puts it right."""
+        """Marks instances as draining until the next row of the list overrides it."""
         for instance in instances:
             instance.state = "draining"
         self.rebuild_index()
 
     def rebuild_index(self):
+        """Recomputes what follows from the instances' states."""
         self.up = sorted((i for i in self.by_id.values() if i.state == "up"), key=lambda i: i.id)
         self.ids, self.by_tag, self.cold_instances = [i.id for i in self.up], {}, self.up
 
     def still_cold(self, now):
+        """The instances that are not warm yet."""
         self.cold_instances = [i for i in self.cold_instances if i.warmth(now) < 1]
         return self.cold_instances
 
     def rotation_after(self, last):
-        """All that are up, beginning after the last one chosen."""
+        """All instances that are up, in order of id and beginning after the id `last`."""
         after = bisect_right(self.ids, last)
         return chain(self.up[after:], self.up[:after])
 
 
 class Hit:
-    def __init__(self, id, group, customer, key, again, now, left, state):
-        self.id, self.group, self.customer, self.key, self.is_repeat = id, group, customer, key, again
+    """A client's hit and its forwards. Times are microseconds."""
+
+    def __init__(self, id, group, customer, key, is_repeat, now, left, state):
+        self.id, self.group, self.customer, self.key, self.is_repeat = id, group, customer, key, is_repeat
         self.arrived, self.deadline = now, now + left
-        self.state, self.forwards, self.open_forwards = state, [], 0
-        self.probed, self.probe_replied = [], []  # instances probed for it, and those that answered
-        self.first_executed = None  # the first forward that may have run
+        self.state, self.forwards, self.open_forwards = state, [], 0  # open: without an outcome yet
+        self.probed, self.probe_replied = [], []  # instances probed for it, and those that replied
+        self.first_executed = None  # the first forward that may have been executed
 
     def add_forward(self, instance, now):
+        """Records a new forward to the instance."""
         self.forwards.append(Forward(instance, now))
         self.open_forwards += 1
         instance.out += 1
 
     def settle_forward(self, number):
+        """Records that a forward has its outcome, and returns the forward."""
         forward = self.forwards[number]
         forward.has_outcome = True
         self.open_forwards -= 1
@@ -192,17 +217,21 @@
         return forward
 
     def next_state(self, state):
+        """Returns `state`; raises RuntimeError where the hit cannot go there."""
         if state not in HitState.NEXT[self.state]:
             raise RuntimeError(f"a hit cannot go from {self.state} to {state}")
         return state
 
     @property
     def ended(self):
+        """Whether the hit has its final answer, or its client has left."""
         return HitState.NEXT[self.state] == {self.state}
 
 
 class Forward:
+    """One attempt to have a hit served by an instance."""
+
     def __init__(self, instance, now):
         self.instance, self.sent, self.has_outcome, self.cancelled = instance, now, False, False
-        self.probed_at = None  # when the instance was asked whether it is there
-        self.inflight_seen = instance.out + instance.other_inflight  # hits it found there, as far as we know
+        self.probed_at = None  # when the instance was probed, as the answer was overdue; None: not probed
+        self.inflight_seen = instance.out + instance.other_inflight  # hits at the instance, as far as known
