--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -36,7 +36,8 @@
             instance.tokens = saved + part * instance.warmth(now)
 
     def record_load_report(self, instance, inflight):
-        """Takes over what an instance reports as its hits in flight, of all gateways."""
+        """Takes over an instance's report of its hits in flight, and updates the mean load of its zone.
+        `inflight` counts the hits of all gateways."""
         instance.other_inflight = max(0.0, inflight - instance.out)
         mean = self.zone_load.get(instance.zone, instance.other_inflight)
         self.zone_load[instance.zone] = mean + (instance.other_inflight - mean) * 0.1
--- a/cobaltpond/decisions/judging.py
+++ b/cobaltpond/decisions/judging.py
@@ -298,7 +298,8 @@
 
     def on_wrong(self, now, id, group, age):
         """An answer given `age` microseconds ago, taken for a quick success, was wrong: it counts as an error
-        of its build. A report of the instance's process before its last start is ignored."""
+        of its build. A report from before the instance's last start is ignored, as that process may have run
+        another build."""
         instance, group = self.fleet.by_id.get(id), self.groups.get(group)
         if instance and group and instance.age(now - age) >= 0:
             self.record_sample(group, Sample(now, group.timeout, True, instance, -1, 0, 0), now)
--- a/cobaltpond/decisions/rules.py
+++ b/cobaltpond/decisions/rules.py
@@ -30,8 +30,7 @@
 # Above this number of gateways each one is a low-traffic gateway, whose own counts show little; first limit
 # of hits in flight at an instance.
 LOW_TRAFFIC_GATEWAYS, INITIAL_INFLIGHT_LIMIT = 10, 4
-# Ratios to figures of the settings: to the longest warm-up (`..._COLD_TIMES`), to the target latency
-# (`..._SHARE`).
+# Ratios to figures of the settings: longest warm-up (`..._COLD_TIMES`) or target latency (`..._SHARE`)
 STRATUM_COLD_TIMES = 0.5  # length of the time strata in which samples are compared
 TICK_SHARE, HOLD_SHARE = 0.05, 0.15  # interval at which held hits are tried again; longest time they are held
 SILENCE_SHARE = 0.8  # an instance is silent if an answer has been outstanding for so long
@@ -46,6 +45,7 @@
 
     `host` is a `DecisionHost`, `now` is in microseconds, `seed` seeds the random source, and `settings` is
     the policy map (`interface.PolicySettings`). Each public `on_...` method handles one event of `Decisions`.
+    The attributes are described in `__init__`; all times and durations among them are in microseconds.
     """
 
     def __init__(self, host, now, seed, settings):
@@ -53,7 +53,7 @@
         self.groups = {row["name"]: PathGroup(row, settings) for row in settings["path_groups"]}
         # instances and builds; hits without final answer or with open forwards, by id; those held, by id
         self.fleet, self.hits, self.held_hits = Fleet(settings), {}, {}
-        # arrivals of hits by ledger, the base of the exposure caps
+        # arrivals of hits by `PathGroup.ledger`, of which the exposure caps are a share
         self.accepted_counts = SlidingCounts(settings.get("exposure_window", SECOND))
         # the release as the desk last told it: build, stage index, phase, cap (share of hits), stage start
         self.newest, self.stage, self.phase, self.cap, self.stage_began = None, 0, "released", 1.0, now
@@ -68,8 +68,8 @@
         )
         # start of this process; hits given up, by reason; mean load of other gateways on an instance, by zone
         self.started_at, self.given_up, self.zone_load = now, Counter(), {}
-        # last assessment of the newest build; samples have come since; whether the build is known to be good
-        # enough for more traffic; whether it was released longer ago than evidence is kept
+        # verdict of the last assessment ("fine", "suspect", "fail"), and whether it is out of date; whether
+        # the newest build may draw more traffic; whether its release is older than evidence is kept
         self.verdict, self.evidence_changed, self.build_trusted, self.release_settled = (
             "fine",
             False,
@@ -93,12 +93,15 @@
         # last answer of the list and last request for it; retry delay (0: the list answers). Ask at once.
         self.last_list_at, self.list_requested_at, self.list_retry_delay = now, now - 1, 1
         self.cold_time = settings.get("cold_time", 0)  # longest warm-up of an instance
+        # shortest target latency of a path group; interval at which held hits are tried again
         self.shortest_target = min(g.target for g in self.groups.values())
         self.tick = max(int(TICK_SHARE * self.shortest_target), settings.get("tick", 1))
+        # votes needed to take a build back, at least one; number of gateways
         votes, self.gateway_count = (
             max(1, settings.get("back_votes") or 1),
             max(1, settings.get("gateways", 1)),
         )
+        # whether there are so many gateways that each sees few hits; whether it may probe instances
         self.low_traffic = self.gateway_count > LOW_TRAFFIC_GATEWAYS
         self.probing_enabled = self.low_traffic and settings.get("may_probe")
         # share of the target latency after which an unanswered forward is looked into
@@ -166,8 +169,8 @@
         self.dispatch_held(now)
 
     def on_drains(self, now, tags):
-        """Another gateway's newer list has these instances draining: they get no hits until the own list says
-        otherwise. `tags` are `SampleMessage` tags; unknown ones are ignored."""
+        """Another gateway's newer list has the instances with these message tags draining: they get no
+        hits until the own list has them. Unknown tags are ignored."""
         self.fleet.drain([self.instances_by_tag()[tag] for tag in tags if tag in self.instances_by_tag()])
 
     # --- hits ----------------------------------------------------------------------------------------------
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -264,17 +264,17 @@
         for number, ending, at in outcomes
         if ending == "ok"
     ]
-    where = {}
+    builds_sent_to = {}
     for at, _, what, value in sorted(events, key=lambda e: e[:2]):
         if what == "list":
             builds[value["id"]] = value["build"]
         elif what == "news":
             news = value
         elif what == "ok":
-            answered.setdefault((host.keys[value[0]], where[value]), at)
+            answered.setdefault((host.keys[value[0]], builds_sent_to[value]), at)
         else:
-            number = sum(hit == value[0] for hit, _ in where)
-            where[value[0], number] = builds[value[1]]
+            number = sum(hit == value[0] for hit, _ in builds_sent_to)
+            builds_sent_to[value[0], number] = builds[value[1]]
             newest, phase = news
             since = answered.get((host.keys[value[0]], newest))
             if phase != "going back" and since is not None and since < at and builds[value[1]] < newest:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -8,7 +8,7 @@
 def test_hit_that_takes_most_of_its_target_latency_is_not_cancelled():
     """With few hits an instance is not heard from for long: only an overdue answer is a sign of silence."""
     bench = Bench(OLD[:2])
-    bench.serve(6_000 * MS, lambda id: 450 * MS, every=400 * MS)  # of 600
+    bench.serve(6_000 * MS, lambda id: 450 * MS, every=400 * MS)  # target latency: 600 ms
     assert (
         len(bench.host.named("send_forward")) > 10
         and bench.host.named("cancel_forward", "reject_hit", "fail_hit") == []
@@ -36,7 +36,7 @@
     bench = Bench(OLD[:2], **PRICED)
     bench.run(100 * MS)
     bench.hit()
-    bench.run(450 * MS)  # of 600
+    bench.run(450 * MS)  # target latency: 600 ms
     ((_, _, (probed,)),) = bench.host.named("probe_instance")
     assert probed == bench.host.open[0][3] and bench.host.named("cancel_forward") == []
     if replies:
@@ -66,7 +66,7 @@
     bench = Bench(OLD, gateways=100, may_cancel=False)
     for _ in range(8):
         bench.hit()
-    bench.run(700 * MS)  # of 600
+    bench.run(700 * MS)  # target latency: 600 ms
     while bench.host.open:
         bench.end(bench.host.open[0], "ok")
         bench.run(bench.host.now + 25 * MS)
@@ -124,7 +124,7 @@
     bench = Bench(OLD[:2], **PRICED)
     bench.run(100 * MS)
     bench.hit()
-    bench.run(450 * MS)  # of 600
+    bench.run(450 * MS)  # target latency: 600 ms
     ((_, _, (probed,)),) = bench.host.named("probe_instance")
     bench.gateway.on_probed(bench.host.now, probed, "ok", MS, {"inflight": 9})
     assert bench.gateway.admitted == 1.0
@@ -155,7 +155,7 @@
     bench = Bench(OLD[:2], **PRICED)
     bench.run(100 * MS)
     bench.hit("pay")
-    bench.run(650 * MS)  # of 800, and two ticks
+    bench.run(650 * MS)  # target latency: 800 ms; and two ticks
     ((_, _, (probed,)),) = bench.host.named("probe_instance")
     bench.gateway.on_probed(bench.host.now, probed, "timeout", 250 * MS, {})
     bench.run(1_500 * MS)
--- a/tests/test_thin.py
+++ b/tests/test_thin.py
@@ -98,7 +98,7 @@
     gateway.assess(build, gateway.stage_began + window - 1)
     assert (
         gateway.assess_errors(build, "all", counts, gateway.significance_z, new) == "fail"
-    )  # beside the earlier build
+    )  # still compared with the earlier build
     gateway.assess(build, gateway.stage_began + window)
     assert gateway.assess_errors(build, "all", counts, gateway.significance_z, new) == verdict
 
