--- a/bench/leases_model.py
+++ b/bench/leases_model.py
@@ -56,12 +56,10 @@
         new.holders = [
             Holder(holder.number, holder.lease_time, dict(holder.leases)) for holder in self.holders
         ]
-        new.crashed, new.paused, new.starts, new.views = (
-            list(self.crashed),
-            list(self.paused),
-            list(self.starts),
-            list(self.views),
-        )
+        new.crashed = list(self.crashed)
+        new.paused = list(self.paused)
+        new.starts = list(self.starts)
+        new.views = list(self.views)
         return new
 
     def reachable(self, n):
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -47,10 +47,8 @@
             )
             for n in range(count)
         ]
-        passing, exhausted = (
-            CompiledLimits(limits),
-            CompiledLimits([*limits[1:], Limit("t", "hits", "nothing", 1, 1, group="buy")]),
-        )
+        passing = CompiledLimits(limits)
+        exhausted = CompiledLimits([*limits[1:], Limit("t", "hits", "nothing", 1, 1, group="buy")])
         row = []
         for compiled in (passing, exhausted):
             for n in range(20_000):
@@ -94,15 +92,11 @@
     }[variant]
     limit = Limit("house", "hits", rate=RATE_PER_S * 1000, burst=RATE_PER_S // 10, fleet=variant != "central")
     evaluators = [CompiledLimits([limit], own_rate) for _ in range(1 if variant == "central" else count)]
-    owners, holders = (
-        [Owner(n, count, LEASE_TIME_US, 0) for n in range(count)],
-        [Holder(n, LEASE_TIME_US) for n in range(count)],
-    )
-    pool, living, key = (
-        RATE_PER_S * 1000 - count * (RATE_PER_S * 1000 // OWN_DIVISOR // count),
-        list(range(count)),
-        "house",
-    )
+    owners = [Owner(n, count, LEASE_TIME_US, 0) for n in range(count)]
+    holders = [Holder(n, LEASE_TIME_US) for n in range(count)]
+    pool = RATE_PER_S * 1000 - count * (RATE_PER_S * 1000 // OWN_DIVISOR // count)
+    living = list(range(count))
+    key = "house"
     owner, in_flight, messages, wanted, passed_at = owner_of(key, living), [], 0, [0.0] * count, []
     hit = HitAttributes("look", "repeatable")
     for at in range(0, seconds * S, STEP_US):
--- a/bench/members.py
+++ b/bench/members.py
@@ -62,10 +62,8 @@
         }
         self.news, self.drains, self.on_gossip, self.stamp = None, (), None, 0
         self.out, self.changes, self.replaced, self.counts = [], [], False, {}
-        self.next_heartbeat, self.reachability = (
-            now + chance.randbelow(settings.period) + 1,
-            Reachability(self),
-        )
+        self.next_heartbeat = now + chance.randbelow(settings.period) + 1
+        self.reachability = Reachability(self)
 
     def living(self):
         return {n: m.start for n, m in self.members.items() if m.is_present} | {self.number: self.start}
--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -77,10 +77,8 @@
         """Reduces the admitted share, as a forward sent at `sent` is late. What was sent before the last cut
         shows nothing of its effect and is ignored."""
         if sent >= self.last_admission_cut:
-            self.admitted, self.last_admission_cut = (
-                max(ADMISSION_INCREASE, self.admitted * ADMISSION_DECREASE),
-                now,
-            )
+            self.admitted = max(ADMISSION_INCREASE, self.admitted * ADMISSION_DECREASE)
+            self.last_admission_cut = now
 
     def is_customer_fault(self, customer, ending):
         """Whether an error is due to the customer's request, which fails at every instance, rather than to
@@ -118,10 +116,8 @@
             return False
         since, name = now - self.settings["exposure_window"], group.ledger
         since = max(since, build.counted_from) if now >= build.counted_from else since
-        sent, accepted = (
-            build.sent.count_since(name, since),
-            self.accepted_counts.count_since(name, since + 1),
-        )
+        sent = build.sent.count_since(name, since)
+        accepted = self.accepted_counts.count_since(name, since + 1)
         # no free forwards in the first window: hundreds of gateways that restart at once, or one that
         # restarts every second, would exceed the cap with them
         free = (
@@ -184,10 +180,8 @@
         for id, latency_ratio, load, faults, silent in rows:
             instance = self.fleet.by_id.get(id)
             if instance and not instance.heard_at:
-                instance.latency_ratio, instance.other_inflight = (
-                    max(instance.latency_ratio, latency_ratio),
-                    max(instance.other_inflight, load),
-                )
+                instance.latency_ratio = max(instance.latency_ratio, latency_ratio)
+                instance.other_inflight = max(instance.other_inflight, load)
                 instance.faults = max(instance.faults, faults)
                 if silent:
                     self.eject(instance, now)
@@ -204,10 +198,8 @@
                 i for i in rotation if now - i.heard_at < self.cold_time and self.is_eligible(hit, i, now)
             ] or rotation
         all_eligible = (i for i in rotation if self.is_eligible(hit, i, now))
-        eligible, tried = (
-            list(islice(all_eligible, MAX_COMPARED)),
-            [f.instance for f in hit.forwards] + hit.probed,
-        )
+        eligible = list(islice(all_eligible, MAX_COMPARED))
+        tried = [f.instance for f in hit.forwards] + hit.probed
         eligible = [i for i in eligible if i not in tried] or eligible
         costs = [self.queue_cost(i, now) for i in eligible]
         chosen = next((i for i, c in zip(eligible, costs, strict=True) if c <= min(costs) + 0.5), None)
--- a/cobaltpond/decisions/judging.py
+++ b/cobaltpond/decisions/judging.py
@@ -61,10 +61,8 @@
         enabled = self.settings.get("may_tell") and self.phase in ("trial", "released")
         if not enabled or not build or not build.earlier or sample_build not in (build, build.earlier):
             return
-        reference_due, group.reference_samples_due = (
-            group.reference_samples_due,
-            1 if sample_build is build else 0,
-        )
+        reference_due = group.reference_samples_due
+        group.reference_samples_due = 1 if sample_build is build else 0
         if reference_due or sample_build is build:
             recipients = {}
             for judge in self.judges(build):
@@ -178,14 +176,10 @@
         # for errors no more instances than one cell has: few errors may all be in the worst third of many
         cell_size = max(cells.values(), default=1)
         for group in self.groups.values():
-            every, old = (
-                self.recent_samples(build, group, now),
-                self.recent_samples(build.earlier, group, now),
-            )
-            new, counted = (
-                self.without_worst_instances(every),
-                self.without_worst_instances(every, cell_size),
-            )
+            every = self.recent_samples(build, group, now)
+            old = self.recent_samples(build.earlier, group, now)
+            new = self.without_worst_instances(every)
+            counted = self.without_worst_instances(every, cell_size)
             record = build.earlier.errored.get(group.name, (0, 0))
             counts = (sum(s.errored for s in counted), len(counted), *record)
             cases.append((counts, counted, [*old], *self.stratify(new, old, now)))
--- a/cobaltpond/decisions/rules.py
+++ b/cobaltpond/decisions/rules.py
@@ -51,59 +51,51 @@
     def __init__(self, host, now, seed, settings):
         self.host, self.settings, self.random_source = host, settings, RandomSource(seed)
         self.groups = {row["name"]: PathGroup(row, settings) for row in settings["path_groups"]}
-        # instances and builds; hits without final answer or with open forwards, by id; those held, by id
-        self.fleet, self.hits, self.held_hits = Fleet(settings), {}, {}
+        self.fleet = Fleet(settings)  # instances and builds
+        self.hits = {}  # hits without final answer or with open forwards, by id
+        self.held_hits = {}  # by id
         # arrivals of hits by `PathGroup.ledger`, of which the exposure caps are a share
         self.accepted_counts = SlidingCounts(settings.get("exposure_window", SECOND))
         # the release as the desk last told it: build, stage index, phase, cap (share of hits), stage start
         self.newest, self.stage, self.phase, self.cap, self.stage_began = None, 0, "released", 1.0, now
-        # the last ballot (build, stage, verdict), when it was cast, and its answer (None while outstanding);
-        # how long this stage has been held; time of the last assessment
-        self.last_ballot, self.last_ballot_at, self.cast_answer, self.vote_hold_time, self.last_assessed = (
-            None,
-            0,
-            "ok",
-            0,
-            now,
-        )
-        # start of this process; hits given up, by reason; mean load of other gateways on an instance, by zone
-        self.started_at, self.given_up, self.zone_load = now, Counter(), {}
-        # verdict of the last assessment ("fine", "suspect", "fail"), and whether it is out of date; whether
-        # the newest build may draw more traffic; whether its release is older than evidence is kept
-        self.verdict, self.evidence_changed, self.build_trusted, self.release_settled = (
-            "fine",
-            False,
-            False,
-            False,
-        )
-        # last instance of the rotation; time of the next wake-up (infinite: none); idempotency key -> build
-        self.last_chosen_id, self.next_wakeup, self.kept_keys = "", inf, {}
-        # membership, as number -> start (None without membership); own samples, to tell a new judge; a build
-        # that another gateway reports as taken back or reduced (None: no such report)
-        self.alive_members, self.own_samples, self.blocked_build = (
-            None,
-            deque(maxlen=REFERENCE_FACTOR * MIN_SAMPLES),
-            None,
-        )
-        # share of hits that admission control lets in; smoothed share of dials or probes without an answer;
-        # smoothed error rate by customer
-        self.admitted, self.unreachable_share, self.customer_error_rates = 1.0, 0.0, {}
-        # when the admitted share was last reduced; smoothed share of answers that came late
-        self.last_admission_cut, self.late_share = now, 0.0
-        # last answer of the list and last request for it; retry delay (0: the list answers). Ask at once.
-        self.last_list_at, self.list_requested_at, self.list_retry_delay = now, now - 1, 1
+        self.last_ballot = None  # (build, stage, verdict)
+        self.last_ballot_at = 0  # when the last ballot was cast
+        self.cast_answer = "ok"  # the answer to the last ballot; None while outstanding
+        self.vote_hold_time = 0  # how long this stage has been held
+        self.last_assessed = now  # time of the last assessment
+        self.started_at = now  # start of this process
+        self.given_up = Counter()  # hits given up, by reason
+        self.zone_load = {}  # mean load of other gateways on an instance, by zone
+        self.verdict = "fine"  # of the last assessment: "fine", "suspect" or "fail"
+        self.evidence_changed = False  # whether that verdict is out of date
+        self.build_trusted = False  # whether the newest build may draw more traffic
+        self.release_settled = False  # whether the release is older than evidence is kept
+        self.last_chosen_id = ""  # last instance of the rotation
+        self.next_wakeup = inf  # time of the next wake-up; infinite: none
+        self.kept_keys = {}  # idempotency key -> build
+        self.alive_members = None  # number -> start; None without membership
+        self.own_samples = deque(maxlen=REFERENCE_FACTOR * MIN_SAMPLES)  # to tell a new judge
+        # a build that another gateway reports as taken back or reduced; None: no such report
+        self.blocked_build = None
+        self.admitted = 1.0  # share of hits that admission control lets in
+        self.unreachable_share = 0.0  # smoothed share of dials or probes without an answer
+        self.customer_error_rates = {}  # smoothed error rate by customer
+        self.last_admission_cut = now  # when the admitted share was last reduced
+        self.late_share = 0.0  # smoothed share of answers that came late
+        self.last_list_at = now  # last answer of the list
+        self.list_requested_at = now - 1  # last request for the list
+        self.list_retry_delay = 1  # 0: the list answers; 1: it is asked at once
         self.cold_time = settings.get("cold_time", 0)  # longest warm-up of an instance
-        # shortest target latency of a path group; interval at which held hits are tried again
-        self.shortest_target = min(g.target for g in self.groups.values())
+        self.shortest_target = min(g.target for g in self.groups.values())  # shortest target of a path group
+        # interval at which held hits are tried again
         self.tick = max(int(TICK_SHARE * self.shortest_target), settings.get("tick", 1))
-        # votes needed to take a build back, at least one; number of gateways
-        votes, self.gateway_count = (
-            max(1, settings.get("back_votes") or 1),
-            max(1, settings.get("gateways", 1)),
-        )
-        # whether there are so many gateways that each sees few hits; whether it may probe instances
+        votes = max(1, settings.get("back_votes") or 1)  # votes needed to take a build back, at least one
+        self.gateway_count = max(1, settings.get("gateways", 1))  # number of gateways
+        # whether there are so many gateways that each sees few hits
         self.low_traffic = self.gateway_count > LOW_TRAFFIC_GATEWAYS
-        self.probing_enabled = self.low_traffic and settings.get("may_probe")
+        self.probing_enabled = self.low_traffic and settings.get(
+            "may_probe"
+        )  # whether it may probe instances
         # share of the target latency after which an unanswered forward is looked into
         self.silence_share = PROBE_SHARE if self.probing_enabled else SILENCE_SHARE
         # low-traffic gateways get few hits and need longer strata
@@ -275,11 +267,9 @@
             return self.give_up(hit, reason)
         if self.waits_for_probes(hit, now):
             return
-        candidates, hit.probed, hit.probe_replied = (
-            [i for i in hit.probe_replied if self.is_eligible(hit, i, now)],
-            [],
-            [],
-        )
+        candidates = [i for i in hit.probe_replied if self.is_eligible(hit, i, now)]
+        hit.probed = []
+        hit.probe_replied = []
         candidates += [self.pick_instance(hit, now)] if len(candidates) < 2 else []  # two to compare
         instance = min(filter(None, candidates), key=lambda i: self.queue_cost(i, now), default=None)
         self.change_state(hit, HitState.HELD)
--- a/cobaltpond/decisions/voting.py
+++ b/cobaltpond/decisions/voting.py
@@ -49,12 +49,10 @@
     def vote(self, now):
         """Assesses the newest build and votes: "back" on any fail, else "on" after the delay. A suspect build
         waits, or is held where the gate is a clock."""
-        build, passed, self.last_assessed, changed = (
-            self.newest,
-            now - self.last_assessed,
-            now,
-            self.evidence_changed,
-        )
+        build = self.newest
+        passed = now - self.last_assessed
+        self.last_assessed = now
+        changed = self.evidence_changed
         self.evidence_changed = False
         if build is None or self.phase not in ("trial", "released") or build.earlier is None:
             return
--- a/cobaltpond/edge/client_connection.py
+++ b/cobaltpond/edge/client_connection.py
@@ -21,13 +21,11 @@
         self.frontend, self.loop, self.connection = frontend, frontend.loop, connection
         self.parser, self.queued_commands, self.hit = pg.ClientMessageParser(), [], None
         self.connected_at = self.last_active = frontend.loop.now()
-        self.has_asked, self.unsent, self.writer, self.closing_since, self.discarded_bytes = (
-            False,
-            b"",
-            None,
-            None,
-            0,
-        )
+        self.has_asked = False
+        self.unsent = b""
+        self.writer = None
+        self.closing_since = None
+        self.discarded_bytes = 0
 
     @property
     def is_idle(self) -> bool:
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -83,18 +83,14 @@
         """`reports_every_response`: the decisions poll the list, so they are told of responses without a
         change too.
         """
-        self.loop, self.host, self.address, self.log, self.reports_every_response = (
-            loop,
-            host,
-            address,
-            log,
-            reports_every_response,
-        )
-        self.instances, self.has_heard, self.source_switch = (
-            DiscoveredInstances(),
-            False,
-            SourceSwitch(loop, "discovery"),
-        )
+        self.loop = loop
+        self.host = host
+        self.address = address
+        self.log = log
+        self.reports_every_response = reports_every_response
+        self.instances = DiscoveredInstances()
+        self.has_heard = False
+        self.source_switch = SourceSwitch(loop, "discovery")
         self.counts = {"applied": 0, "errors": 0}
 
     def apply_answer(self, response) -> int:
@@ -140,16 +136,12 @@
         asked by the version that it reported itself (None: for the whole list), so that its changes apply on
         top of every newer version, whichever source reported that.
         """
-        backoff, version, stale_since = (
-            Backoff(20_000, MAX_RETRY_DELAY_US, self.loop.kernel.random_seed()),
-            None,
-            None,
-        )
+        backoff = Backoff(20_000, MAX_RETRY_DELAY_US, self.loop.kernel.random_seed())
+        version = None
+        stale_since = None
         while True:
-            requested_at, target = (
-                self.loop.now(),
-                f"{HOSTS_PATH}?after={version}&wait_ms={WATCH_TIME_US // 1000}",
-            )
+            requested_at = self.loop.now()
+            target = f"{HOSTS_PATH}?after={version}&wait_ms={WATCH_TIME_US // 1000}"
             try:
                 if version is None:
                     status, body = yield from self.whole_list(address)
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -88,13 +88,11 @@
         time_out: int,
         send_within=None,
     ):
-        self.forwards, self.loop, self.endpoint, self.statement, self.tag = (
-            forwards,
-            forwards.loop,
-            endpoint,
-            statement,
-            tag,
-        )
+        self.forwards = forwards
+        self.loop = forwards.loop
+        self.endpoint = endpoint
+        self.statement = statement
+        self.tag = tag
         self.started_at, self.time_out = forwards.loop.now(), time_out
         self.send_by = None if send_within is None else self.started_at + send_within
         self.connection, self.partly_written, self.fully_written = None, False, False
--- a/cobaltpond/edge/frontend.py
+++ b/cobaltpond/edge/frontend.py
@@ -27,13 +27,11 @@
         """`connection_limit()` gives the current maximum of client connections, `max_connections` the highest
         one.
         """
-        self.loop, self.host, self.log, self.connection_limit, self.max_connections = (
-            loop,
-            host,
-            log,
-            connection_limit,
-            max_connections,
-        )
+        self.loop = loop
+        self.host = host
+        self.log = log
+        self.connection_limit = connection_limit
+        self.max_connections = max_connections
         self.groups = {row["name"]: row for row in policy_settings["path_groups"]}
         self.customers = {row["name"] for row in policy_settings["customers"]}
         self.may_cancel = bool(policy_settings.get("may_cancel"))
--- a/cobaltpond/edge/platform.py
+++ b/cobaltpond/edge/platform.py
@@ -92,11 +92,9 @@
                     self.has_heard = True
                 elif document.get("type") == "DISPUTE":
                     dispute = document["object"]
-                    instance, group, age = (
-                        str(dispute["InstanceId"]),
-                        str(dispute["Lane"]),
-                        int(dispute["AgeMs"] * 1000),
-                    )
+                    instance = str(dispute["InstanceId"])
+                    group = str(dispute["Lane"])
+                    age = int(dispute["AgeMs"] * 1000)
                     self.counts["wrong"] += 1
                     self.host.post_event("on_wrong", instance, group, age)
                 elif document:  # an empty object is a heartbeat
--- a/cobaltpond/gateway/body_buffer.py
+++ b/cobaltpond/gateway/body_buffer.py
@@ -19,12 +19,10 @@
     """
 
     def __init__(self, max_bytes: int):
-        self.max_bytes, self.chunks, self.buffered_bytes, self.first_chunk = (
-            max_bytes,
-            [],
-            0,
-            0,
-        )  # first_chunk: the number of the first chunk that is still buffered
+        self.max_bytes = max_bytes
+        self.chunks = []
+        self.buffered_bytes = 0
+        self.first_chunk = 0
         self.ended, self.truncated, self.streaming, self.readers = False, False, False, 0
         self.data_added, self.data_removed = Event(), Event()
 
--- a/cobaltpond/gateway/client_connection.py
+++ b/cobaltpond/gateway/client_connection.py
@@ -168,10 +168,8 @@
 
     def reject(self, retry_after: int) -> None:
         """Bounces the hit; `retry_after`: advice in microseconds, 0 for none."""
-        keep_alive, over_share = (
-            self.may_keep_connection,
-            self.frontend.shares.is_over_share(self.route.customer),
-        )
+        keep_alive = self.may_keep_connection
+        over_share = self.frontend.shares.is_over_share(self.route.customer)
         self.finalize("bounced")
         self.client.send_data(
             responses.bounce_response(self.name, retry_after, over_share, keep_alive), not keep_alive
--- a/cobaltpond/gateway/decision_host.py
+++ b/cobaltpond/gateway/decision_host.py
@@ -31,26 +31,20 @@
         forwards,
         log,
     ):
-        self.loop, self.policy_settings, self.number, self.start, self.log = (
-            loop,
-            policy_settings,
-            policy_settings["number"],
-            start,
-            log,
-        )
-        self.max_open_hits, self.slack, self.max_forwards = (
-            max_open_hits,
-            slack,
-            policy_settings.get("most_forwards", 1),
-        )
+        self.loop = loop
+        self.policy_settings = policy_settings
+        self.number = policy_settings["number"]
+        self.start = start
+        self.log = log
+        self.max_open_hits = max_open_hits
+        self.slack = slack
+        self.max_forwards = policy_settings.get("most_forwards", 1)
         self.endpoints, self.forwards = endpoints, forwards
         self.hits, self.priority_inbox, self.inbox, self.open_hits = {}, [], [], 0
         self.taken, self.probes_in_flight, self.decisions = 0, 0, None
-        self.instance_source, self.desk_client, self.peers = (
-            None,
-            None,
-            None,
-        )  # set by the process that creates the host
+        self.instance_source = None
+        self.desk_client = None
+        self.peers = None
         self.is_allowed = (
             lambda what, verdict="": True
         )  # whether the gateway's phase permits this vote, or sending samples to peers
--- a/cobaltpond/gateway/desk_client.py
+++ b/cobaltpond/gateway/desk_client.py
@@ -51,11 +51,9 @@
         if "mark" not in news:
             return
         epoch, turn = news["mark"]
-        mark, build, gone = (
-            [int(epoch), int(turn)],
-            state[0],
-            list(self.last_seen_state["gone"]) if self.last_seen_state else [],
-        )
+        mark = [int(epoch), int(turn)]
+        build = state[0]
+        gone = list(self.last_seen_state["gone"]) if self.last_seen_state else []
         if self.last_seen_state and mark < self.last_seen_state["mark"]:
             return
         gone += [int(b) for b in news.get("gone", ()) if b not in gone]
--- a/cobaltpond/gateway/endpoints.py
+++ b/cobaltpond/gateway/endpoints.py
@@ -43,17 +43,13 @@
     """
 
     def __init__(self, loop, limits, handshake=None, max_connections=None):
-        self.loop, self.limits, self.by_id, self.handshake, self.max_connections = (
-            loop,
-            limits,
-            {},
-            handshake,
-            max_connections,
-        )
-        self.open_count, self.dial_limiter = (
-            0,
-            None,
-        )  # `recovery.rate_limiter.DialRateLimiter`, None where the rate of dials is not limited
+        self.loop = loop
+        self.limits = limits
+        self.by_id = {}
+        self.handshake = handshake
+        self.max_connections = max_connections
+        self.open_count = 0
+        self.dial_limiter = None
 
     def is_reachable(self, endpoint: InstanceEndpoint) -> bool:
         """Whether one more forward finds an idle connection or may dial now."""
--- a/cobaltpond/gateway/forwards.py
+++ b/cobaltpond/gateway/forwards.py
@@ -105,13 +105,11 @@
     """
 
     def __init__(self, forwards, hit, number, endpoint, time_out, send_within=None):
-        self.forwards, self.loop, self.hit, self.number, self.endpoint = (
-            forwards,
-            forwards.loop,
-            hit,
-            number,
-            endpoint,
-        )
+        self.forwards = forwards
+        self.loop = forwards.loop
+        self.hit = hit
+        self.number = number
+        self.endpoint = endpoint
         self.deadline = self.loop.now() + time_out
         self.send_deadline = None if send_within is None else self.loop.now() + send_within
         self.connection, self.writer, self.has_written = None, None, False
--- a/cobaltpond/gateway/frontend.py
+++ b/cobaltpond/gateway/frontend.py
@@ -24,10 +24,8 @@
 
     def __init__(self, loop, settings, host, log, status, members=None):
         self.loop, self.settings, self.host, self.log, self.status = loop, settings, host, log, status
-        self.members, self.admission_limits = (
-            members,
-            None,
-        )  # `gateway.admission_limits.AdmissionLimits`, None where the settings have no limits
+        self.members = members
+        self.admission_limits = None
         self.routes, self.visits, self.half_closed = Routes(settings), {}, {}
         self.draining, self.counts = False, {}
         self.shares = CustomerShares(
--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -129,10 +129,8 @@
         self.address, self.copy_path = split_address(settings.listing.address), gateway_settings.memory
         self.instance_list, self.has_heard, self.needs_write = InstanceList(), False, False
         self.on_applied = lambda: None  # called after each object that was applied
-        self.reconciler, self.kept_list = (
-            ListReconciler(self.is_answering),
-            {},
-        )  # the list restored from disk, empty once a list has been received
+        self.reconciler = ListReconciler(self.is_answering)
+        self.kept_list = {}
         self.backoff = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
         self.counts = {"applied": 0, "gaps": 0, "errors": 0}
 
--- a/cobaltpond/gateway/peers.py
+++ b/cobaltpond/gateway/peers.py
@@ -22,11 +22,9 @@
         self.loop, self.host, self.addresses, self.broadcast = loop, host, addresses, broadcast
         self.numbers = {address: number for number, address in addresses.items()}
         self.handle = loop.kernel.open_datagrams(listen)
-        self.number, self.counts, self.on_membership = (
-            number,
-            {"heard": 0, "odd": 0},
-            None,
-        )  # on_membership: called with (number of the sender, payload)
+        self.number = number
+        self.counts = {"heard": 0, "odd": 0}
+        self.on_membership = None
 
     def send_to(self, peer: int | None, data: bytes) -> bool:
         """Sends to one gateway, or to all others where `peer` is None. False where nothing was sent."""
--- a/cobaltpond/members/probing.py
+++ b/cobaltpond/members/probing.py
@@ -18,13 +18,11 @@
 
     def __init__(self, member: Member, sequence: int, began: int, ack_timeout: int, period: int):
         self.member, self.sequence, self.indirect_sent_at, self.start = member, sequence, None, member.start
-        self.indirect_at, self.end_at, self.helpers, self.nacks, self.result = (
-            began + ack_timeout,
-            began + period,
-            {},
-            {},
-            None,
-        )
+        self.indirect_at = began + ack_timeout
+        self.end_at = began + period
+        self.helpers = {}
+        self.nacks = {}
+        self.result = None
 
 
 class Probing:
--- a/cobaltpond/members/reachability.py
+++ b/cobaltpond/members/reachability.py
@@ -10,14 +10,12 @@
 
 DIRECT, INDIRECT, NACKED, NO_REPLY = "direct", "helped", "lost", "mute"
 ALONE_AFTER_PERIODS = 4  # protocol periods without a datagram from any member
-REACHABLE, GONE, PARTLY_GONE, CUT_OFF, ALONE, UNKNOWN = (
-    "fine",
-    "gone",
-    "partly gone",
-    "cut off from it",
-    "alone",
-    "unknown",
-)
+REACHABLE = "fine"
+GONE = "gone"
+PARTLY_GONE = "partly gone"
+CUT_OFF = "cut off from it"
+ALONE = "alone"
+UNKNOWN = "unknown"
 
 
 class Reachability:
--- a/cobaltpond/members/service.py
+++ b/cobaltpond/members/service.py
@@ -46,11 +46,9 @@
         self.view.on_gossip = lambda member, news, drains: self.gossip.receive(
             self.loop.now(), member, news, drains
         )
-        self.evidence, self.trial_counts, self.groups = (
-            TrialEvidence(window, post, chance, loop.now()),
-            trial,
-            list(groups),
-        )
+        self.evidence = TrialEvidence(window, post, chance, loop.now())
+        self.trial_counts = trial
+        self.groups = list(groups)
         self.view.on_trial_message = self.handle_trial_message if trial is not None else None
         self.changed, self.rejected, self.last_living = Event(), {}, None
         self.is_alone, self.is_island, self.replaced = False, False, False
--- a/cobaltpond/members/states.py
+++ b/cobaltpond/members/states.py
@@ -7,13 +7,11 @@
 STATE_CODES = {name: code for code, name in enumerate((UNHEARD, ALIVE, SUSPECT, FAILED, LEFT))}
 NAMES = {code: name for name, code in STATE_CODES.items()}
 
-HEARD, SUSPECTED, SUSPICION_EXPIRED, REPORTED_FAILED, REPORTED_LEFT = (
-    "heard",
-    "doubted",
-    "ran out",
-    "told failed",
-    "told left",
-)
+HEARD = "heard"
+SUSPECTED = "doubted"
+SUSPICION_EXPIRED = "ran out"
+REPORTED_FAILED = "told failed"
+REPORTED_LEFT = "told left"
 # The cause that a reported state stands for.
 CAUSE_OF_STATE = {ALIVE: HEARD, SUSPECT: SUSPECTED, FAILED: REPORTED_FAILED, LEFT: REPORTED_LEFT}
 NEXT_STATE = {
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -15,17 +15,15 @@
 from cobaltpond.members.states import NAMES, STATE_CODES, UNHEARD
 
 MAJOR, MINOR = 1, 0
-PING, ACK, INDIRECT_PING, NACK, LEAVE, TRIAL_ASK, TRIAL_REPLY, WARM_ASK, WARM_REPLY = (
-    1,
-    2,
-    3,
-    4,
-    5,
-    6,
-    7,
-    8,
-    9,
-)
+PING = 1
+ACK = 2
+INDIRECT_PING = 3
+NACK = 4
+LEAVE = 5
+TRIAL_ASK = 6
+TRIAL_REPLY = 7
+WARM_ASK = 8
+WARM_REPLY = 9
 LEASE_ASK, LEASE_REPLY = 10, 11
 MAX_BYTES = 250  # of a datagram's 256, without the header of gateway/peers.py
 HEADER_FORMAT = ">BBIHII"
--- a/cobaltpond/recovery/desk_state.py
+++ b/cobaltpond/recovery/desk_state.py
@@ -53,10 +53,8 @@
         return None
     try:
         epoch, turn = document["mark"]
-        stable, gone = (
-            document.get("stable"),
-            [int(build) for build in document.get("gone", ())][:MAX_GONE_BUILDS],
-        )
+        stable = document.get("stable")
+        gone = [int(build) for build in document.get("gone", ())][:MAX_GONE_BUILDS]
         if document["phase"] not in PHASES:
             raise ValueError(f"phase {document['phase']!r}")
         return SeenState(
--- a/cobaltpond/recovery/phases.py
+++ b/cobaltpond/recovery/phases.py
@@ -8,14 +8,12 @@
 
 BLANK, HEARING, WARMING, SERVING, SETTLED = "blank", "hearing", "warming", "serving", "settled"
 PHASE_ORDER = (BLANK, HEARING, WARMING, SERVING, SETTLED)
-SOURCE_KNOWN, ALL_SOURCES_KNOWN, WARM_START_DONE, CAUGHT_UP, TIMED_OUT, PROCESS_STALLED = (
-    "heard",
-    "all heard",
-    "warmed",
-    "in step",
-    "its time is up",
-    "stood still",
-)
+SOURCE_KNOWN = "heard"
+ALL_SOURCES_KNOWN = "all heard"
+WARM_START_DONE = "warmed"
+CAUGHT_UP = "in step"
+TIMED_OUT = "its time is up"
+PROCESS_STALLED = "stood still"
 
 # A blank gateway knows its settings and perhaps a stored list. A hearing one has either the list or the
 # desk's news, or received neither in time. A warming one has both and asks others what they know. A serving
@@ -27,25 +25,14 @@
     SERVING: {CAUGHT_UP: SETTLED, TIMED_OUT: SETTLED, PROCESS_STALLED: WARMING},
     SETTLED: {PROCESS_STALLED: WARMING},
 }
-(
-    ADMIT_HITS,
-    DIAL_INSTANCES,
-    REQUEST_WARM_START,
-    SEND_SAMPLES,
-    VOTE_BACK,
-    VOTE_ON,
-    ANSWER_WARM_START,
-    WRITE_SNAPSHOT,
-) = (
-    "admit",
-    "dial",
-    "ask",
-    "tell",
-    "vote back",
-    "vote on",
-    "answer",
-    "keep",
-)
+ADMIT_HITS = "admit"
+DIAL_INSTANCES = "dial"
+REQUEST_WARM_START = "ask"
+SEND_SAMPLES = "tell"
+VOTE_BACK = "vote back"
+VOTE_ON = "vote on"
+ANSWER_WARM_START = "answer"
+WRITE_SNAPSHOT = "keep"
 PERMISSIONS = {
     BLANK: (),
     HEARING: (ADMIT_HITS, DIAL_INSTANCES),
@@ -71,13 +58,11 @@
     """
 
     def __init__(self, now: int, max_durations: dict[str, int], on_change=lambda previous_phase, cause: None):
-        self.phase, self.since, self.started_at, self.max_durations, self.on_change = (
-            BLANK,
-            now,
-            now,
-            max_durations,
-            on_change,
-        )
+        self.phase = BLANK
+        self.since = now
+        self.started_at = now
+        self.max_durations = max_durations
+        self.on_change = on_change
         self.transitions = [(now, BLANK, "started")]
 
     def apply_cause(self, now: int, cause: str) -> bool:
--- a/cobaltpond/recovery/rate_limiter.py
+++ b/cobaltpond/recovery/rate_limiter.py
@@ -111,13 +111,11 @@
     """
 
     def __init__(self, max_total: int, max_per_sender: int = 4):
-        self.max_total, self.max_per_sender, self.second, self.counts, self.total = (
-            max_total,
-            max_per_sender,
-            None,
-            {},
-            0,
-        )
+        self.max_total = max_total
+        self.max_per_sender = max_per_sender
+        self.second = None
+        self.counts = {}
+        self.total = 0
 
     def try_acquire(self, now: int, sender: int) -> bool:
         """Counts an answer to this sender; False if a limit of the current second is reached."""
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -38,12 +38,10 @@
     """
 
     def __init__(self, gateway, random_source):
-        self.gateway, self.loop, self.log, self.random_source = (
-            gateway,
-            gateway.loop,
-            gateway.log,
-            random_source,
-        )
+        self.gateway = gateway
+        self.loop = gateway.loop
+        self.log = gateway.log
+        self.random_source = random_source
         deployment, self.recovery_settings = gateway.settings, gateway.settings.recovery
         self.validity_us, self.started_at = VALIDITY_COLD_TIMES * deployment.rules.cold_time, self.loop.now()
         self.settings_digest, self.service_window = deployment.digest(), ServiceWindow()
@@ -57,10 +55,8 @@
             },
             self.phase_changed,
         )
-        self.recent_starts, self.answer_limiter = (
-            RecentStarts(len(deployment.gateways)),
-            AnswerRateLimiter(self.recovery_settings.asks),
-        )
+        self.recent_starts = RecentStarts(len(deployment.gateways))
+        self.answer_limiter = AnswerRateLimiter(self.recovery_settings.asks)
         self.start_jitter = (
             StartJitter(self.recovery_settings.calls, random_source) if self.recovery_settings.calls else None
         )
@@ -68,19 +64,11 @@
             gateway.endpoints.dial_limiter = DialRateLimiter(
                 self.recovery_settings.dials, self.recent_starts.member_count, random_source
             )
-        (
-            self.warm_start,
-            self.loaded_snapshot,
-            self.snapshot_refusal,
-            self.written_at,
-            self.last_tick_at,
-        ) = (
-            None,
-            None,
-            None,
-            None,
-            self.started_at,
-        )
+        self.warm_start = None
+        self.loaded_snapshot = None
+        self.snapshot_refusal = None
+        self.written_at = None
+        self.last_tick_at = self.started_at
         self.counts = {"told": 0, "held votes": 0, "held samples": 0, "recalled": 0, "kept": 0, "not kept": 0}
         gateway.host.is_allowed = self.is_allowed
         if gateway.members is not None:
--- a/cobaltpond/recovery/warm_start.py
+++ b/cobaltpond/recovery/warm_start.py
@@ -41,12 +41,10 @@
     """
 
     def __init__(self, validity_us: int, random_source, now: int, max_duration: int = 1_000_000):
-        self.validity_us, self.random_source, self.deadline, self.next_at = (
-            validity_us,
-            random_source,
-            now + max_duration,
-            now,
-        )
+        self.validity_us = validity_us
+        self.random_source = random_source
+        self.deadline = now + max_duration
+        self.next_at = now
         self.asked, self.rows, self.known = {}, {}, {}
         self.counts = {"asked": 0, "answers": 0, "rows": 0, "stale": 0}
 
--- a/cobaltpond/wire/pg.py
+++ b/cobaltpond/wire/pg.py
@@ -183,13 +183,11 @@
         """
         self.tag, self.ready = tag, False
         self.has_description = self.has_row = self.is_complete = False
-        self.error_code, self.error_text, self.gauges, self.skipped_messages, self.parts = (
-            None,
-            "",
-            None,
-            0,
-            [],
-        )
+        self.error_code = None
+        self.error_text = ""
+        self.gauges = None
+        self.skipped_messages = 0
+        self.parts = []
 
     @property
     def value(self) -> bytes:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -196,10 +196,8 @@
             if bound and not (a[3] is not None and 0 < a[3] <= bound) or not bound and a[3] is not None:
                 violations.append(("not bound by the window", id))
             if executed and group["kind"] == "tagged":
-                (zone, cell), (first_zone, first_cell) = (
-                    location(a[1], now),
-                    location(executed[0][1][1], executed[0][0]),
-                )
+                zone, cell = location(a[1], now)
+                first_zone, first_cell = location(executed[0][1][1], executed[0][0])
                 if not {
                     "all": True,
                     "zone": zone == first_zone,
--- a/tests/pgworld.py
+++ b/tests/pgworld.py
@@ -212,14 +212,12 @@
         discovery_offset=1,
         start_edge=True,
     ):
-        self.deaths, self.log, self.received, self.votes, self.requests, self.feeds = (
-            [],
-            Log(),
-            [],
-            [],
-            [],
-            [],
-        )
+        self.deaths = []
+        self.log = Log()
+        self.received = []
+        self.votes = []
+        self.requests = []
+        self.feeds = []
         self.machine = Machine(1) if self.virtual else None
         kernel = self.machine.process("case", ["case"]) if self.virtual else EpollKernel()
         self.loop = Loop(kernel, lambda task, error: self.deaths.append((task.name, error)))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -66,12 +66,10 @@
     def __init__(self, folder, count, zones=("north",), seed=1, more=""):
         """`more`: further lines for the settings of every gateway."""
         self.more = more
-        self.loop, self.folder, self.count, self.task_failures = (
-            Loop(EpollKernel(), self.on_task_failure),
-            str(folder),
-            count,
-            [],
-        )
+        self.loop = Loop(EpollKernel(), self.on_task_failure)
+        self.folder = str(folder)
+        self.count = count
+        self.task_failures = []
         self.zones = [zones[n % len(zones)] for n in range(count)]
         pairs = [(a, b) for a in range(count) for b in range(count) if a != b]
         self.links = {pair: Link(f"{seed}/{pair}") for pair in pairs}
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -253,11 +253,9 @@
         older, revision = list(cluster.rows), cluster.revision
         cluster.tell_list({**cluster.rows[0], "state": "draining"}, range(2))
         yield Sleep(300 * MS)
-        cluster.epoch, cluster.rows, cluster.revision = (
-            "later",
-            older if how == "older" else [],
-            revision if how == "older" else 1,
-        )
+        cluster.epoch = "later"
+        cluster.rows = older if how == "older" else []
+        cluster.revision = revision if how == "older" else 1
         for n in range(2):
             cluster.streams[n]["list"].close()  # the list service restarts without its state
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -126,10 +126,8 @@
     half = len(statement(7)) // 2
 
     def go():
-        idle, client = (
-            (yield from idle_client(world, statement(1))),
-            (yield from idle_client(world, statement(2))),
-        )
+        idle = yield from idle_client(world, statement(1))
+        client = yield from idle_client(world, statement(2))
         whole = pg.query_message(statement(7))
         yield from client.connection.write(whole[:half])
         yield from world.until(lambda: any(c.parser.has_partial for c in world.edge.frontend.clients))
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -165,10 +165,8 @@
     )  # with the longest pause between them
     for name in ("WATCH_TIME_US", "RESPONSE_TIMEOUT_US"):
         monkeypatch.setattr(discovery, name, getattr(discovery, name) // 10)
-    world, calls = (
-        PgWorld(answer_script(lambda text, _: good_answer(text)), discovery_offset=5, known_list=True),
-        [],
-    )
+    world = PgWorld(answer_script(lambda text, _: good_answer(text)), discovery_offset=5, known_list=True)
+    calls = []
 
     def script(connection):
         request = yield from connection.read()
@@ -205,11 +203,9 @@
     """Discovery comes back after a while, answers one watch early without a change, and announces the next
     change. The retry delays that grew while it was down must not be applied between the two.
     """
-    world, calls, announced_at = (
-        PgWorld(answer_script(lambda text, _: good_answer(text)), discovery_offset=5, known_list=True),
-        [],
-        [],
-    )
+    world = PgWorld(answer_script(lambda text, _: good_answer(text)), discovery_offset=5, known_list=True)
+    calls = []
+    announced_at = []
 
     def script(connection):
         request = yield from connection.read()
@@ -238,10 +234,8 @@
     """Found in scenario herd+mass 549558377948: the agent never answers requests from the time while it was
     silent, and gateways that waited for those, or paused, kept sending to draining instances for up to 1.7 s.
     """
-    world, returned = (
-        PgWorld(answer_script(lambda text, _: good_answer(text)), discovery_offset=5, known_list=True),
-        [],
-    )
+    world = PgWorld(answer_script(lambda text, _: good_answer(text)), discovery_offset=5, known_list=True)
+    returned = []
 
     def script(connection):
         request = yield from connection.read()
--- a/tests/test_edge_list.py
+++ b/tests/test_edge_list.py
@@ -63,19 +63,17 @@
 
 
 def test_start_time_is_fixed_per_start_and_invalid_lists_change_nothing():
-    instances, host = (
-        DiscoveredInstances(),
-        {
-            "host": "a",
-            "dial": "1.2.3.4:5",
-            "site": "z",
-            "block": 1,
-            "health": "up",
-            "share": 1.0,
-            "born_ms": 1000,
-            "revision_no": 3,
-        },
-    )
+    instances = DiscoveredInstances()
+    host = {
+        "host": "a",
+        "dial": "1.2.3.4:5",
+        "site": "z",
+        "block": 1,
+        "health": "up",
+        "share": 1.0,
+        "born_ms": 1000,
+        "revision_no": 3,
+    }
     whole, ((row_, address),) = instances.apply(
         50_000_000, 3_000_000, {"seq": 4, "whole": True, "hosts": [host]}
     )
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -220,13 +220,11 @@
                     continue
                 edge = Edge(Loop(world.loop.kernel), world.path, config, world.log)
                 edge.host.start_decisions(seed=1)
-                decisions, rows = (
-                    edge.host.decisions,
-                    [
-                        {"id": id, "build": 1, "state": "up", "started": None, "zone": "a", "cell": 0}
-                        for id in "ab"
-                    ],
-                )
+                decisions = edge.host.decisions
+                rows = [
+                    {"id": id, "build": 1, "state": "up", "started": None, "zone": "a", "cell": 0}
+                    for id in "ab"
+                ]
                 decisions.on_list(0, True, rows)
                 decisions.on_news(0, 2, 0, "trial", 0.5, 0, False, "ok")
                 decisions.hits.clear()
