--- a/bench/limits.py
+++ b/bench/limits.py
@@ -105,7 +105,7 @@
         load = 1.5 * RATE_PER_S if shape != "idle then all" else 1.5 * RATE_PER_S * min(1.0, share[0])
         for n in range(count):
             for _ in range(int(load * share[n] / total_weight * STEP_US / S + random_source.random())):
-                if evaluators[0 if variant == "central" else n].check(at, hit).by is None:
+                if evaluators[0 if variant == "central" else n].check(at, hit).rejected_by is None:
                     passed_at.append(at)
         if variant != "leases":
             continue
--- a/bench/members.py
+++ b/bench/members.py
@@ -61,7 +61,7 @@
             "flags": 0,
         }
         self.news, self.drains, self.on_gossip, self.stamp = None, (), None, 0
-        self.out, self.changes, self.replaced, self.counts = [], [], False, {}
+        self.outbox, self.changes, self.replaced, self.counts = [], [], False, {}
         self.next_heartbeat = now + chance.randbelow(settings.period) + 1
         self.reachability = Reachability(self)
 
@@ -75,7 +75,7 @@
 
     def receive_datagram(self, now, sender, data):
         _, _, stamp, fields = wire.decode_datagram(sender, self.number, data)
-        facts, member = wire.facts_of(fields), self.members[sender]
+        facts, member = wire.decode_facts(fields), self.members[sender]
         if facts["start"] >= member.start:
             if member.state != ALIVE or facts["start"] != member.start:
                 self.alter(member, HEARD, now, facts["start"])
@@ -91,11 +91,11 @@
         self.stamp += 1
         facts = {**self.self_description, "start": self.start, "incarnation": 0, "state": STATE_CODES[ALIVE]}
         for number, member in self.members.items():
-            self.out.append(
+            self.outbox.append(
                 (
                     number,
                     wire.encode_datagram(
-                        wire.PING, self.number, number, 0, self.stamp, wire.self_field(facts)
+                        wire.PING, self.number, number, 0, self.stamp, wire.encode_facts(facts)
                     ),
                 )
             )
@@ -228,10 +228,10 @@
                 random_source.choice((wire.PING, wire.INDIRECT_PING, wire.TRIAL_REPLY)),
                 1,
                 n,
-                about=3,
-                more=wire.trial_field([(1, 0, 5, 1, 0)] * random_source.randrange(4)),
+                subject=3,
+                extra_fields=wire.encode_trial([(1, 0, 5, 1, 0)] * random_source.randrange(4)),
             )
-            valid = sender.out.pop()[1]
+            valid = sender.outbox.pop()[1]
         data = bytearray(valid)
         for _ in range(random_source.randrange(1, 6)):
             data[random_source.randrange(len(data))] = random_source.randrange(256)
@@ -252,7 +252,7 @@
             read += 1
         except wire.DatagramError:
             rejected += 1
-        receiver.out.clear()
+        receiver.outbox.clear()
         receiver.changes.clear()
     return read, rejected
 
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -42,6 +42,7 @@
     "held build asks for its key again": (
         "agent/actions.py",
         "        self.manifests[build] = read_stored_manifest(signed), signed\n",
+        "        from cobaltpond.builds.manifest import KeyRing\n\n"
         "        self.manifests[build] = read_manifest(signed, KeyRing(9, []), 1, ordered=build), signed\n",
     ),
     "a lowered cap binds four graces late": (
@@ -89,23 +90,25 @@
     ],
     "a forward goes on after its time is up": (
         "gateway/forwards.py",
-        "with Deadline(self.loop, time_out):\n" "                    seen = yield from run.first_part()",
-        "with Deadline(self.loop, 60 * time_out):\n" "                    seen = yield from run.first_part()",
+        "with Deadline(self.loop, timeout):\n"
+        "                    observation = yield from attempt.run_until_commit()",
+        "with Deadline(self.loop, 60 * timeout):\n"
+        "                    observation = yield from attempt.run_until_commit()",
     ),
     "cap of the stage before": (
         "decisions/voting.py",
-        "self.phase, self.cap, self.stage_began = told, stage, phase, cap,",
-        "self.phase, self.cap, self.stage_began = told, stage, phase, max(cap, self.cap or 0),",
+        "        self.cap = cap\n",
+        "        self.cap = max(cap, self.cap or 0)\n",
     ),
     "exposure counted over half the window": (
         "decisions/choosing.py",
-        'now - self.settings["exposure_window"], group.ledger',
-        'now - self.settings["exposure_window"] // 2, group.ledger',
+        'now - self.settings["exposure_window"], group.counter_name',
+        'now - self.settings["exposure_window"] // 2, group.counter_name',
     ),
     "a list change applied over a gap": (
         "gateway/instance_list.py",
         "raise ListGapError(\n"
-        "                    f\"a change to {told['epoch']}/{told['base']}, held is "
+        "                    f\"change to {message['epoch']}/{message['base']}, list at "
         '{self.epoch}/{self.revision}"\n'
         "                )",
         "pass",
@@ -139,8 +142,8 @@
     ),
     "connection given back with an answer on its way": (
         "gateway/forwards.py",
-        'run.close(reuse=seen in ("answer", "refusal", "server error"))\n            self.observations',
-        "run.close(reuse=True)\n            self.observations",
+        'attempt.close(reuse=observation in ("answer", "refusal", "server error"))\n            self.observations',
+        "attempt.close(reuse=True)\n            self.observations",
     ),
     "a cancelled forward is not reset": (
         "gateway/endpoints.py",
@@ -150,7 +153,7 @@
     "stop does not wait for hits under way": (
         "gateway/frontend.py",
         "        while any(v.hit is not None and (not v.hit.final or v.hit.streaming) for v in "
-        "self.visits):",
+        "self.clients):",
         "        while False:",
     ),
     "tokens of cold instances are not spent": (
--- a/cobaltpond/benchlink/adapter.py
+++ b/cobaltpond/benchlink/adapter.py
@@ -48,9 +48,9 @@
         """Adds one action line."""
         self.out.append(json.dumps({name: {"who": self.who, **fields}}, separators=(",", ":")))
 
-    def send_forward(self, hit, instance, time_out, send_within):
+    def send_forward(self, hit, instance, timeout, send_within):
         """Sends a forward. `send_within` has no field: the simulator sends a retry when it is decided."""
-        self.emit("RELAY", txn=hit, instance=instance, patience=time_out / 1000)
+        self.emit("RELAY", txn=hit, instance=instance, patience=timeout / 1000)
 
     def cancel_forward(self, hit, forward):
         """Cancels a forward."""
@@ -152,7 +152,7 @@
             ending,
         )
     elif name == "PLATFORM_SAW":
-        gateway.on_tally(
+        gateway.on_platform_counts(
             now,
             event["edition"],
             event["cls"],
@@ -162,7 +162,9 @@
             milliseconds_to_us(event.get("lateness") or 0),
         )
     elif name == "FLAGGED":
-        gateway.on_wrong(now, event["instance"], event["cls"], milliseconds_to_us(event.get("lateness") or 0))
+        gateway.on_wrong_answer(
+            now, event["instance"], event["cls"], milliseconds_to_us(event.get("lateness") or 0)
+        )
     elif name == "PROBED":
         gateway.on_probed(
             now,
--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -38,57 +38,57 @@
     def record_load_report(self, instance, inflight):
         """Takes over an instance's report of its hits in flight, and updates the mean load of its zone.
         `inflight` counts the hits of all gateways."""
-        instance.other_inflight = max(0.0, inflight - instance.out)
+        instance.other_inflight = max(0.0, inflight - instance.own_inflight)
         mean = self.zone_load.get(instance.zone, instance.other_inflight)
         self.zone_load[instance.zone] = mean + (instance.other_inflight - mean) * 0.1
 
-    def record_outcome(self, instance, group, ending, took, report, now):
-        """Updates latencies, limits, admission and ejection after a forward that took `took` microseconds."""
-        if ending in ("ok", "error", "full"):
+    def record_outcome(self, instance, group, result, duration, report, now):
+        """Updates latencies, limits, admission and ejection after a forward of `duration` microseconds."""
+        if result in ("ok", "error", "full"):
             instance.heard_at = now
         if "inflight" in report:
             self.record_load_report(instance, report["inflight"] - 1)
-        if ending == "ok":
+        if result == "ok":
             self.refill_cold_tokens(now)
-            group.mean_latency += (took - group.mean_latency) * (0.05 if group.mean_latency else 1)
-            instance.latency_ratio += (took / max(1, group.mean_latency) - instance.latency_ratio) * 0.2
-        if ending in ("cancelled", "moot"):
+            group.mean_latency += (duration - group.mean_latency) * (0.05 if group.mean_latency else 1)
+            instance.latency_ratio += (duration / max(1, group.mean_latency) - instance.latency_ratio) * 0.2
+        if result in ("cancelled", "moot"):
             return
-        lateness = took / group.target if ending == "ok" else max(1.0, took / group.target)
+        lateness = duration / group.target if result == "ok" else max(1.0, duration / group.target)
         instance.lateness += (min(2.0, lateness) - instance.lateness) * 0.2
         if instance.lateness > FAST_SHARE and now - instance.limit_cut_at > FAST_SHARE * self.shortest_target:
             instance.limit, instance.limit_cut_at = max(1, int(instance.limit * LIMIT_DECREASE)), now
-        elif instance.lateness <= FAST_SHARE and instance.out + 1 >= instance.limit:
+        elif instance.lateness <= FAST_SHARE and instance.own_inflight + 1 >= instance.limit:
             instance.limit += 1
         self.late_share += ((lateness >= USEFUL_SHARE) - self.late_share) * 0.05
         if lateness < USEFUL_SHARE:
-            self.admitted = min(1.0, self.admitted + ADMISSION_INCREASE)
-        elif ending in ("ok", "timeout", "full"):  # a failing instance or a failed dial is no congestion
-            self.cut_admission(now - took, now)
+            self.admitted_share = min(1.0, self.admitted_share + ADMISSION_INCREASE)
+        elif result in ("ok", "timeout", "full"):  # a failing instance or a failed dial is no congestion
+            self.cut_admission(now - duration, now)
         # a full instance counts as failing, as it may be draining
-        instance.faults += ((ending not in ("ok", "timeout")) - instance.faults) * 0.3
-        if ending == "ok" and instance.faults < 0.3:
+        instance.faults += ((result not in ("ok", "timeout")) - instance.faults) * 0.3
+        if result == "ok" and instance.faults < 0.3:
             instance.ejection_time = 0
-        self.unreachable_share += ((ending == "unreachable") - self.unreachable_share) * 0.1
-        if ending == "unreachable" or instance.faults > 0.5:
+        self.unreachable_share += ((result == "unreachable") - self.unreachable_share) * 0.1
+        if result == "unreachable" or instance.faults > 0.5:
             self.eject(instance, now)
 
     def cut_admission(self, sent, now):
         """Reduces the admitted share, as a forward sent at `sent` is late. What was sent before the last cut
         shows nothing of its effect and is ignored."""
         if sent >= self.last_admission_cut:
-            self.admitted = max(ADMISSION_INCREASE, self.admitted * ADMISSION_DECREASE)
+            self.admitted_share = max(ADMISSION_INCREASE, self.admitted_share * ADMISSION_DECREASE)
             self.last_admission_cut = now
 
-    def is_customer_fault(self, customer, ending):
+    def is_customer_fault(self, customer, result):
         """Whether an error is due to the customer's request, which fails at every instance, rather than to
         the instance. It may hide a fault of a build that one customer meets more than others."""
         rate = 0.2 if self.low_traffic else 0.05
         share = self.customer_error_rates[customer] = self.customer_error_rates.get(customer, 0.0) * (
             1 - rate
-        ) + rate * (ending == "error")
+        ) + rate * (result == "error")
         others = [x for name, x in self.customer_error_rates.items() if name != customer]
-        return ending == "error" and bool(others) and share > max(CUSTOMER_ERROR_THRESHOLD, 2 * fmean(others))
+        return result == "error" and bool(others) and share > max(CUSTOMER_ERROR_THRESHOLD, 2 * fmean(others))
 
     def eject(self, instance, now):
         """Outlier ejection of a silent, cut-off or quickly failing instance: it leaves the rotation for a
@@ -114,7 +114,7 @@
         shielded = (self.stage if build is self.newest else 0) < self.settings.get("shielded_stages", 0)
         if cap <= 0 or shielded and group.kind != "repeatable":
             return False
-        since, name = now - self.settings["exposure_window"], group.ledger
+        since, name = now - self.settings["exposure_window"], group.counter_name
         since = max(since, build.counted_from) if now >= build.counted_from else since
         sent = build.sent.count_since(name, since)
         accepted = self.accepted_counts.count_since(name, since + 1)
@@ -129,7 +129,7 @@
 
     def is_eligible(self, hit, instance, now):
         """Whether the instance may get the hit now."""
-        unavailable = now < instance.ejected_until or instance.out >= instance.limit
+        unavailable = now < instance.ejected_until or instance.own_inflight >= instance.limit
         if unavailable or instance.tokens < 1 and instance.warmth(now) < 1:
             return False
         group, first = hit.group, hit.first_executed and hit.first_executed.instance
@@ -170,9 +170,9 @@
         bias, slowness = (
             (bias - COLD_BIAS * (warmth < 1), slowness) if self.low_traffic else (bias, slowness / warmth)
         )
-        return (instance.out + load + 1) * slowness + bias
+        return (instance.own_inflight + load + 1) * slowness + bias
 
-    def on_recalled(self, now, rows, keys):
+    def on_warm_start(self, now, rows, keys):
         """Warm start: what settled gateways, or an earlier life of this one, knew of the instances.
 
         `rows` are (id, latency ratio, inflight, faults, silent), `keys` are (key, build number). No instance
--- a/cobaltpond/decisions/interface.py
+++ b/cobaltpond/decisions/interface.py
@@ -19,9 +19,9 @@
 class DecisionHost(Protocol):
     """What the decisions may ask of their host; results come as events."""
 
-    def send_forward(self, hit: int, instance: str, time_out: int, send_within: int | None) -> None:
-        """Sends the hit to an instance and reports to `on_outcome`, after `time_out` at the latest. The last
-        byte is sent within `send_within`; None: within the time-out."""
+    def send_forward(self, hit: int, instance: str, timeout: int, send_within: int | None) -> None:
+        """Sends the hit to an instance and reports to `on_outcome`, after `timeout` at the latest. The last
+        byte is sent within `send_within`; None: within the timeout."""
         ...
 
     def cancel_forward(self, hit: int, forward: int) -> None:
@@ -80,18 +80,25 @@
         group: str,
         customer: str | None,
         key: int | None,
-        left: int,
+        time_left: int,
         cost: int | None,
-        again: bool,
+        is_retry: bool,
     ) -> None:
-        """A hit has arrived, with its path group, `left` until its deadline and its cost (None: unknown);
-        `again`: the client retries."""
+        """A hit has arrived, with its path group, `time_left` until its deadline and its cost (None:
+        unknown); `is_retry`: the client retries."""
         ...
 
     def on_outcome(
-        self, now: int, hit: int, forward: int, ending: ForwardResult, took: int, closed: bool, report: Report
+        self,
+        now: int,
+        hit: int,
+        forward: int,
+        result: ForwardResult,
+        duration: int,
+        closed: bool,
+        report: Report,
     ) -> None:
-        """A forward has ended after `took`; `closed`: the client has its final answer."""
+        """A forward has ended after `duration`; `closed`: the client has its final answer."""
         ...
 
     def on_gone(self, now: int, hit: int) -> None:
@@ -121,18 +128,20 @@
         ballot. Where `answer` is not "ok" the state is not to be used."""
         ...
 
-    def on_tally(
+    def on_platform_counts(
         self, now: int, build: int, group: str, count: int, errored: int, mean: int, age: int
     ) -> None:
         """The platform has counted hits of a build and path group; `mean` is their mean latency."""
         ...
 
-    def on_wrong(self, now: int, instance: str, group: str, age: int) -> None:
+    def on_wrong_answer(self, now: int, instance: str, group: str, age: int) -> None:
         """An answer that the instance gave `age` ago is reported as wrong."""
         ...
 
-    def on_probed(self, now: int, instance: str, ending: ForwardResult, took: int, report: Report) -> None:
-        """A probe has ended after `took`; `report` is empty where the instance gave none."""
+    def on_probed(
+        self, now: int, instance: str, result: ForwardResult, duration: int, report: Report
+    ) -> None:
+        """A probe has ended after `duration`; `report` is empty where the instance gave none."""
         ...
 
     def on_peer(self, now: int, peer: int, data: bytes) -> None:
@@ -143,12 +152,12 @@
         """The membership has changed: numbers of the live gateways, each with its start."""
         ...
 
-    def on_shut(self, now: int, build: int | None) -> None:
+    def on_build_blocked(self, now: int, build: int | None) -> None:
         """Another gateway reports that a build goes back or that its cap falls; None: the own desk has
         answered since."""
         ...
 
-    def on_recalled(self, now: int, rows: list[tuple], keys: list[tuple]) -> None:
+    def on_warm_start(self, now: int, rows: list[tuple], keys: list[tuple]) -> None:
         """Earlier state for a warm start: rows (id, latency ratio, hits in flight, faults, silent) and keys
         (key, build)."""
         ...
--- a/cobaltpond/decisions/judging.py
+++ b/cobaltpond/decisions/judging.py
@@ -31,20 +31,20 @@
 class Judging:
     """The evaluation part of `rules.Gateway`."""
 
-    def add_evidence(self, forward, group, ending, took, now):
+    def add_evidence(self, forward, group, result, duration, now):
         """Turns the outcome of a forward into a sample, which the judges get too.
 
-        A full instance gives none; other failures count as time-outs. An instance that was not heard from at
+        A full instance gives none; other failures count as timeouts. An instance that was not heard from at
         all since the forward was sent gives none either: that is a fault of its host or network, and must not
         fail a good build."""
         instance = forward.instance
-        silent = ending in UNANSWERED and instance.heard_at < forward.sent
-        if silent or ending in ("full", "moot") or instance.age(forward.sent) < MIN_INSTANCE_AGE_US:
+        silent = result in UNANSWERED and instance.heard_at < forward.sent
+        if silent or result in ("full", "moot") or instance.age(forward.sent) < MIN_INSTANCE_AGE_US:
             return
         sample = Sample(
             now,
-            took if ending == "ok" else group.timeout,
-            ending == "error",
+            duration if result == "ok" else group.timeout,
+            result == "error",
             instance,
             forward.sent // self.stratum_length,
             instance.warmth(forward.sent),
@@ -115,7 +115,7 @@
         ignored."""
         tag, index, errored, latency, inflight, age = SampleMessage.unpack(data)
         instance, at = self.instances_by_tag().get(tag), now - age
-        sent = at if errored else at - latency  # an error counts as a time-out, but came much sooner
+        sent = at if errored else at - latency  # an error counts as a timeout, but came much sooner
         # the tag stays the same over a restart: a sample of the process before it is no evidence of this one
         if instance and index < len(self.groups) and instance.age(sent) >= 0:
             self.record_sample(
@@ -170,7 +170,7 @@
         """Assesses the build as "fail", "suspect" or "fine". It fails if one path group fails, or all of them
         taken together, as each may have too few samples."""
         self.release_settled = self.phase == "released" and (
-            now - self.stage_began >= EVIDENCE_COLD_TIMES * self.cold_time
+            now - self.stage_started_at >= EVIDENCE_COLD_TIMES * self.cold_time
         )
         cases, verdicts, cells = [], [], Counter((i.zone, i.cell) for i in self.fleet.up if i.build is build)
         # for errors no more instances than one cell has: few errors may all be in the worst third of many
@@ -180,7 +180,7 @@
             old = self.recent_samples(build.earlier, group, now)
             new = self.without_worst_instances(every)
             counted = self.without_worst_instances(every, cell_size)
-            record = build.earlier.errored.get(group.name, (0, 0))
+            record = build.earlier.error_counts.get(group.name, (0, 0))
             counts = (sum(s.errored for s in counted), len(counted), *record)
             cases.append((counts, counted, [*old], *self.stratify(new, old, now)))
         counts, *lists = zip(*cases, strict=True)
@@ -196,7 +196,7 @@
                 ),
             ]
         # the platform's counts include silent and full instances, so they need errors of our own beside them
-        if sum(errored for errored, _ in build.errored.values()) >= 2:
+        if sum(errored for errored, _ in build.error_counts.values()) >= 2:
             counts = build.platform_counts + build.earlier.platform_counts
             verdicts.append(self.assess_errors(build, "platform", counts, self.strict_significance_z))
         return "fail" if "fail" in verdicts else "suspect" if "suspect" in verdicts else "fine"
@@ -265,7 +265,7 @@
         usual_inflight = median(s.inflight for s in old) + 1
         load_moves = self.phase == "released" and self.settings.get("layout") == "beside"
         strata, unpaired, last = {}, [], max(s.at - s.latency for s in old)
-        last = min(last, self.stage_began) if load_moves else last
+        last = min(last, self.stage_started_at) if load_moves else last
         for s in old:
             strata.setdefault(s.stratum, ([], []))[1].append(
                 s.latency * usual_inflight / max(usual_inflight, s.inflight + 1)
@@ -285,12 +285,12 @@
             else (pairs, unpaired_strata)
         )
 
-    def on_tally(self, now, build, group, count, errored, mean, age):
+    def on_platform_counts(self, now, build, group, count, errored, mean, age):
         """The platform has counted `errored` of `count` hits of a build."""
         record, self.evidence_changed = self.fleet.build(build), True
         record.platform_counts = record.platform_counts[0] + errored, record.platform_counts[1] + count
 
-    def on_wrong(self, now, id, group, age):
+    def on_wrong_answer(self, now, id, group, age):
         """An answer given `age` microseconds ago, taken for a quick success, was wrong: it counts as an error
         of its build. A report from before the instance's last start is ignored, as that process may have run
         another build."""
--- a/cobaltpond/decisions/records.py
+++ b/cobaltpond/decisions/records.py
@@ -45,12 +45,12 @@
 class HitState:
     """The states of a hit, and to which others each may go."""
 
-    TAKEN, HELD, OUT = "taken", "held", "out"
+    TAKEN, HELD, FORWARDED = "taken", "held", "out"
     DELIVERED, BOUNCED, ERRORED, GONE = "delivered", "bounced", "errored", "gone"
     NEXT = {
-        TAKEN: {HELD, OUT, BOUNCED, ERRORED, GONE},
-        HELD: {HELD, OUT, BOUNCED, ERRORED, GONE},
-        OUT: {HELD, DELIVERED, BOUNCED, ERRORED, GONE},
+        TAKEN: {HELD, FORWARDED, BOUNCED, ERRORED, GONE},
+        HELD: {HELD, FORWARDED, BOUNCED, ERRORED, GONE},
+        FORWARDED: {HELD, DELIVERED, BOUNCED, ERRORED, GONE},
         DELIVERED: {DELIVERED},
         BOUNCED: {BOUNCED},
         ERRORED: {ERRORED},
@@ -67,7 +67,7 @@
         self.repeat_window = row.get("repeat_window") or 0  # how long instances remember an idempotency key
         self.benefit, self.late_benefit = row.get("benefit", 1), row.get("late_benefit", 0)
         # name under which exposure counts its hits
-        self.ledger = self.name if settings.get("exposure_by") == "path group" else "all"
+        self.counter_name = self.name if settings.get("exposure_by") == "path group" else "all"
         self.by_work = settings.get("benefit_by") == "work"
         self.mean_latency = 0.0  # moving average over all instances; 0: none yet
         self.reference_samples_due = 0  # samples of the earlier build still to be sent to the judges
@@ -85,7 +85,7 @@
         self.sent = SlidingCounts(window)  # forwards to it
         self.counted_from = -FOREVER  # when the exposure count last started anew
         self.samples = {}  # path group name -> recent samples
-        self.errored = {}  # path group name -> (errored, hits) so far
+        self.error_counts = {}  # path group name -> (errored, hits) so far
         self.platform_counts = 0, 0  # the same as the platform counts it, all path groups
         self.condemned = False  # an assessment has failed it
         self.listed_instances = 0  # instances of lower builds that were up when it was first seen
@@ -93,8 +93,8 @@
     def add_sample(self, group, sample):
         """Adds a sample of the path group with this name, and counts it."""
         self.samples.setdefault(group, deque()).append(sample)
-        errored, hits = self.errored.get(group, (0, 0))
-        self.errored[group] = errored + sample.errored, hits + 1
+        errored, hits = self.error_counts.get(group, (0, 0))
+        self.error_counts[group] = errored + sample.errored, hits + 1
 
 
 class Instance:
@@ -105,7 +105,7 @@
         self.fleet, self.build = fleet, fleet.build(row["build"])
         self.started, self.state = row["started"], row["state"]  # started: None where it is not known
         # own hits in flight, their limit, and when the limit was last cut
-        self.out, self.limit, self.limit_cut_at = 0, limit, 0
+        self.own_inflight, self.limit, self.limit_cut_at = 0, limit, 0
         self.other_inflight = 0.0  # hits of other gateways that it last reported
         # moving averages: latency over the mean of the path group, and over the target latency
         self.latency_ratio, self.lateness = 1.0, 0.0
@@ -195,9 +195,9 @@
 class Hit:
     """A client's hit and its forwards. Times are microseconds."""
 
-    def __init__(self, id, group, customer, key, is_repeat, now, left, state):
+    def __init__(self, id, group, customer, key, is_repeat, now, time_left, state):
         self.id, self.group, self.customer, self.key, self.is_repeat = id, group, customer, key, is_repeat
-        self.arrived, self.deadline = now, now + left
+        self.arrived, self.deadline = now, now + time_left
         self.state, self.forwards, self.open_forwards = state, [], 0  # open: without an outcome yet
         self.probed, self.probe_replied = [], []  # instances probed for it, and those that replied
         self.first_executed = None  # the first forward that may have been executed
@@ -206,14 +206,14 @@
         """Records a new forward to the instance."""
         self.forwards.append(Forward(instance, now))
         self.open_forwards += 1
-        instance.out += 1
+        instance.own_inflight += 1
 
     def settle_forward(self, number):
         """Records that a forward has its outcome, and returns the forward."""
         forward = self.forwards[number]
         forward.has_outcome = True
         self.open_forwards -= 1
-        forward.instance.out -= 1
+        forward.instance.own_inflight -= 1
         return forward
 
     def next_state(self, state):
@@ -234,4 +234,5 @@
     def __init__(self, instance, now):
         self.instance, self.sent, self.has_outcome, self.cancelled = instance, now, False, False
         self.probed_at = None  # when the instance was probed, as the answer was overdue; None: not probed
-        self.inflight_seen = instance.out + instance.other_inflight  # hits at the instance, as far as known
+        # hits in flight at the instance, as far as known
+        self.inflight_seen = instance.own_inflight + instance.other_inflight
--- a/cobaltpond/decisions/rules.py
+++ b/cobaltpond/decisions/rules.py
@@ -54,13 +54,13 @@
         self.fleet = Fleet(settings)  # instances and builds
         self.hits = {}  # hits without final answer or with open forwards, by id
         self.held_hits = {}  # by id
-        # arrivals of hits by `PathGroup.ledger`, of which the exposure caps are a share
+        # arrivals of hits by `PathGroup.counter_name`, of which the exposure caps are a share
         self.accepted_counts = SlidingCounts(settings.get("exposure_window", SECOND))
         # the release as the desk last told it: build, stage index, phase, cap (share of hits), stage start
-        self.newest, self.stage, self.phase, self.cap, self.stage_began = None, 0, "released", 1.0, now
+        self.newest, self.stage, self.phase, self.cap, self.stage_started_at = None, 0, "released", 1.0, now
         self.last_ballot = None  # (build, stage, verdict)
         self.last_ballot_at = 0  # when the last ballot was cast
-        self.cast_answer = "ok"  # the answer to the last ballot; None while outstanding
+        self.last_ballot_answer = "ok"  # the answer to the last ballot; None while outstanding
         self.vote_hold_time = 0  # how long this stage has been held
         self.last_assessed = now  # time of the last assessment
         self.started_at = now  # start of this process
@@ -77,7 +77,7 @@
         self.own_samples = deque(maxlen=REFERENCE_FACTOR * MIN_SAMPLES)  # to tell a new judge
         # a build that another gateway reports as taken back or reduced; None: no such report
         self.blocked_build = None
-        self.admitted = 1.0  # share of hits that admission control lets in
+        self.admitted_share = 1.0  # share of hits that admission control lets in
         self.unreachable_share = 0.0  # smoothed share of dials or probes without an answer
         self.customer_error_rates = {}  # smoothed error rate by customer
         self.last_admission_cut = now  # when the admitted share was last reduced
@@ -177,10 +177,12 @@
         if hit.ended and not hit.open_forwards:
             del self.hits[hit.id]
 
-    def on_hit(self, now, id, group, customer, key, left, cost, again):
-        """A hit has arrived. `left` is its time to the deadline; `again` marks a client's retry."""
-        hit = self.hits[id] = Hit(id, self.groups[group], customer, key, again, now, left, HitState.TAKEN)
-        self.accepted_counts.add(hit.group.ledger, now)
+    def on_hit(self, now, id, group, customer, key, time_left, cost, is_retry):
+        """A hit has arrived. `time_left` is its time to the deadline; `is_retry` marks a client's retry."""
+        hit = self.hits[id] = Hit(
+            id, self.groups[group], customer, key, is_retry, now, time_left, HitState.TAKEN
+        )
+        self.accepted_counts.add(hit.group.counter_name, now)
         self.dispatch(hit, now)
 
     def waits_for_probes(self, hit, now):
@@ -213,14 +215,16 @@
             self.wake_by(hit.arrived + longest_wait, now)
         return waits
 
-    def on_probed(self, now, id, ending, took, report):
-        """A probe has ended: `took` is its duration, `report` the load report, empty where there is none."""
-        instance, late = self.fleet.by_id.get(id), ending != "ok" or took > 2 * self.tick
+    def on_probed(self, now, id, result, duration, report):
+        """A probe has ended after `duration`; `report` is its load report, empty where there is none."""
+        instance, late = self.fleet.by_id.get(id), result != "ok" or duration > 2 * self.tick
         self.unreachable_share += (late - self.unreachable_share) * 0.1
-        if instance is None or ending != "ok":
+        if instance is None or result != "ok":
             return
         instance.heard_at = now
-        self.record_load_report(instance, report.get("inflight", instance.other_inflight + instance.out))
+        self.record_load_report(
+            instance, report.get("inflight", instance.other_inflight + instance.own_inflight)
+        )
         for hit in [
             h for h in self.held_hits.values() if instance in h.probed and instance not in h.probe_replied
         ]:
@@ -256,7 +260,7 @@
             if hit.is_repeat or hit.group is min(self.groups.values(), key=PathGroup.benefit_per_work)
             else 0.75
         )
-        return not self.low_traffic or self.random_source.randbelow(1000) < 1000 * self.admitted**power
+        return not self.low_traffic or self.random_source.randbelow(1000) < 1000 * self.admitted_share**power
 
     def dispatch(self, hit, now):
         """Sends a forward for the hit, holds it, or gives it up."""
@@ -277,8 +281,8 @@
             return self.wake_by(now + self.tick, now)
         hit.add_forward(instance, now)
         instance.tokens -= 1
-        instance.build.sent.add(hit.group.ledger, now)
-        self.change_state(hit, HitState.OUT)
+        instance.build.sent.add(hit.group.counter_name, now)
+        self.change_state(hit, HitState.FORWARDED)
         self.wake_by(now + int(self.silence_share * hit.group.target) + 1, now)
         self.host.send_forward(hit.id, instance.id, hit.deadline - now, self.repeat_time_left(hit, now))
 
@@ -307,21 +311,21 @@
         else:
             self.host.fail_hit(hit.id)
 
-    def on_outcome(self, now, id, number, ending, took, closed, report):
-        """Forward `number` of the hit has ended after `took`; `closed`: the client has its final answer. An
-        unknown or repeated outcome is ignored."""
+    def on_outcome(self, now, id, number, result, duration, closed, report):
+        """Forward `number` of the hit has ended after `duration`; `closed`: the client has its final answer.
+        An unknown or repeated outcome is ignored."""
         hit = self.hits.get(id)
         if hit is None or number >= len(hit.forwards) or hit.forwards[number].has_outcome:
             return
-        forward, executed = hit.settle_forward(number), ending not in NOT_EXECUTED
+        forward, executed = hit.settle_forward(number), result not in NOT_EXECUTED
         # not the instance's fault: a client with little time left, or a gateway process that was stalled
-        excused = ending == "timeout" and took < hit.group.target or now - self.next_wakeup > self.tick
-        if self.is_customer_fault(hit.customer, ending):
-            ending, excused = "moot", True
+        excused = result == "timeout" and duration < hit.group.target or now - self.next_wakeup > self.tick
+        if self.is_customer_fault(hit.customer, result):
+            result, excused = "moot", True
         if not excused:
-            self.add_evidence(forward, hit.group, ending, took, now)
-        self.record_outcome(forward.instance, hit.group, "moot" if excused else ending, took, report, now)
-        if ending == "ok" and self.settings.get("keys_stay") and hit.key is not None:
+            self.add_evidence(forward, hit.group, result, duration, now)
+        self.record_outcome(forward.instance, hit.group, "moot" if excused else result, duration, report, now)
+        if result == "ok" and self.settings.get("keys_stay") and hit.key is not None:
             # never lowered: a forward to the earlier build may be answered after one to the newer build
             self.kept_keys[hit.key] = max(
                 self.kept_keys.get(hit.key, forward.instance.build),
@@ -333,8 +337,8 @@
         if hit.ended:
             self.change_state(hit, hit.state)
         elif closed:
-            self.change_state(hit, HitState.DELIVERED if ending == "ok" else HitState.ERRORED)
-        elif ending == "moot":
+            self.change_state(hit, HitState.DELIVERED if result == "ok" else HitState.ERRORED)
+        elif result == "moot":
             self.give_up(hit, "moot")
         else:
             self.dispatch(hit, now)
@@ -349,7 +353,7 @@
         """Ejects silent instances and cancels their forwards where these may be retried, against instances
         that vanished or are cut off. To a low-traffic gateway a busy instance looks silent: it probes first,
         and retries nothing while answers are late, which would become a retry storm."""
-        for hit in [h for h in self.hits.values() if h.state == HitState.OUT]:
+        for hit in [h for h in self.hits.values() if h.state == HitState.FORWARDED]:
             last, instance = hit.forwards[-1], hit.forwards[-1].instance
             due = last.sent + int(self.silence_share * hit.group.target) + 1
             if now >= due and self.probing_enabled and instance.heard_at < last.sent:
@@ -368,7 +372,7 @@
                 may_cancel = (
                     self.settings.get("may_cancel") and hit.group.kind != "mutating" and not last.cancelled
                 )
-                if may_cancel and (self.admitted >= 1 or not self.low_traffic):
+                if may_cancel and (self.admitted_share >= 1 or not self.low_traffic):
                     last.cancelled = True
                     self.host.cancel_forward(hit.id, len(hit.forwards) - 1)
 
@@ -384,5 +388,5 @@
         if now - self.last_assessed >= ASSESS_PERIOD_US:
             self.vote(now)
         awaits_return = self.phase == "released" and self.newest and self.newest.condemned
-        if awaits_return or self.phase == "trial" or self.cast_answer is None or self.evidence_changed:
+        if awaits_return or self.phase == "trial" or self.last_ballot_answer is None or self.evidence_changed:
             self.wake_by(self.last_assessed + ASSESS_PERIOD_US, now)
--- a/cobaltpond/decisions/voting.py
+++ b/cobaltpond/decisions/voting.py
@@ -16,21 +16,25 @@
     def on_news(self, now, build, stage, phase, cap, age, reply, answer):
         """The desk has told the state of the release, whose stage began `age` microseconds ago. `reply` marks
         the answer to a ballot; where `answer` is not "ok" it carries no state."""
-        self.cast_answer = answer if reply else self.cast_answer
+        self.last_ballot_answer = answer if reply else self.last_ballot_answer
         if answer != "ok":
             return
-        told = self.fleet.build(build)
-        before = self.cap_of(told)
-        if (told, stage) != (self.newest, self.stage):
+        desk_build = self.fleet.build(build)
+        before = self.cap_of(desk_build)
+        if (desk_build, stage) != (self.newest, self.stage):
             self.vote_hold_time, self.evidence_changed = 0, True
-            self.kept_keys = {key: b for key, b in self.kept_keys.items() if b in (told, self.newest)}
-        self.newest, self.stage, self.phase, self.cap, self.stage_began = told, stage, phase, cap, now - age
+            self.kept_keys = {key: b for key, b in self.kept_keys.items() if b in (desk_build, self.newest)}
+        self.newest = desk_build
+        self.stage = stage
+        self.phase = phase
+        self.cap = cap
+        self.stage_started_at = now - age
         if phase != "released" and (before is None or cap < before):
-            told.counted_from = now + self.settings.get("drain_grace", 0)
+            desk_build.counted_from = now + self.settings.get("drain_grace", 0)
         self.wake_by(now + self.random_source.randbelow(ASSESS_PERIOD_US), now)
         self.dispatch_held(now)
 
-    def on_shut(self, now, build):
+    def on_build_blocked(self, now, build):
         """Another gateway reports that this build goes back or that its cap falls: it gets no hits until the
         own desk answers, which the host reports as None. Such a report never lifts a restriction."""
         self.blocked_build = None if build is None else self.fleet.build(build)
@@ -43,8 +47,10 @@
         expected = int(
             self.newest.listed_instances * (self.settings.get("stage_shares") or [1.0])[self.stage] + 0.5
         )
-        since = max(starts, default=0) if len(starts) >= max(1, expected) else self.stage_began + 8 * SECOND
-        return now - max(since, self.stage_began) >= READY_DELAY_US
+        since = (
+            max(starts, default=0) if len(starts) >= max(1, expected) else self.stage_started_at + 8 * SECOND
+        )
+        return now - max(since, self.stage_started_at) >= READY_DELAY_US
 
     def vote(self, now):
         """Assesses the newest build and votes: "back" on any fail, else "on" after the delay. A suspect build
@@ -84,7 +90,7 @@
             "ok": self.settings.get("vote_life", SECOND) // 2,
             None: self.settings.get("vote_wait", SECOND),
         }
-        overdue = now - self.last_ballot_at >= waits.get(self.cast_answer, SECOND // 2)
-        if overdue or ballot != self.last_ballot and self.cast_answer is not None:
-            self.last_ballot, self.last_ballot_at, self.cast_answer = ballot, now, None
+        overdue = now - self.last_ballot_at >= waits.get(self.last_ballot_answer, SECOND // 2)
+        if overdue or ballot != self.last_ballot and self.last_ballot_answer is not None:
+            self.last_ballot, self.last_ballot_at, self.last_ballot_answer = ballot, now, None
             self.host.cast_vote(build.number, self.stage, verdict)
--- a/cobaltpond/desk/handlers.py
+++ b/cobaltpond/desk/handlers.py
@@ -154,7 +154,7 @@
         if build != self.stages.build:
             raise RpcError(
                 409,
-                f"the desk waits ({self.state_recovery.returning.why}): offer build {self.stages.build} "
+                f"the desk waits ({self.state_recovery.returning.reason}): offer build {self.stages.build} "
                 "again if it is to stay, or send it back",
             )
         self.state_recovery.resolve(f"an operator says that build {build} stays")
--- a/cobaltpond/desk/state_recovery.py
+++ b/cobaltpond/desk/state_recovery.py
@@ -75,7 +75,7 @@
             self.returning.add_state(who, word)
             return
         stages = self.desk.stages
-        said = self.returning.late_state(who, word, stages.build, self.desk.epoch)
+        said = self.returning.classify_late_report(who, word, stages.build, self.desk.epoch)
         if said == "back" and stages.phase in ("trial", "released") and not self.is_waiting:
             self.log.error("late word", who=list(who), why="it saw this build go back", build=stages.build)
             try:
@@ -106,14 +106,14 @@
         self.log.info(
             "collected",
             state=state,
-            why=self.returning.why,
+            why=self.returning.reason,
             spoke=len(self.returning.states),
             missing=[list(who) for who in self.returning.missing()][:20],
         )
         if state == RESUMED:
             try:
                 self.desk.stages.resume(
-                    self.loop.now(), self.returning.plan, f"after a loss: {self.returning.why}"
+                    self.loop.now(), self.returning.plan, f"after a loss: {self.returning.reason}"
                 )
             except ReleaseRefusedError as no:
                 self.returning.resolve(WAITING, self.returning.plan, str(no))
@@ -122,7 +122,7 @@
 
     def wait_for_operator(self) -> None:
         """Tells what is safe, decides nothing."""
-        self.log.error("waiting for the operator", why=self.returning.why)
+        self.log.error("waiting for the operator", why=self.returning.reason)
         plan, stages = self.returning.plan, self.desk.stages
         if plan is not None and plan.build >= stages.build:
             stages.build, stages.stage, stages.phase, stages.votes = plan.build, 0, "trial", {}
@@ -145,4 +145,4 @@
     def status(self) -> dict:
         returning = self.returning
         missing = [list(who) for who in returning.missing()] if self.is_collecting else []
-        return {"state": returning.state, "why": returning.why, "missing": missing}
+        return {"state": returning.state, "why": returning.reason, "missing": missing}
--- a/cobaltpond/edge/client_connection.py
+++ b/cobaltpond/edge/client_connection.py
@@ -183,7 +183,7 @@
         self.hit = PgHit(self, statement)
         frontend.open_ids[statement.id] = self.hit
         customer = statement.customer if statement.customer in frontend.customers else None
-        slack = frontend.host.slack
+        answer_slack = frontend.host.answer_slack
         frontend.host.accept_hit(
             self.hit,
             statement.group,
@@ -192,7 +192,7 @@
             time_left,
             None,
             statement.is_retry,
-            time_left - slack // 2,
+            time_left - answer_slack // 2,
         )
 
     def finish_query(self) -> None:
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -89,11 +89,11 @@
         self.log = log
         self.reports_every_response = reports_every_response
         self.instances = DiscoveredInstances()
-        self.has_heard = False
+        self.has_received = False
         self.source_switch = SourceSwitch(loop, "discovery")
         self.counts = {"applied": 0, "errors": 0}
 
-    def apply_answer(self, response) -> int:
+    def apply_response(self, response) -> int:
         """Applies a response and returns its version. Raises JsonLineError."""
         whole, rows = self.instances.apply(self.loop.now(), self.loop.kernel.wall_clock(), response)
         if rows or whole:
@@ -116,7 +116,7 @@
         """
         if known_list:
             try:
-                self.apply_answer({**known_list, "whole": True})
+                self.apply_response({**known_list, "whole": True})
             except JsonLineError as error:
                 self.log.warning("known list unreadable", why=str(error))
             self.instances.seq = 0
@@ -152,8 +152,8 @@
                         )
                 if status != 200:
                     raise JsonLineError(f"status {status}")
-                previous, version = version, self.apply_answer(parse_object(body))
-                self.has_heard = True
+                previous, version = version, self.apply_response(parse_object(body))
+                self.has_received = True
                 self.source_switch.source_answered()
                 stale_since = (
                     (self.loop.now() if stale_since is None else stale_since)
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -48,7 +48,7 @@
         self.observations = dict.fromkeys(FORWARD_RESULTS, 0)
 
     def run_forward(
-        self, hit, number: int, endpoint: InstanceEndpoint, time_out: int, send_within: int | None, on_result
+        self, hit, number: int, endpoint: InstanceEndpoint, timeout: int, send_within: int | None, on_result
     ):
         """Task of one forward. Times in microseconds; `send_within` None: no limit on when the statement is
         written.
@@ -57,7 +57,7 @@
         cancelled.
         """
         attempt = ForwardAttempt(
-            self, endpoint, hit.statement.with_time_left, hit.statement.tag, time_out, send_within
+            self, endpoint, hit.statement.with_time_left, hit.statement.tag, timeout, send_within
         )
         yield from attempt.run(lambda: not hit.final, hit.deliver, on_result)
 
@@ -85,7 +85,7 @@
         endpoint: InstanceEndpoint,
         statement,
         tag: bytes,
-        time_out: int,
+        timeout: int,
         send_within=None,
     ):
         self.forwards = forwards
@@ -93,7 +93,7 @@
         self.endpoint = endpoint
         self.statement = statement
         self.tag = tag
-        self.started_at, self.time_out = forwards.loop.now(), time_out
+        self.started_at, self.timeout = forwards.loop.now(), timeout
         self.send_by = None if send_within is None else self.started_at + send_within
         self.connection, self.partly_written, self.fully_written = None, False, False
 
@@ -106,7 +106,7 @@
         result_key, hit_closed, report = "called off", False, {}
         try:
             try:
-                with Deadline(self.loop, self.time_out):
+                with Deadline(self.loop, self.timeout):
                     result_key = yield from self.exchange(is_wanted)
             except DeadlineExceededError:
                 result_key = "too late" if self.fully_written else "dial too slow"
@@ -144,7 +144,7 @@
                 return str(error)
             parser = self.connection.parser
             parser.expect(self.tag)
-            time_left_ms = max(1, (self.started_at + self.time_out - self.loop.now()) // 1000)
+            time_left_ms = max(1, (self.started_at + self.timeout - self.loop.now()) // 1000)
             try:
                 if (
                     failure_key := (
@@ -190,7 +190,7 @@
                 return None
             self.partly_written = True
             write_deadline = Deadline(
-                self.loop, self.time_out if self.send_by is None else self.send_by - self.loop.now()
+                self.loop, self.timeout if self.send_by is None else self.send_by - self.loop.now()
             )
             try:
                 with write_deadline:
--- a/cobaltpond/edge/main.py
+++ b/cobaltpond/edge/main.py
@@ -105,11 +105,11 @@
         self.discovery.start(config.discovery)
         self.platform.start(config.desk)
         loop.spawn(self.endpoints.sweep(), "sweep")
-        loop.spawn(self.log_figures(), "say")
+        loop.spawn(self.log_stats(), "say")
         if self.host.peers:
             loop.spawn(self.host.peers.listen(), "peers")
         end = loop.now() + FIRST_LIST_TIMEOUT_US
-        while loop.now() < end and not self.discovery.has_heard and not self.stop_requested:
+        while loop.now() < end and not self.discovery.has_received and not self.stop_requested:
             yield Sleep(2_000)
         if self.stop_requested:  # no client has connected, so there is nothing to drain
             self.log.info("stopped before the listener was open")
@@ -118,7 +118,7 @@
         self.frontend.start_accepting(loop.kernel.listen(config.listen, LISTEN_BACKLOG))
         self.log.info(
             "door open",
-            list=self.discovery.has_heard,
+            list=self.discovery.has_received,
             memory_mb=config.memory_mb,
             cores=config.cores,
             sockets=config.sockets,
@@ -167,7 +167,7 @@
                     source.start(address)
             return
 
-    def log_figures(self):
+    def log_stats(self):
         """Task that logs the counters at an interval."""
         while True:
             yield Sleep(FIGURES_INTERVAL_US)
@@ -177,7 +177,7 @@
                 late_us=lag,
                 clients=len(self.frontend.clients),
                 open=self.host.open_hits,
-                hits=len(self.host.hits),
+                hits=len(self.host.pending_hits),
                 held=self.endpoints.open_count,
                 tasks=len(self.loop.tasks),
                 timers=len(self.loop.timers.heap),
@@ -185,7 +185,7 @@
                 host=self.host.counts,
                 **self.frontend.counts,
                 given_up=self.host.decisions.given_up,
-                admitted=round(self.host.decisions.admitted, 2),
+                admitted=round(self.host.decisions.admitted_share, 2),
                 endings={k: v for k, v in self.forwards.observations.items() if v},
             )
 
--- a/cobaltpond/edge/platform.py
+++ b/cobaltpond/edge/platform.py
@@ -43,7 +43,7 @@
     def __init__(self, loop, host, address, vote_wait: int, dial_time: int, log):
         self.loop, self.host, self.address, self.log = loop, host, address, log
         self.vote_wait, self.dial_time, self.source_switch = vote_wait, dial_time, SourceSwitch(loop, "feed")
-        self.has_heard, self.last_state, self.state_began, self.cap_lowered_at = False, None, 0, {}
+        self.has_received, self.last_state, self.state_began, self.cap_lowered_at = False, None, 0, {}
         self.counts = {"news": 0, "wrong": 0, "errors": 0}
 
     def apply_state(self, document: dict, is_reply: bool = False) -> None:
@@ -89,14 +89,14 @@
             try:
                 if document.get("type") == "ROLLOUT":
                     self.apply_state(document["object"])
-                    self.has_heard = True
+                    self.has_received = True
                 elif document.get("type") == "DISPUTE":
                     dispute = document["object"]
                     instance = str(dispute["InstanceId"])
                     group = str(dispute["Lane"])
                     age = int(dispute["AgeMs"] * 1000)
                     self.counts["wrong"] += 1
-                    self.host.post_event("on_wrong", instance, group, age)
+                    self.host.post_event("on_wrong_answer", instance, group, age)
                 elif document:  # an empty object is a heartbeat
                     raise JsonLineError(f"invalid feed object: {str(document)[:80]}")
             except STATE_ERRORS as error:
--- a/cobaltpond/gateway/admission_limits.py
+++ b/cobaltpond/gateway/admission_limits.py
@@ -41,10 +41,12 @@
         verdict = self.limits.check(
             self.loop.now(), HitAttributes(group.name, group.kind, customer, key, is_retry)
         )
-        for name in verdict.over:  # logged at most once a second per limit: a flood must not fill the log
+        for name in verdict.exceeded:  # logged at most once a second per limit: a flood must not fill the log
             if self.loop.now() - self.logged_at.get(name, -1_000_000) >= 1_000_000:
                 self.logged_at[name] = self.loop.now()
-                self.log.info("over a limit", limit=name, bounced=verdict.by == name, customer=customer)
+                self.log.info(
+                    "over a limit", limit=name, bounced=verdict.rejected_by == name, customer=customer
+                )
         return verdict
 
     def status(self) -> dict:
--- a/cobaltpond/gateway/client_connection.py
+++ b/cobaltpond/gateway/client_connection.py
@@ -58,7 +58,7 @@
         view = memoryview(data)
         while view:
             with Deadline(self.loop, self.frontend.settings.door.write_time):
-                piece = view[: http1.PIECE]
+                piece = view[: http1.MAX_WRITE_BYTES]
                 yield from self.connection.write(piece)
                 view = view[len(piece) :]
         self.last_active = self.loop.now()
--- a/cobaltpond/gateway/decision_host.py
+++ b/cobaltpond/gateway/decision_host.py
@@ -14,8 +14,8 @@
 class GatewayDecisionHost:
     """The host of one gateway's decisions; implements `decisions.interface.DecisionHost`.
 
-    `policy_settings`: the mapping that the decisions read. `max_open_hits`: hits open at once. `slack`: how
-    long before the client's timeout the decisions take it as expired, in microseconds.
+    `policy_settings`: the mapping that the decisions read. `max_open_hits`: hits open at once.
+    `answer_slack`: how long before the client's timeout the decisions take it as expired, in microseconds.
     """
 
     name = "decisions"  # named as tasks are, for the log of a failure
@@ -26,7 +26,7 @@
         policy_settings: dict,
         start: int,
         max_open_hits: int,
-        slack: int,
+        answer_slack: int,
         endpoints,
         forwards,
         log,
@@ -37,11 +37,11 @@
         self.start = start
         self.log = log
         self.max_open_hits = max_open_hits
-        self.slack = slack
+        self.answer_slack = answer_slack
         self.max_forwards = policy_settings.get("most_forwards", 1)
         self.endpoints, self.forwards = endpoints, forwards
-        self.hits, self.priority_inbox, self.inbox, self.open_hits = {}, [], [], 0
-        self.taken, self.probes_in_flight, self.decisions = 0, 0, None
+        self.pending_hits, self.priority_inbox, self.inbox, self.open_hits = {}, [], [], 0
+        self.accepted_count, self.probes_in_flight, self.decisions = 0, 0, None
         self.instance_source = None
         self.desk_client = None
         self.peers = None
@@ -82,8 +82,8 @@
 
     def next_number(self) -> int:
         """The number of the next hit; numbers start at 1."""
-        self.taken += 1
-        return self.taken
+        self.accepted_count += 1
+        return self.accepted_count
 
     def accept_hit(
         self,
@@ -101,13 +101,13 @@
         `answer_within`: microseconds until `answer_overdue` answers instead of the decisions; None:
         `time_left`. `cost`: expected microseconds of work, None where unknown.
         """
-        self.hits[hit.number] = hit
+        self.pending_hits[hit.number] = hit
         self.open_hits += 1
-        hit.overdue = self.loop.call_in(
+        hit.overdue_timer = self.loop.call_in(
             time_left if answer_within is None else answer_within, lambda: self.answer_overdue(hit)
         )
         self.post_event(
-            "on_hit", hit.number, group, customer, key, max(1, time_left - self.slack), cost, is_retry
+            "on_hit", hit.number, group, customer, key, max(1, time_left - self.answer_slack), cost, is_retry
         )
 
     def hit_ended(self, hit: PendingHit) -> None:
@@ -120,7 +120,7 @@
     def drop_finished(self, hit: PendingHit) -> None:
         """Forgets the hit once it is final and none of its forwards runs."""
         if hit.final and all(task is None or task.done for task in hit.forwards):
-            self.hits.pop(hit.number, None)
+            self.pending_hits.pop(hit.number, None)
 
     def abandon_hit(self, hit: PendingHit) -> None:
         """Ends a hit whose client disconnected or sent a malformed body; does nothing where it is final."""
@@ -142,12 +142,12 @@
 
     # --- requests of the decisions: see `decisions.interface.DecisionHost` ---------------------------------
 
-    def send_forward(self, hit, instance, time_out, send_within):
+    def send_forward(self, hit, instance, timeout, send_within):
         """Starts a forward; `on_outcome` reports its result exactly once. Times in microseconds.
 
-        `send_within`: how long the request may wait to be written; None: for the whole `time_out`.
+        `send_within`: how long the request may wait to be written; None: for the whole `timeout`.
         """
-        pending_hit, endpoint = self.hits[hit], self.endpoints.by_id.get(instance)
+        pending_hit, endpoint = self.pending_hits[hit], self.endpoints.by_id.get(instance)
         number = len(pending_hit.forwards)
         if pending_hit.final:  # its client disconnected in this turn
             pending_hit.forwards.append(None)
@@ -173,16 +173,14 @@
         self.endpoints.reserve(endpoint)
         pending_hit.forwards.append(
             self.loop.spawn(
-                self.forwards.run_forward(
-                    pending_hit, number, endpoint, time_out, send_within, report_result
-                ),
+                self.forwards.run_forward(pending_hit, number, endpoint, timeout, send_within, report_result),
                 f"forward-{pending_hit.name}-{number}",
             )
         )
 
     def cancel_forward(self, hit, forward):
         """Cancels a running forward; does nothing once its answer is being streamed to the client."""
-        pending_hit = self.hits.get(hit)
+        pending_hit = self.pending_hits.get(hit)
         if (
             pending_hit is not None
             and not pending_hit.streaming
@@ -193,13 +191,13 @@
 
     def reject_hit(self, hit, retry_after):
         """Bounces an open hit; `retry_after`: advice to the client in microseconds, 0 for none."""
-        pending_hit = self.hits.get(hit)
+        pending_hit = self.pending_hits.get(hit)
         if pending_hit is not None and not pending_hit.final:
             pending_hit.reject(retry_after)
 
     def fail_hit(self, hit):
         """Answers an open hit with an error: late where its last forward timed out."""
-        pending_hit = self.hits.get(hit)
+        pending_hit = self.pending_hits.get(hit)
         if pending_hit is not None and not pending_hit.final:
             pending_hit.fail(late=pending_hit.last_result == "timeout")
 
--- a/cobaltpond/gateway/desk_client.py
+++ b/cobaltpond/gateway/desk_client.py
@@ -20,7 +20,7 @@
     def __init__(self, loop, settings, host, log):
         self.loop, self.settings, self.host, self.log = loop, settings, host, log
         # last: (build, stage, phase, cap) of the newest news, None before the first
-        self.address, self.has_heard, self.last = split_address(settings.desk.address), False, None
+        self.address, self.has_received, self.last = split_address(settings.desk.address), False, None
         self.backoff = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
         self.on_state = lambda *state: None  # called with each state that the desk sends
         self.last_seen_state = (
@@ -83,7 +83,7 @@
             if "news" in message:
                 state = self.parse_state(message["news"])
                 self.remember_state(message["news"], state)
-                self.has_heard = True
+                self.has_received = True
                 self.counts["news"] += 1
                 if state[:4] != self.last:
                     self.last = state[:4]
@@ -94,7 +94,7 @@
                 tally = message["tally"]
                 self.counts["tallies"] += 1
                 self.host.post_event(
-                    "on_tally",
+                    "on_platform_counts",
                     int(tally["build"]),
                     tally["group"],
                     int(tally["count"]),
@@ -106,7 +106,10 @@
                 wrong_answer = message["wrong"]
                 self.counts["wrong"] += 1
                 self.host.post_event(
-                    "on_wrong", wrong_answer["instance"], wrong_answer["group"], int(wrong_answer["age_us"])
+                    "on_wrong_answer",
+                    wrong_answer["instance"],
+                    wrong_answer["group"],
+                    int(wrong_answer["age_us"]),
                 )
         except (KeyError, TypeError, ValueError) as error:
             self.counts["errors"] += 1
--- a/cobaltpond/gateway/forward_results.py
+++ b/cobaltpond/gateway/forward_results.py
@@ -63,7 +63,7 @@
         "connection that closes just then: HTTP/1.1 cannot tell whether it was read",
     ),
     "cut in the answer": ("reset", "the response broke off before its streaming to the client began"),
-    "too late": ("timeout", "no complete response within the time-out"),
+    "too late": ("timeout", "no complete response within the timeout"),
     "called off": ("cancelled", "the decisions cancelled it; the connection was closed"),
     "nothing to send": (
         "moot",
--- a/cobaltpond/gateway/forwards.py
+++ b/cobaltpond/gateway/forwards.py
@@ -2,7 +2,7 @@
 
 Commit point: a response is buffered until it is complete or exceeds `door.hold` bytes. Until then nothing has
 been sent to the client, and the decisions may forward the hit again. From the first byte sent to the client
-on, the hit is committed to this forward: the time-outs of the forward and of the client no longer apply, the
+on, the hit is committed to this forward: the timeouts of the forward and of the client no longer apply, the
 forward can't be cancelled, and if the instance breaks off, the client's connection is aborted, so that the
 client sees a truncated response and never takes it for a complete one.
 """
@@ -32,57 +32,57 @@
         hit,
         number: int,
         endpoint: InstanceEndpoint,
-        time_out: int,
+        timeout: int,
         send_within: int | None,
         report_result,
     ):
         """Runs one forward; the body of a task. Times are microseconds.
 
-        `send_within`: nothing is written later than that; None: within `time_out`. `report_result(result,
+        `send_within`: nothing is written later than that; None: within `timeout`. `report_result(result,
         duration, hit_final, load_report)` is called exactly once, also on cancellation.
         """
-        began, seen, load_report, hit_final = self.loop.now(), "called off", {}, False
-        run = ForwardAttempt(self, hit, number, endpoint, time_out, send_within)
+        began, observation, load_report, hit_final = self.loop.now(), "called off", {}, False
+        attempt = ForwardAttempt(self, hit, number, endpoint, timeout, send_within)
         try:
             try:
-                with Deadline(self.loop, time_out):
-                    seen = yield from run.first_part()
+                with Deadline(self.loop, timeout):
+                    observation = yield from attempt.run_until_commit()
             except DeadlineExceededError:
-                seen = "too late" if run.has_written else "dial too slow"
+                observation = "too late" if attempt.has_written else "dial too slow"
             duration = self.loop.now() - began
-            load_report = orca.parse_load_report(run.head.get(orca.HEADER)) if run.head else {}
-            if seen == "answer":
+            load_report = orca.parse_load_report(attempt.head.get(orca.HEADER)) if attempt.head else {}
+            if observation == "answer":
                 hit_final = True
-                if run.streaming:
-                    seen = yield from run.stream()
+                if attempt.streaming:
+                    observation = yield from attempt.stream()
                 elif not hit.final:
-                    hit.deliver(run.head, b"".join(run.body), endpoint)
+                    hit.deliver(attempt.head, b"".join(attempt.body), endpoint)
         finally:
-            run.close(reuse=seen in ("answer", "refusal", "server error"))
-            self.observations[seen] += 1
-            if seen in ("called off", "too late", "dial too slow") or run.head is None:
+            attempt.close(reuse=observation in ("answer", "refusal", "server error"))
+            self.observations[observation] += 1
+            if observation in ("called off", "too late", "dial too slow") or attempt.head is None:
                 duration = self.loop.now() - began
-            report_result(FORWARD_RESULTS[seen][0], duration, hit_final or hit.final, load_report)
+            report_result(FORWARD_RESULTS[observation][0], duration, hit_final or hit.final, load_report)
 
     def run_probe(self, endpoint: InstanceEndpoint, report_result):
         """Sends one request for the probe page; the body of a task.
 
         `report_result(result, duration, load_report)` is called exactly once; duration in microseconds.
         """
-        began, seen, head = self.loop.now(), "called off", None
-        run = ForwardAttempt(
+        began, observation, head = self.loop.now(), "called off", None
+        attempt = ForwardAttempt(
             self, Probe(self.settings.instances.probe_path), 0, endpoint, self.settings.instances.probe_time
         )
         try:
             with Deadline(self.loop, self.settings.instances.probe_time):
-                seen = yield from run.first_part()
-            head = run.head
+                observation = yield from attempt.run_until_commit()
+            head = attempt.head
         except DeadlineExceededError:
-            seen = "too late" if run.has_written else "dial too slow"
+            observation = "too late" if attempt.has_written else "dial too slow"
         finally:
-            run.close(reuse=seen in ("answer", "refusal", "server error"))
+            attempt.close(reuse=observation in ("answer", "refusal", "server error"))
             report_result(
-                FORWARD_RESULTS[seen][0],
+                FORWARD_RESULTS[observation][0],
                 self.loop.now() - began,
                 orca.parse_load_report(head.get(orca.HEADER)) if head else {},
             )
@@ -100,17 +100,17 @@
 class ForwardAttempt:
     """One forward while it runs.
 
-    `number`: of this forward among those of its hit. `time_out` and `send_within` in microseconds from now.
+    `number`: of this forward among those of its hit. `timeout` and `send_within` in microseconds from now.
     `head`, `body` and `body_size`: the response as far as it is read. `streaming`: the hit is committed.
     """
 
-    def __init__(self, forwards, hit, number, endpoint, time_out, send_within=None):
+    def __init__(self, forwards, hit, number, endpoint, timeout, send_within=None):
         self.forwards = forwards
         self.loop = forwards.loop
         self.hit = hit
         self.number = number
         self.endpoint = endpoint
-        self.deadline = self.loop.now() + time_out
+        self.deadline = self.loop.now() + timeout
         self.send_deadline = None if send_within is None else self.loop.now() + send_within
         self.connection, self.writer, self.has_written = None, None, False
         self.head, self.body, self.body_size = None, [], 0
@@ -120,7 +120,7 @@
         )
         self.parser = http1.ResponseParser(limits, hit.head.method == "HEAD")
 
-    def first_part(self):
+    def run_until_commit(self):
         """Runs the forward up to the complete response or the commit point.
 
         Returns the key of FORWARD_RESULTS. It is "answer" with `streaming` set at the commit point.
@@ -154,7 +154,7 @@
         except http1.HttpMessageError as error:
             if not isinstance(error, http1.TruncatedMessageError):
                 return "no sense"
-            return "cut in the answer" if self.parser.begun else "cut before an answer"
+            return "cut in the answer" if self.parser.message_begun else "cut before an answer"
         except ConnectionLostError:
             return "cut in the answer" if self.head else "cut before an answer"
 
@@ -214,12 +214,12 @@
         while not self.response_ended:
             self.apply_events(*(yield from self.read_events()))
             if self.head and not self.response_ended and self.body_size > stream_above:
-                seen = classify_response(self.head, self.forwards.settings.instances.refusals)
-                if seen != "answer" or self.hit.final:
+                observation = classify_response(self.head, self.forwards.settings.instances.refusals)
+                if observation != "answer" or self.hit.final:
                     self.connection.abort()  # the rest of this response has no use
-                    return seen
+                    return observation
                 self.streaming = True
-                return seen
+                return observation
         return classify_response(self.head, self.forwards.settings.instances.refusals)
 
     def read_events(self):
--- a/cobaltpond/gateway/frontend.py
+++ b/cobaltpond/gateway/frontend.py
@@ -26,7 +26,7 @@
         self.loop, self.settings, self.host, self.log, self.status = loop, settings, host, log, status
         self.members = members
         self.admission_limits = None
-        self.routes, self.visits, self.half_closed = Routes(settings), {}, {}
+        self.routes, self.clients, self.half_closed = Routes(settings), {}, {}
         self.draining, self.counts = False, {}
         self.shares = CustomerShares(
             {c.name: c.share for c in settings.customers}, 2 * settings.release.exposure_window
@@ -69,7 +69,7 @@
         """
         idle = [
             client
-            for client in self.visits
+            for client in self.clients
             if client not in self.half_closed
             and not client.reading_head
             and not client.connection.closed
@@ -88,7 +88,7 @@
         It reads all the time, also while a hit is open, and so notices a client that disconnects.
         """
         client, parser = ClientConnection(self, connection), http1.RequestParser(self.limits)
-        self.visits[client] = True
+        self.clients[client] = True
         events = []
         try:
             while True:
@@ -112,7 +112,7 @@
                 if client in self.half_closed:
                     continue  # discarded until the client closes
                 events = parser.feed(data)
-                client.reading_head = parser.in_head and parser.begun
+                client.reading_head = parser.in_head and parser.message_begun
         except http1.HttpMessageError as error:
             self.count("unfit")
             if client.hit is not None and not client.hit.final:
@@ -123,7 +123,7 @@
             client.send_data(responses.invalid_request_response(error.status, str(error)), True)
             yield from self.linger(client)
         finally:
-            self.visits.pop(client, None)
+            self.clients.pop(client, None)
             self.half_closed.pop(client, None)
             hit = client.hit
             if hit is not None:
@@ -169,11 +169,12 @@
             return
         if self.admission_limits is not None:
             verdict = self.admission_limits.check(route.group, route.customer, route.key, route.is_retry)
-            if verdict.by is not None:
+            if verdict.rejected_by is not None:
                 self.count("limited")
                 client.hit, keep_alive = None, head.keep_alive and expect is None and not self.draining
                 client.send_data(
-                    responses.over_limit_response(verdict.by, verdict.wait, keep_alive), not keep_alive
+                    responses.over_limit_response(verdict.rejected_by, verdict.wait_us, keep_alive),
+                    not keep_alive,
                 )
                 return
         if expect is not None:
@@ -228,7 +229,7 @@
         while True:
             yield Sleep(min(section.idle_time, section.head_time) // 4)
             now = self.loop.now()
-            for client in list(self.visits):
+            for client in list(self.clients):
                 idle_for = now - client.last_active
                 has_no_open_hit = client.hit is None or client.hit.final and not client.hit.streaming
                 if client in self.half_closed:
@@ -247,17 +248,17 @@
         self.draining = True
         self.accepting.cancel()
         yield Sleep(linger)  # requests that are already on their way still get their answers
-        for client in list(self.visits):
+        for client in list(self.clients):
             if client not in self.half_closed and (
                 client.hit is None or client.hit.final and not client.hit.streaming
             ):
                 client.half_close()
         longest = max(g.client_timeout for g in self.settings.path_groups)
         end = self.loop.now() + longest + self.settings.door.write_time
-        while any(v.hit is not None and (not v.hit.final or v.hit.streaming) for v in self.visits):
+        while any(v.hit is not None and (not v.hit.final or v.hit.streaming) for v in self.clients):
             if self.loop.now() > end:
                 break
             yield Sleep(10_000)
         end = self.loop.now() + 500_000
-        while self.visits and self.loop.now() < end:
+        while self.clients and self.loop.now() < end:
             yield Sleep(10_000)
--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -36,29 +36,29 @@
     def __init__(self):
         self.epoch, self.revision, self.rows, self.starts = None, 0, {}, {}
 
-    def apply(self, now: int, told: dict) -> tuple[bool, list]:
+    def apply(self, now: int, message: dict) -> tuple[bool, list]:
         """Applies one object of the list; returns (whether it is the whole list, [(row, address), ...]).
 
         The rows are in the form that the decisions get. Raises ListGapError, and JsonLineError on a malformed
         object.
         """
         try:
-            whole = told["base"] is None
-            if not whole and (told["epoch"], told["base"]) != (self.epoch, self.revision):
-                if told["epoch"] == self.epoch and told["revision"] <= self.revision:
+            whole = message["base"] is None
+            if not whole and (message["epoch"], message["base"]) != (self.epoch, self.revision):
+                if message["epoch"] == self.epoch and message["revision"] <= self.revision:
                     return False, []  # received already, over another connection
                 raise ListGapError(
-                    f"a change to {told['epoch']}/{told['base']}, held is {self.epoch}/{self.revision}"
+                    f"change to {message['epoch']}/{message['base']}, list at {self.epoch}/{self.revision}"
                 )
-            if whole and told["epoch"] == self.epoch and told["revision"] < self.revision:
+            if whole and message["epoch"] == self.epoch and message["revision"] < self.revision:
                 return False, []  # a response that a newer one has overtaken
-            rows = [self.parse_row(now, entry) for entry in told["rows"]]
-            self.epoch, self.revision = told["epoch"], int(told["revision"])
+            rows = [self.parse_row(now, entry) for entry in message["rows"]]
+            self.epoch, self.revision = message["epoch"], int(message["revision"])
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise JsonLineError(f"malformed list object: {error!r}") from error
         if whole:
             self.rows = {}
-        for entry in told["rows"]:
+        for entry in message["rows"]:
             if entry["state"] == "gone":
                 self.rows.pop(entry["id"], None)
             else:
@@ -121,13 +121,13 @@
     """Receives the list, applies it to the endpoints and the decisions, and keeps the copy on disk.
 
     `gateway_settings`: this gateway's section; its `memory` is the path of the copy, empty for none.
-    `has_heard`: whether a list has been received since the start.
+    `has_received`: whether a list has been received since the start.
     """
 
     def __init__(self, loop, settings, gateway_settings, host, log):
         self.loop, self.settings, self.host, self.log = loop, settings, host, log
         self.address, self.copy_path = split_address(settings.listing.address), gateway_settings.memory
-        self.instance_list, self.has_heard, self.needs_write = InstanceList(), False, False
+        self.instance_list, self.has_received, self.needs_write = InstanceList(), False, False
         self.on_applied = lambda: None  # called after each object that was applied
         self.reconciler = ListReconciler(self.is_answering)
         self.kept_list = {}
@@ -166,7 +166,7 @@
         whole, rows = self.instance_list.apply(self.loop.now(), message)
         self.reconciler.record_rows(message["rows"])
         self.reconciler.apply_change(() if whole else message["rows"])
-        self.has_heard, self.needs_write, self.kept_list = True, True, {}
+        self.has_received, self.needs_write, self.kept_list = True, True, {}
         self.on_applied()
         if rows or whole:
             self.counts["applied"] += 1
@@ -222,7 +222,7 @@
         fleet = getattr(self.host.decisions, "fleet", None)
         instance = fleet.by_id.get(id) if fleet is not None else None
         if instance is None:
-            return not self.has_heard
+            return not self.has_received
         if now < instance.ejected_until or instance.faults > 0.5:
             return False
         return not instance.heard_at or now - instance.heard_at < ANSWER_VALID_US
--- a/cobaltpond/gateway/main.py
+++ b/cobaltpond/gateway/main.py
@@ -83,11 +83,11 @@
             self.log,
             RandomSource(self.loop.kernel.random_seed()),
             settings.digest(),
-            trial=self.trial_counts,
+            trial_counts=self.trial_counts,
             groups=[g.name for g in settings.path_groups],
-            window=EVIDENCE_COLD_TIMES * settings.rules.cold_time,
+            max_evidence_age=EVIDENCE_COLD_TIMES * settings.rules.cold_time,
         )
-        self.desk_client.on_state = self.members.desk_news
+        self.desk_client.on_state = self.members.on_release_state
         self.list_follower.on_applied = lambda: self.members.gossip.set_draining(
             self.loop.now(),
             self.list_follower.instance_list.revision,
@@ -108,7 +108,7 @@
         for build in (newest, newest.earlier):
             for group_index, group in enumerate(self.settings.path_groups):
                 samples = build.samples.get(group.name) if build is not None else None
-                errored, hits = build.errored.get(group.name, (0, 0)) if build is not None else (0, 0)
+                errored, hits = build.error_counts.get(group.name, (0, 0)) if build is not None else (0, 0)
                 if samples and hits:
                     rows.append((build.number, group_index, hits, errored, max(0, now - samples[-1].at)))
         return rows
@@ -128,7 +128,7 @@
         return {
             "revision": self.list_follower.instance_list.revision,
             "out": self.host.open_hits,
-            "admitted": getattr(self.host.decisions, "admitted", 1.0),
+            "admitted": getattr(self.host.decisions, "admitted_share", 1.0),
             "flags": (READY if ready else 0) | (SETTLED_FLAG if settled else 0),
         }
 
@@ -141,7 +141,7 @@
             "zone": self.gateway_settings.zone,
             "hits": {
                 "open": self.host.open_hits,
-                "taken": self.host.taken,
+                "taken": self.host.accepted_count,
                 **self.frontend.counts,
                 "given up": getattr(self.host.decisions, "given_up", {}),
             },
@@ -157,7 +157,7 @@
             "members": self.members.status() if self.members else None,
             "recovery": self.recovery.status() if self.recovery else None,
             "limited": self.frontend.admission_limits.status() if self.frontend.admission_limits else None,
-            "connections": len(self.frontend.visits),
+            "connections": len(self.frontend.clients),
             "tasks": len(self.loop.tasks),
             "lag_us": self.lag_histogram.summary(),
             "instances": self.endpoints.counts(),
@@ -193,7 +193,7 @@
         wait_until = loop.now() + START_WAIT_DIAL_TIMES * self.settings.instances.dial_time
         while (
             loop.now() < wait_until
-            and not (self.list_follower.has_heard and self.desk_client.has_heard)
+            and not (self.list_follower.has_received and self.desk_client.has_received)
             and not self.stop_asked
         ):
             yield Sleep(5_000)
@@ -202,8 +202,8 @@
         self.log.info(
             "door open",
             door=self.gateway_settings.door,
-            list=self.list_follower.has_heard,
-            news=self.desk_client.has_heard,
+            list=self.list_follower.has_received,
+            news=self.desk_client.has_received,
         )
         # The listener opens only now. Otherwise hits would wait in the backlog of a gateway that is still
         # starting until past their client timeout, while another gateway could have served them.
--- a/cobaltpond/gateway/pending_hit.py
+++ b/cobaltpond/gateway/pending_hit.py
@@ -22,8 +22,8 @@
     def __init__(self, number: int, name: str, frontend):
         self.number, self.name, self.frontend = number, name, frontend
         self.final = self.streaming = False
-        # `overdue` is the timer that answers the hit where the decisions have not answered it in time
-        self.outcome, self.overdue = None, None
+        # `overdue_timer` is the timer that answers the hit where the decisions have not answered it in time
+        self.outcome, self.overdue_timer = None, None
         # tasks of the forwards, None where nothing was sent; the `ForwardResult` of the last that ended
         self.forwards, self.last_result = [], None
 
@@ -33,6 +33,6 @@
         Cancels the overdue timer and reports the end to the frontend. It is called once per hit.
         """
         self.final, self.outcome = True, outcome
-        if self.overdue is not None:
-            self.overdue.cancel()
+        if self.overdue_timer is not None:
+            self.overdue_timer.cancel()
         self.frontend.hit_ended(self)
--- a/cobaltpond/leases/service.py
+++ b/cobaltpond/leases/service.py
@@ -85,9 +85,9 @@
                     (limit_index, digest, extra_rate, now // 1000 & 0xFFFFFFFF, 0)
                 )
         for owner, requests in rows.items():
-            for at in range(0, len(requests), wire.LEASES_MOST):
-                payload = wire.leases_field(requests[at : at + wire.LEASES_MOST])
-                self.members.view.send(wire.LEASE_ASK, owner, 0, more=payload)
+            for at in range(0, len(requests), wire.MAX_LEASE_ROWS):
+                payload = wire.encode_leases(requests[at : at + wire.MAX_LEASE_ROWS])
+                self.members.view.send(wire.LEASE_ASK, owner, 0, extra_fields=payload)
         self.members.flush()
 
     def apply_lease(self, now: int, lease: Lease) -> None:
@@ -122,7 +122,9 @@
                 ):
                     self.apply_lease(now, lease)
         if replies:
-            self.members.view.send(wire.LEASE_REPLY, sender, sequence, more=wire.leases_field(replies))
+            self.members.view.send(
+                wire.LEASE_REPLY, sender, sequence, extra_fields=wire.encode_leases(replies)
+            )
 
     def expire_leases(self, now: int) -> None:
         """Takes the amounts of expired leases back from the limits."""
--- a/cobaltpond/limits/compiled.py
+++ b/cobaltpond/limits/compiled.py
@@ -80,7 +80,7 @@
         """(limits that the hit refills, limits that it consumes), cached for all hits with the same
         attributes.
         """
-        hit_shape = hit.group, hit.kind, hit.customer, hit.again, hit.key is None
+        hit_shape = hit.group, hit.kind, hit.customer, hit.is_retry, hit.key is None
         found = self.plan_cache.get(hit_shape)
         if found is None:
             applicable = [limit for limit in self.limits if limit.applies_to(hit)]
--- a/cobaltpond/limits/rules.py
+++ b/cobaltpond/limits/rules.py
@@ -62,11 +62,11 @@
 
     def consumes(self, hit: "HitAttributes") -> bool:
         """Whether the hit, which the limit applies to, takes a unit from the bucket."""
-        return self.counts == "hits" or self.counts == ("repeats" if hit.again else "tries")
+        return self.counts == "hits" or self.counts == ("repeats" if hit.is_retry else "tries")
 
     def refills(self, hit: "HitAttributes") -> bool:
         """Whether the hit adds to the bucket of a limit that is a share of another kind."""
-        return self.share_of in ("hits", "repeats" if hit.again else "tries")
+        return self.share_of in ("hits", "repeats" if hit.is_retry else "tries")
 
     def value(self, hit: "HitAttributes"):
         """The value of the hit that selects the bucket; None if all hits share one."""
@@ -75,26 +75,26 @@
 
 @dataclass(frozen=True)
 class HitAttributes:
-    """The attributes of a hit that limits depend on; `again` marks a client's retry."""
+    """The attributes of a hit that limits depend on; `is_retry` marks a client's retry."""
 
     group: str
     kind: str
     customer: str | None = None
     key: object = None
-    again: bool = False
+    is_retry: bool = False
 
 
 @dataclass(frozen=True)
 class LimitVerdict:
     """The outcome of a check.
 
-    `over` names all limits that were over, whether they reject or not. `by` is the limit that rejects the
-    hit, None if it passes. `wait` is the time in microseconds until there is room, 0 for no advice.
+    `exceeded` names all limits that were over, whether they reject or not. `rejected_by` is the limit that
+    rejects the hit, None if it passes. `wait_us` is the time until there is room, 0 for no advice.
     """
 
-    over: tuple[str, ...] = ()
-    by: str | None = None
-    wait: int = 0
+    exceeded: tuple[str, ...] = ()
+    rejected_by: str | None = None
+    wait_us: int = 0
 
 
 def wait_for_token(level: int, rate: int) -> int:
--- a/cobaltpond/loop/streams.py
+++ b/cobaltpond/loop/streams.py
@@ -48,12 +48,12 @@
         self.handle.abort()
 
 
-def dial(loop, address, time_out):
+def dial(loop, address, timeout):
     """A connection. Raises RefusedError, UnreachableError, HandlesExhaustedError, or DeadlineExceededError
-    after `time_out` microseconds."""
+    after `timeout` microseconds."""
     handle = loop.kernel.dial(address)
     try:
-        with Deadline(loop, time_out):
+        with Deadline(loop, timeout):
             while not handle.connected():
                 yield Writable(handle)
         done, handle = handle, None
--- a/cobaltpond/members/gossip.py
+++ b/cobaltpond/members/gossip.py
@@ -43,7 +43,7 @@
                     del self.overruled[next(iter(self.overruled))]
                 self.counts["overruled"] += 1
             self.gossiped_release = self.gossiped_by = None
-            self.post_event("on_shut", None)
+            self.post_event("on_build_blocked", None)
 
     def set_draining(self, now: int, revision: int, tags: list[int]) -> None:
         """Takes the tags of the instances that drain by our own instance list of this revision."""
@@ -53,8 +53,8 @@
     # --- what is sent ---------------------------------------------------------------------------------------
 
     def outgoing(self, now: int) -> tuple[tuple | None, list[int]]:
-        """(release state as `wire.news_field` takes it or None, tags of instances that began to drain lately,
-        the newest first)."""
+        """(release state as `wire.encode_news` takes it or None, tags of instances that began to drain
+        lately, the newest first)."""
         release, since = (
             (self.gossiped_release, self.gossiped_since)
             if self.gossiped_release is not None
@@ -83,7 +83,7 @@
             return
         self.gossiped_release, self.gossiped_since, self.gossiped_by = release, now - news[4], member.number
         self.counts["news taken"] += 1
-        self.post_event("on_shut", release[0])
+        self.post_event("on_build_blocked", release[0])
 
     def is_restriction(self, release: tuple, since: int) -> bool:
         """Whether a reported release closes its build to more hits than what is known.
--- a/cobaltpond/members/receiving.py
+++ b/cobaltpond/members/receiving.py
@@ -28,10 +28,11 @@
             self.counts["flood"] += 1
             return
         kind, sequence, stamp, fields = wire.decode_datagram(sender, self.number, data)
-        facts, rows = wire.facts_of(fields), wire.rows_of(fields)
-        about, digest = wire.number_of(fields, wire.ABOUT, ">H"), wire.number_of(fields, wire.DIGEST, ">I")
-        news, drains, trial = wire.news_of(fields), wire.drains_of(fields), wire.trial_of(fields)
-        warm, leases = wire.warm_of(fields), wire.leases_of(fields)
+        facts, rows = wire.decode_facts(fields), wire.decode_rows(fields)
+        subject = wire.decode_number(fields, wire.SUBJECT, ">H")
+        digest = wire.decode_number(fields, wire.DIGEST, ">I")
+        news, drains, trial = wire.decode_news(fields), wire.decode_drains(fields), wire.decode_trial(fields)
+        warm, leases = wire.decode_warm(fields), wire.decode_leases(fields)
         self.counts["heard"] += 1
         self.adjust_health(member.missed_acks)
         member.missed_acks = 0
@@ -40,7 +41,9 @@
             or facts["start"] == member.start
             and (member.stamp is None or stamp > member.stamp)
         )
-        self.apply_row(now, sender, facts["start"], facts["incarnation"], wire.NAMES[facts["state"]], sender)
+        self.apply_row(
+            now, sender, facts["start"], facts["incarnation"], wire.STATE_NAMES[facts["state"]], sender
+        )
         if is_newest and facts["start"] == member.start:
             member.facts, member.stamp, member.heard_at = facts, stamp, now
             if self.on_gossip is not None:
@@ -58,14 +61,14 @@
         if kind == wire.PING:
             self.send(wire.ACK, sender, sequence, differs=differs)
         elif kind == wire.ACK:
-            self.handle_ack(now, sender, sequence, about)
-        elif kind == wire.INDIRECT_PING and about in self.members and len(self.relays) < MAX_RELAYS:
-            relay_sequence = self.ping(about)
+            self.handle_ack(now, sender, sequence, subject)
+        elif kind == wire.INDIRECT_PING and subject in self.members and len(self.relays) < MAX_RELAYS:
+            relay_sequence = self.ping(subject)
             ack_timeout = self.probe_settings.ack_timeout
             self.relays[relay_sequence] = (
                 sender,
                 sequence,
-                about,
+                subject,
                 now + int(NACK_SHARE * ack_timeout),
                 now + self.probe_settings.period,
             )
@@ -83,20 +86,20 @@
         ):
             self.probe.nacks[sender] = True
 
-    def handle_ack(self, now: int, sender: int, sequence: int, about: int | None) -> None:
+    def handle_ack(self, now: int, sender: int, sequence: int, subject: int | None) -> None:
         """Forwards the ack of a relayed ping to the asking member, or records it for our own probe.
 
-        `about` is the probed member where a helper sends the ack, None where the probed member itself
+        `subject` is the probed member where a helper sends the ack, None where the probed member itself
         does."""
         relay = self.relays.get(sequence)
-        if relay is not None and relay[2] == sender and about is None:
+        if relay is not None and relay[2] == sender and subject is None:
             del self.relays[sequence]
             self.send(wire.ACK, relay[0], relay[1], sender)
             return
         probe = self.probe
         if probe is None or sequence != probe.sequence:
             return
-        if about is None and sender == probe.member.number:
+        if subject is None and sender == probe.member.number:
             probe.result = DIRECT
-        elif about == probe.member.number and sender in probe.helpers and probe.result is None:
+        elif subject == probe.member.number and sender in probe.helpers and probe.result is None:
             probe.result = INDIRECT
--- a/cobaltpond/members/sending.py
+++ b/cobaltpond/members/sending.py
@@ -65,15 +65,15 @@
         kind: int,
         receiver: int,
         sequence: int,
-        about: int | None = None,
+        subject: int | None = None,
         differs=False,
-        more: bytes = b"",
+        extra_fields: bytes = b"",
     ) -> None:
-        """Appends a datagram to `out`.
+        """Appends a datagram to `outbox`.
 
-        `about`: the member that an indirect ping, its ack or its nack is about; `differs`: the receiver's
-        table digest differs from ours; `more`: further encoded fields. Raises ValueError if these do not
-        fit."""
+        `subject`: the member that an indirect ping, its ack or its nack is about; `differs`: the receiver's
+        table digest differs from ours; `extra_fields`: further encoded ones. Raises ValueError if they
+        do not fit."""
         self.stamp += 1
         facts = {
             **self.self_description,
@@ -81,18 +81,18 @@
             "incarnation": self.incarnation,
             "state": STATE_CODES[self.state],
         }
-        fields = wire.self_field(facts) + wire.encode_field(wire.DIGEST, wire.pack(">I", self.table_digest))
-        fields += more
-        if about is not None:
-            fields += wire.encode_field(wire.ABOUT, wire.pack(">H", about))
+        fields = wire.encode_facts(facts) + wire.encode_field(wire.DIGEST, wire.pack(">I", self.table_digest))
+        fields += extra_fields
+        if subject is not None:
+            fields += wire.encode_field(wire.SUBJECT, wire.pack(">H", subject))
         if self.news is not None:
-            fields += wire.news_field(*self.news)
+            fields += wire.encode_news(*self.news)
         if self.drains:
-            fields += wire.drains_field(self.drains[: wire.MAX_DRAINS])
+            fields += wire.encode_drains(self.drains[: wire.MAX_DRAINS])
         rows = self.choose_rows(receiver, wire.MAX_BYTES - wire.HEADER_SIZE - len(fields) - 2, differs)
         if rows:
             fields += wire.encode_field(wire.ROWS, rows)
-        self.out.append(
+        self.outbox.append(
             (receiver, wire.encode_datagram(kind, self.number, receiver, sequence, self.stamp, fields))
         )
 
--- a/cobaltpond/members/service.py
+++ b/cobaltpond/members/service.py
@@ -16,11 +16,12 @@
     """Membership of one gateway.
 
     `zones`: zone name of each gateway by number; `peers`: a `gateway.peers.Peers`, which passes datagrams
-    of membership to `receive_datagram`; `post`: takes events for the decisions; `about`: returns what this
-    gateway tells of itself (revision, out, admitted, flags) as a map; `digest`: of the settings; `view`:
-    the class of the view, which measurements replace by a baseline; `trial`: returns our counts of a trial
-    as `wire.trial_field` takes them, None where trial messages are not served; `groups`: names of the path
-    groups by index; `window`: the greatest age of trial evidence, in microseconds."""
+    of membership to `receive_datagram`; `post`: takes events for the decisions; `describe_self`: returns
+    what this gateway tells of itself (revision, out, admitted, flags) as a map; `digest`: of the settings;
+    `view`: the class of the view, which measurements replace by a baseline; `trial_counts`: returns our
+    counts of a trial as `wire.encode_trial` takes them, None where trial messages are not served; `groups`:
+    names of the path groups by index; `max_evidence_age`: the greatest age of trial evidence, in
+    microseconds."""
 
     def __init__(
         self,
@@ -30,26 +31,30 @@
         settings: ProbeSettings,
         peers,
         post,
-        about,
+        describe_self,
         log,
         chance,
         digest: int = 0,
         view=View,
-        trial=None,
+        trial_counts=None,
         groups=(),
-        window: int = 10_000_000,
+        max_evidence_age: int = 10_000_000,
     ):
-        self.loop, self.peers, self.post_event, self.describe_self, self.log = loop, peers, post, about, log
+        self.loop = loop
+        self.peers = peers
+        self.post_event = post
+        self.describe_self = describe_self
+        self.log = log
         self.view = view(number, zones, settings, chance, loop.kernel.wall_clock(), loop.now())
         self.view.self_description.update(version=PROGRAM_VERSION, settings=digest)
         self.gossip = Gossip(post)
         self.view.on_gossip = lambda member, news, drains: self.gossip.receive(
             self.loop.now(), member, news, drains
         )
-        self.evidence = TrialEvidence(window, post, chance, loop.now())
-        self.trial_counts = trial
+        self.evidence = TrialEvidence(max_evidence_age, post, chance, loop.now())
+        self.trial_counts = trial_counts
         self.groups = list(groups)
-        self.view.on_trial_message = self.handle_trial_message if trial is not None else None
+        self.view.on_trial_message = self.handle_trial_message if trial_counts is not None else None
         self.changed, self.rejected, self.last_living = Event(), {}, None
         self.is_alone, self.is_island, self.replaced = False, False, False
         peers.on_membership = self.receive_datagram
@@ -90,7 +95,7 @@
 
     def flush(self) -> None:
         """Sends the view's datagrams, logs its state changes, and posts a change of the present members."""
-        out, self.view.out = self.view.out, []
+        out, self.view.outbox = self.view.outbox, []
         for receiver, data in out:
             self.peers.send_membership(receiver, data)
         changes, self.view.changes = self.view.changes, []
@@ -127,10 +132,10 @@
                 wire.TRIAL_REPLY,
                 sender,
                 sequence,
-                more=wire.trial_field(self.trial_counts()[: wire.MAX_TRIAL_ROWS]),
+                extra_fields=wire.encode_trial(self.trial_counts()[: wire.MAX_TRIAL_ROWS]),
             )
         else:
-            self.evidence.apply_answer(
+            self.evidence.apply_response(
                 sender,
                 [
                     (build, self.groups[group_index], *rest)
@@ -139,7 +144,7 @@
                 ],
             )
 
-    def desk_news(self, build: int, stage: int, phase: str, cap: float, age: int) -> None:
+    def on_release_state(self, build: int, stage: int, phase: str, cap: float, age: int) -> None:
         """Takes the release state of our own desk link, `age` microseconds old."""
         self.gossip.update_release(self.loop.now(), build, stage, phase, cap, age)
         self.evidence.update_release(self.loop.now(), build, phase, age)
--- a/cobaltpond/members/states.py
+++ b/cobaltpond/members/states.py
@@ -5,7 +5,7 @@
 # start for good.
 STATE_RANK = {ALIVE: 0, SUSPECT: 1, FAILED: 2, LEFT: 3}
 STATE_CODES = {name: code for code, name in enumerate((UNHEARD, ALIVE, SUSPECT, FAILED, LEFT))}
-NAMES = {code: name for name, code in STATE_CODES.items()}
+STATE_NAMES = {code: name for name, code in STATE_CODES.items()}
 
 HEARD = "heard"
 SUSPECTED = "doubted"
--- a/cobaltpond/members/trial_evidence.py
+++ b/cobaltpond/members/trial_evidence.py
@@ -51,7 +51,7 @@
         self.counts["asked"] += len(receivers)
         return receivers
 
-    def apply_answer(self, sender: int, rows: list[tuple]) -> None:
+    def apply_response(self, sender: int, rows: list[tuple]) -> None:
         """Posts tallies from the first answer of each member that was asked.
 
         `rows`: (build, path group, hits, errored, age of the newest hit in microseconds)."""
@@ -67,5 +67,11 @@
                 self.counted[build, group] = count, max(errored_count, known_errored)
                 self.counts["tallies"] += 1
                 self.post_event(
-                    "on_tally", build, group, count - known, max(0, errored_count - known_errored), 0, age
+                    "on_platform_counts",
+                    build,
+                    group,
+                    count - known,
+                    max(0, errored_count - known_errored),
+                    0,
+                    age,
                 )
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -57,7 +57,7 @@
 
     `zones`: zone name of each gateway by number, ours included; `chance`: a `RandomSource` of the decisions;
     `start`: start time of this process in microseconds since 1970, which tells its starts apart; `now`: loop
-    time in microseconds. The caller collects datagrams to send from `out` as (number, datagram) and state
+    time in microseconds. The caller collects datagrams to send from `outbox` as (number, datagram) and state
     changes from `changes` as (member, previous state), calls `tick` at `next_at`, and ends the process once
     `replaced` is set."""
 
@@ -91,7 +91,7 @@
         # sequence of our ping -> (asking member, its sequence, probed member, time of the nack, end)
         self.relays = {}
         self.sync_cursor, self.table_digest = 0, self.row_digest(number)
-        self.out, self.changes, self.replaced = [], [], False
+        self.outbox, self.changes, self.replaced = [], [], False
         self.reachability = Reachability(self)
         self.counts = {
             "pings": 0,
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -12,7 +12,7 @@
 from struct import calcsize, pack, unpack, unpack_from
 from zlib import crc32
 
-from cobaltpond.members.states import NAMES, STATE_CODES, UNHEARD
+from cobaltpond.members.states import STATE_CODES, STATE_NAMES, UNHEARD
 
 MAJOR, MINOR = 1, 0
 PING = 1
@@ -28,7 +28,7 @@
 MAX_BYTES = 250  # of a datagram's 256, without the header of gateway/peers.py
 HEADER_FORMAT = ">BBIHII"
 HEADER_SIZE = calcsize(HEADER_FORMAT)
-SELF, ROWS, ABOUT, NEWS, DRAINS, DIGEST, TRIAL, WARM, LEASES = 1, 2, 3, 4, 5, 6, 7, 8, 9
+SELF, ROWS, SUBJECT, NEWS, DRAINS, DIGEST, TRIAL, WARM, LEASES = 1, 2, 3, 4, 5, 6, 7, 8, 9
 # start (microseconds since 1970), incarnation, state, zone digest, program version, settings digest,
 # revision of the instance list, build, stage, phase, hits in flight, share of hits admitted (of 255), flags
 FACTS_FORMAT = ">QIBIHIIIBBHBB"
@@ -54,9 +54,9 @@
 MAX_DRAINS = 6
 TRIAL_FORMAT, MAX_TRIAL_ROWS = ">IBIIH", 10  # build, index of the path group, hits, errored, age in 10 ms
 # digest of an instance's start, latency ratio in twentieths, load, faults of 255, flags, age in 100 ms
-WARM_FORMAT, WARM_MOST, LATENCY_RATIO_UNITS = ">IBBBBB", 15, 20
+WARM_FORMAT, MAX_WARM_ROWS, LATENCY_RATIO_UNITS = ">IBBBBB", 15, 20
 # index of the limit, digest of the value, amount, request time in ms, fencing token
-LEASES_FORMAT, LEASES_MOST = ">BQIII", 7
+LEASES_FORMAT, MAX_LEASE_ROWS = ">BQIII", 7
 
 
 class DatagramError(Exception):
@@ -104,18 +104,18 @@
     return kind, sequence, stamp, fields
 
 
-def self_field(facts: dict) -> bytes:
+def encode_facts(facts: dict) -> bytes:
     """The sender's description of itself; `facts` has the keys of FACT_NAMES."""
     return encode_field(SELF, pack(FACTS_FORMAT, *(facts[name] for name in FACT_NAMES)))
 
 
-def facts_of(fields: dict) -> dict:
+def decode_facts(fields: dict) -> dict:
     """The sender's facts by FACT_NAMES. Raises DatagramError, also where the field is missing."""
     value = fields.get(SELF, b"")
     if len(value) < calcsize(FACTS_FORMAT):
         raise DatagramError("field")
     facts = dict(zip(FACT_NAMES, unpack_from(FACTS_FORMAT, value), strict=True))
-    if NAMES.get(facts["state"], UNHEARD) == UNHEARD:
+    if STATE_NAMES.get(facts["state"], UNHEARD) == UNHEARD:
         raise DatagramError("field")
     return facts
 
@@ -125,18 +125,18 @@
     return pack(ROW_FORMAT, number, start, incarnation, STATE_CODES[state], reporter)
 
 
-def rows_of(fields: dict) -> list[tuple]:
+def decode_rows(fields: dict) -> list[tuple]:
     """Rows of (number, start, incarnation, state, reporter). Raises DatagramError."""
     value = fields.get(ROWS, b"")
     if len(value) % ROW_SIZE:
         raise DatagramError("field")
     rows = [unpack(ROW_FORMAT, value[at : at + ROW_SIZE]) for at in range(0, len(value), ROW_SIZE)]
-    if any(NAMES.get(row[3], UNHEARD) == UNHEARD for row in rows):
+    if any(STATE_NAMES.get(row[3], UNHEARD) == UNHEARD for row in rows):
         raise DatagramError("field")
-    return [(*row[:3], NAMES[row[3]], row[4]) for row in rows]
+    return [(*row[:3], STATE_NAMES[row[3]], row[4]) for row in rows]
 
 
-def number_of(fields: dict, tag: int, form: str) -> int | None:
+def decode_number(fields: dict, tag: int, form: str) -> int | None:
     """The number in a field of the struct format `form`, None if there is none. Raises DatagramError."""
     value = fields.get(tag)
     if value is None:
@@ -146,7 +146,7 @@
     return unpack_from(form, value)[0]
 
 
-def news_field(build: int, stage: int, phase: int, cap: float, age: int) -> bytes:
+def encode_news(build: int, stage: int, phase: int, cap: float, age: int) -> bytes:
     """The state of a release.
 
     `cap` is a share of 1; `age`: microseconds since the desk began this phase and stage."""
@@ -155,7 +155,7 @@
     )
 
 
-def news_of(fields: dict) -> tuple | None:
+def decode_news(fields: dict) -> tuple | None:
     """(build, stage, phase, cap, age in microseconds), None if the field is missing. Raises DatagramError."""
     value = fields.get(NEWS)
     if value is None:
@@ -166,7 +166,7 @@
     return build, stage, phase, cap / 65535, age * 1000
 
 
-def drains_of(fields: dict) -> list[int]:
+def decode_drains(fields: dict) -> list[int]:
     """Tags of draining instances (`decisions/sample_message.py`). Raises DatagramError."""
     value = fields.get(DRAINS, b"")
     if len(value) % 4 or len(value) > 4 * MAX_DRAINS:
@@ -174,7 +174,7 @@
     return list(unpack(f">{len(value) // 4}I", value))
 
 
-def trial_field(rows) -> bytes:
+def encode_trial(rows) -> bytes:
     """Counts of a trial. `rows`: (build, index of the path group, hits, errored, age in microseconds)."""
     return encode_field(
         TRIAL,
@@ -192,8 +192,8 @@
     )
 
 
-def trial_of(fields: dict) -> list[tuple]:
-    """Rows as `trial_field` takes them. Raises DatagramError."""
+def decode_trial(fields: dict) -> list[tuple]:
+    """Rows as `encode_trial` takes them. Raises DatagramError."""
     value, size = fields.get(TRIAL, b""), calcsize(TRIAL_FORMAT)
     if len(value) % size or len(value) > size * MAX_TRIAL_ROWS:
         raise DatagramError("field")
@@ -201,11 +201,11 @@
     return [(*row[:4], row[4] * 10_000) for row in rows]
 
 
-def warm_field(rows) -> bytes:
+def encode_warm(rows) -> bytes:
     """What is known of instances, for a gateway that warms up.
 
     `rows`: (digest of the instance's start, latency ratio, load, share of faults, flags, age in
-    microseconds); those beyond WARM_MOST are left out."""
+    microseconds); those beyond MAX_WARM_ROWS are left out."""
     return encode_field(
         WARM,
         b"".join(
@@ -218,15 +218,15 @@
                 flags & 255,
                 min(255, age // 100_000),
             )
-            for start_digest, latency_ratio, load, faults, flags, age in rows[:WARM_MOST]
+            for start_digest, latency_ratio, load, faults, flags, age in rows[:MAX_WARM_ROWS]
         ),
     )
 
 
-def warm_of(fields: dict) -> list[tuple]:
-    """Rows as `warm_field` takes them. Raises DatagramError."""
+def decode_warm(fields: dict) -> list[tuple]:
+    """Rows as `encode_warm` takes them. Raises DatagramError."""
     value, size = fields.get(WARM, b""), calcsize(WARM_FORMAT)
-    if len(value) % size or len(value) > size * WARM_MOST:
+    if len(value) % size or len(value) > size * MAX_WARM_ROWS:
         raise DatagramError("field")
     rows = [unpack(WARM_FORMAT, value[at : at + size]) for at in range(0, len(value), size)]
     return [
@@ -235,28 +235,28 @@
     ]
 
 
-def leases_field(rows) -> bytes:
+def encode_leases(rows) -> bytes:
     """Lease requests or replies.
 
     `rows`: (index of the limit, digest of the value, amount, request time in milliseconds, fencing token);
-    those beyond LEASES_MOST are left out."""
+    those beyond MAX_LEASE_ROWS are left out."""
     return encode_field(
         LEASES,
         b"".join(
             pack(LEASES_FORMAT, limit_index, digest, min(amount, 0xFFFFFFFF), requested_at, fencing_token)
-            for limit_index, digest, amount, requested_at, fencing_token in rows[:LEASES_MOST]
+            for limit_index, digest, amount, requested_at, fencing_token in rows[:MAX_LEASE_ROWS]
         ),
     )
 
 
-def leases_of(fields: dict) -> list[tuple]:
-    """Rows as `leases_field` takes them. Raises DatagramError."""
+def decode_leases(fields: dict) -> list[tuple]:
+    """Rows as `encode_leases` takes them. Raises DatagramError."""
     value, size = fields.get(LEASES, b""), calcsize(LEASES_FORMAT)
-    if len(value) % size or len(value) > size * LEASES_MOST:
+    if len(value) % size or len(value) > size * MAX_LEASE_ROWS:
         raise DatagramError("field")
     return [unpack(LEASES_FORMAT, value[at : at + size]) for at in range(0, len(value), size)]
 
 
-def drains_field(tags) -> bytes:
+def encode_drains(tags) -> bytes:
     """Tags of draining instances, at most MAX_DRAINS."""
     return encode_field(DRAINS, pack(f">{len(tags)}I", *tags))
--- a/cobaltpond/recovery/desk_state.py
+++ b/cobaltpond/recovery/desk_state.py
@@ -26,7 +26,7 @@
     """The newest desk state that one gateway or agent acted on.
 
     `mark` is (epoch, turn), `cap` a share from 0 to 1, `stable` the build to roll back to (None: not known),
-    and `gone` holds the builds that this member saw being rolled back.
+    and `rolled_back_builds` holds the builds that this member saw being rolled back.
     """
 
     mark: tuple[int, int]
@@ -35,7 +35,7 @@
     phase: str = RELEASED
     cap: float = 1.0
     stable: int | None = None
-    gone: tuple[int, ...] = ()
+    rolled_back_builds: tuple[int, ...] = ()
 
     @property
     def state(self) -> tuple:
@@ -54,7 +54,7 @@
     try:
         epoch, turn = document["mark"]
         stable = document.get("stable")
-        gone = [int(build) for build in document.get("gone", ())][:MAX_GONE_BUILDS]
+        rolled_back_builds = [int(build) for build in document.get("gone", ())][:MAX_GONE_BUILDS]
         if document["phase"] not in PHASES:
             raise ValueError(f"phase {document['phase']!r}")
         return SeenState(
@@ -64,7 +64,7 @@
             document["phase"],
             min(1.0, max(0.0, float(document["cap"]))),
             None if stable is None else int(stable),
-            tuple(gone),
+            tuple(rolled_back_builds),
         )
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"malformed seen state: {error!r}") from None
@@ -104,7 +104,7 @@
     state: str = COLLECTING
     states: dict = field(default_factory=dict)
     plan: ResumePlan | None = None
-    why: str = ""
+    reason: str = ""
     collect_deadline: int = 0
 
     def __post_init__(self):
@@ -172,12 +172,15 @@
         newest_reports = {
             reporter: seen for reporter, seen in newer_reports.items() if seen.mark == newest_mark
         }
-        gone = sorted(
+        rolled_back_builds = sorted(
             {
                 build
                 for seen in self.states.values()
                 if seen is not None
-                for build in (*seen.gone, *([seen.build] if seen.phase in ROLLBACK_PHASES else []))
+                for build in (
+                    *seen.rolled_back_builds,
+                    *([seen.build] if seen.phase in ROLLBACK_PHASES else []),
+                )
             }
         )
         states = sorted({seen.state for seen in newest_reports.values()})
@@ -191,7 +194,7 @@
         later_builds = {
             reporter: seen
             for reporter, seen in newer_reports.items()
-            if seen.build > newest_state.build and seen.build not in gone
+            if seen.build > newest_state.build and seen.build not in rolled_back_builds
         }
         if later_builds:
             return self.resolve(
@@ -208,12 +211,14 @@
             )
         return self.resolve(
             RESUMED,
-            self.safest_plan(newest_state, stable_builds[0] if stable_builds else None, gone, newer_reports),
+            self.safest_plan(
+                newest_state, stable_builds[0] if stable_builds else None, rolled_back_builds, newer_reports
+            ),
             f"{len(newer_reports)} reports are newer than the journal, up to mark {list(newest_mark)}",
         )
 
     def safest_plan(
-        self, newest_state: SeenState, stable: int | None, gone: list, newer_reports: dict
+        self, newest_state: SeenState, stable: int | None, rolled_back_builds: list, newer_reports: dict
     ) -> ResumePlan:
         """The plan with no cap above the lowest reported one for that build.
 
@@ -225,14 +230,19 @@
             default=newest_state.cap,
         )
         phase, stage = newest_state.phase, min(newest_state.stage, len(self.caps) - 1)
-        if newest_state.build in gone and phase not in ROLLBACK_PHASES:
+        if newest_state.build in rolled_back_builds and phase not in ROLLBACK_PHASES:
             phase = GOING_BACK
         if phase == TRIAL:
             allowed_stages = [n for n in range(stage + 1) if self.caps[n] <= lowest_cap + 1e-6]
             stage = allowed_stages[-1] if allowed_stages else 0
             phase = TRIAL if allowed_stages else GOING_BACK
         return ResumePlan(
-            newest_state.build, stage, phase, stable, tuple(gone), lowest_cap if phase == TRIAL else 1.0
+            newest_state.build,
+            stage,
+            phase,
+            stable,
+            tuple(rolled_back_builds),
+            lowest_cap if phase == TRIAL else 1.0,
         )
 
     def contested_plan(self, newer_reports: dict) -> ResumePlan:
@@ -243,7 +253,8 @@
         """
         build = max(seen.build for seen in newer_reports.values())
         rolled_back = any(
-            seen.phase in ROLLBACK_PHASES or build in seen.gone for seen in newer_reports.values()
+            seen.phase in ROLLBACK_PHASES or build in seen.rolled_back_builds
+            for seen in newer_reports.values()
         )
         stable_builds = [
             seen.stable for seen in newer_reports.values() if seen.stable is not None and seen.stable < build
@@ -257,9 +268,9 @@
             0.0 if rolled_back else min(seen.cap for seen in newer_reports.values()),
         )
 
-    def resolve(self, state: str, plan: ResumePlan | None, why: str) -> str:
+    def resolve(self, state: str, plan: ResumePlan | None, reason: str) -> str:
         """Sets the outcome and its reason, which the operator reads; returns `state`."""
-        self.state, self.plan, self.why = state, plan, why
+        self.state, self.plan, self.reason = state, plan, reason
         return state
 
     def describe(self, reports: dict) -> str:
@@ -272,7 +283,7 @@
 
     # --- afterwards -----------------------------------------------------------------------------------------
 
-    def late_state(self, reporter, seen: SeenState | None, build: int, epoch: int) -> str:
+    def classify_late_report(self, reporter, seen: SeenState | None, build: int, epoch: int) -> str:
         """Evaluates a report that arrives after collecting has ended, from a member that was unreachable.
 
         Returns "" if it holds nothing new or comes from this desk itself (`epoch`: the desk's epoch since its
@@ -288,7 +299,7 @@
             return ""
         newest_before = max([w.mark for w in self.states.values() if w is not None], default=NO_MARK)
         self.add_state(reporter, seen)
-        if build in seen.gone or seen.build == build and seen.phase in ROLLBACK_PHASES:
+        if build in seen.rolled_back_builds or seen.build == build and seen.phase in ROLLBACK_PHASES:
             return "back"
         if seen.mark <= newest_before or seen.build < build:
             return ""
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -145,7 +145,7 @@
             # All knowledge is as old as the pause, which equals a restart.
             self.phase_machine.apply_cause(now, PROCESS_STALLED)
         self.last_tick_at = now
-        sources_known = gateway.list_follower.has_heard, gateway.desk_client.has_heard
+        sources_known = gateway.list_follower.has_received, gateway.desk_client.has_received
         if all(sources_known):
             self.phase_machine.apply_cause(now, ALL_SOURCES_KNOWN)
         elif any(sources_known):
@@ -196,16 +196,16 @@
                         for id, build, start, *rest in self.instance_rows(now)
                     ]
                 )
-                for at in range(0, max(1, len(rows_to_send)), wire.WARM_MOST):
+                for at in range(0, max(1, len(rows_to_send)), wire.MAX_WARM_ROWS):
                     self.gateway.members.view.send(
                         wire.WARM_REPLY,
                         sender,
                         sequence,
-                        more=wire.warm_field(rows_to_send[at : at + wire.WARM_MOST]),
+                        extra_fields=wire.encode_warm(rows_to_send[at : at + wire.MAX_WARM_ROWS]),
                     )
                 self.counts["told"] += 1
         elif self.warm_start is not None:
-            self.warm_start.apply_answer(sender, rows)
+            self.warm_start.apply_response(sender, rows)
             instance_list = self.gateway.list_follower.instance_list
             marks = {start_mark(id, row["build"], row["start"]): id for id, row in instance_list.rows.items()}
             self.restore(self.warm_start.accepted_rows(marks), [])
@@ -242,7 +242,7 @@
         """Hands accepted rows and sticky keys to the decisions, if there are any."""
         if rows or keys:
             self.counts["recalled"] += len(rows)
-            self.gateway.host.post_event("on_recalled", rows, keys)
+            self.gateway.host.post_event("on_warm_start", rows, keys)
 
     # --- snapshot -------------------------------------------------------------------------------------------
 
--- a/cobaltpond/recovery/warm_start.py
+++ b/cobaltpond/recovery/warm_start.py
@@ -75,7 +75,7 @@
         """Whether enough donors have answered or the time has run out."""
         return self.answers >= DONORS_ASKED or now >= self.deadline
 
-    def apply_answer(self, sender: int, rows: list[tuple]) -> None:
+    def apply_response(self, sender: int, rows: list[tuple]) -> None:
         """Adds one datagram of an answer, which may have several; `rows` as `notable_rows` returns them.
 
         Rows of a sender that was not asked are ignored.
--- a/cobaltpond/sim/campaign.py
+++ b/cobaltpond/sim/campaign.py
@@ -10,7 +10,7 @@
 from cobaltpond.sim.scenarios import FAULTS
 
 STATES = (
-    *(f"hit {state}" for state in (HitState.TAKEN, HitState.HELD, HitState.OUT)),
+    *(f"hit {state}" for state in (HitState.TAKEN, HitState.HELD, HitState.FORWARDED)),
     *(f"instance {state} {warmth}" for state in ("up", "draining") for warmth in ("cold", "warm")),
     *(f"release {phase}" for phase in ("trial", "going back", "released", "withdrawn")),
 )
--- a/cobaltpond/sim/transcript.py
+++ b/cobaltpond/sim/transcript.py
@@ -107,38 +107,40 @@
         return f"sample ({len(body)} bytes)"
     try:
         kind, sequence, _, fields = wire.decode_datagram(sender, receiver, body)
-        facts, rows = wire.facts_of(fields), wire.rows_of(fields)
+        facts, rows = wire.decode_facts(fields), wire.decode_rows(fields)
         flags = [
             name
             for bit, name in ((1, "ready"), (2, "draining"), (4, "alone"), (8, "settled"))
             if facts["flags"] & bit
         ]
         parts = [KINDS.get(kind, f"kind {kind}"), f"#{sequence}"]
-        about = wire.number_of(fields, wire.ABOUT, ">H")
+        about = wire.decode_number(fields, wire.SUBJECT, ">H")
         parts += [f"about {about}"] if about is not None else []
-        parts.append(f"I am {wire.NAMES[facts['state']]} {facts['incarnation']} {' '.join(flags)}".rstrip())
+        parts.append(
+            f"I am {wire.STATE_NAMES[facts['state']]} {facts['incarnation']} {' '.join(flags)}".rstrip()
+        )
         parts += [
             f"{number} is {state} {incarnation} says {by}" for number, _, incarnation, state, by in rows
         ]
-        news = wire.news_of(fields)
+        news = wire.decode_news(fields)
         if news is not None:
             build, stage, phase, cap, _ = news
             parts.append(
                 f"build {build} stage {stage} {('trial', 'released', 'going back', 'withdrawn')[phase]} "
                 f"cap {cap:.2f}"
             )
-        parts += [f"drains {len(wire.drains_of(fields))}"] if wire.drains_of(fields) else []
+        parts += [f"drains {len(wire.decode_drains(fields))}"] if wire.decode_drains(fields) else []
         parts += [
             f"build {build} group {group}: {errored} of {hits} errored"
-            for build, group, hits, errored, _ in wire.trial_of(fields)
+            for build, group, hits, errored, _ in wire.decode_trial(fields)
         ]
         parts += [
             f"{mark:08x} pace {pace:.2f} load {load} faults {faults:.2f}{' silent' if quiet else ''}"
-            for mark, pace, load, faults, quiet, _ in wire.warm_of(fields)
+            for mark, pace, load, faults, quiet, _ in wire.decode_warm(fields)
         ]
         parts += [
             f"limit {place} value {digest:016x} {amount / 1000:g} a second"
-            for place, digest, amount, _, _ in wire.leases_of(fields)
+            for place, digest, amount, _, _ in wire.decode_leases(fields)
         ]
         return "; ".join(parts)
     except wire.DatagramError as why:
--- a/cobaltpond/wire/http1.py
+++ b/cobaltpond/wire/http1.py
@@ -42,7 +42,7 @@
     504: "Gateway Timeout",
     505: "HTTP Version Not Supported",
 }
-PIECE = 1 << 16
+MAX_WRITE_BYTES = 1 << 16
 
 
 class HttpMessageError(Exception):
@@ -96,11 +96,11 @@
     def __init__(self, limits: MessageLimits):
         self.limits, self.events = limits, []
         self.head, self.in_head, self.head_bytes, self.body_bytes = None, True, 0, 0
-        self.trailers, self.cause, self.begun = False, None, False
+        self.trailers, self.cause, self.message_begun = False, None, False
 
     def on_message_begin(self):
         self.head, self.in_head, self.body_bytes = MessageHead(), True, 0
-        self.trailers, self.begun = False, True
+        self.trailers, self.message_begun = False, True
 
     def on_header(self, name, value):
         if self.trailers or self.head is None:
@@ -117,7 +117,7 @@
 
     def on_message_complete(self):
         self.events.append(("end", None))
-        self.in_head, self.head_bytes, self.begun = True, 0, False
+        self.in_head, self.head_bytes, self.message_begun = True, 0, False
 
     def feed(self, data: bytes) -> list:
         """Parses bytes and returns their events.
@@ -221,17 +221,17 @@
         if self.head.status >= 200:
             super().on_message_complete()
         else:
-            self.in_head, self.head_bytes, self.begun = True, 0, False
+            self.in_head, self.head_bytes, self.message_begun = True, 0, False
 
     def closed(self) -> list:
         """Handles the peer's end of file and returns the last events.
 
         Raises TruncatedMessageError on an incomplete response.
         """
-        if self.begun and not self.in_head and self.until_close:
-            self.begun = False
+        if self.message_begun and not self.in_head and self.until_close:
+            self.message_begun = False
             return [("end", None)]
-        raise TruncatedMessageError(502, "the answer was cut" if self.begun else "no answer")
+        raise TruncatedMessageError(502, "the answer was cut" if self.message_begun else "no answer")
 
 
 def request_head(method: str, target: bytes, fields: list) -> bytes:
--- a/cobaltpond/wire/json_lines.py
+++ b/cobaltpond/wire/json_lines.py
@@ -23,16 +23,17 @@
 
 
 class JsonLineParser:
-    """Splits a stream of bytes into objects; an incomplete line waits for its rest, up to `most` bytes."""
+    """Splits a stream of bytes into objects; an incomplete line waits for its rest, up to
+    `max_line_bytes`."""
 
-    def __init__(self, most: int = 4 << 20):
-        self.most, self.rest = most, b""
+    def __init__(self, max_line_bytes: int = 4 << 20):
+        self.max_line_bytes, self.rest = max_line_bytes, b""
 
     def feed(self, data: bytes) -> list[dict]:
         """Returns the objects that these bytes complete. Raises JsonLineError."""
         complete_lines, _, rest = (self.rest + data).rpartition(b"\n")
-        if len(rest) > self.most:
-            raise JsonLineError(f"a line of more than {self.most} bytes")
+        if len(rest) > self.max_line_bytes:
+            raise JsonLineError(f"a line of more than {self.max_line_bytes} bytes")
         self.rest = rest
         objects = []
         for line in complete_lines.split(b"\n"):
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -23,7 +23,7 @@
         return None if len(hit.forwards) < 3 and now + 2 * self.tick < hit.deadline else "broken"
 
     def check_overdue_forwards(self, now):
-        for hit in [h for h in self.hits.values() if h.state == HitState.OUT]:
+        for hit in [h for h in self.hits.values() if h.state == HitState.FORWARDED]:
             if now - hit.forwards[-1].sent > 100_000 and not hit.forwards[-1].cancelled:
                 hit.forwards[-1].cancelled = True
                 self.host.cancel_forward(hit.id, len(hit.forwards) - 1)
@@ -55,7 +55,7 @@
     """Sends hits to the newest build beyond its exposure cap."""
 
     def is_eligible(self, hit, instance, now):
-        return instance.out < 8
+        return instance.own_inflight < 8
 
     def exposure_allows(self, build, group, now):
         return True
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,7 +24,7 @@
 ]
 
 
-def sheet(**changes):
+def example_settings(**changes):
     """Policy settings for three gateways, with `changes` applied."""
     return {
         "gateways": 3,
@@ -63,10 +63,10 @@
     return {"id": id, "build": build, "state": state, "started": started, "zone": zone, "cell": cell}
 
 
-class Host:
+class RecordingHost:
     """A `DecisionHost` that records every call as (now, name, arguments).
 
-    `open` has the forwards without an outcome, as (hit, number, sent, instance, time-out); `keys` has the
+    `open` has the forwards without an outcome, as (hit, number, sent, instance, timeout); `keys` has the
     idempotency keys by hit.
     """
 
@@ -84,18 +84,18 @@
 
     ended: list = []
 
-    def named(self, *names):
+    def calls_named(self, *names):
         """The recorded calls of these names."""
         return [(now, name, arguments) for now, name, arguments in self.calls if name in names]
 
 
-class Bench:
+class GatewayDriver:
     """Drives a gateway, its host and its clock, event by event."""
 
     def __init__(self, rows, seed=1, news=(1, 0, "released", 1.0), **changes):
-        self.host = Host()
+        self.host = RecordingHost()
         self.host.ended = []
-        self.gateway = Gateway(self.host, 0, seed, sheet(**changes))
+        self.gateway = Gateway(self.host, 0, seed, example_settings(**changes))
         self.gateway.on_list(0, True, rows)
         self.news(*news)
         self.hits = 0
@@ -117,7 +117,7 @@
         self.host.ended.append(forward)
         hit, number, sent, _, _ = forward
         closed = ending == "ok" and not any(
-            a[0] == hit for _, _, a in self.host.named("reject_hit", "fail_hit")
+            a[0] == hit for _, _, a in self.host.calls_named("reject_hit", "fail_hit")
         )
         took = self.host.now - sent
         self.gateway.on_outcome(self.host.now, hit, number, ending, took, closed, report or {})
@@ -129,14 +129,14 @@
                 self.gateway.on_probed(at, id, "ok", MS, {"inflight": loads(id)})
 
     def run(self, until, step=25 * MS):
-        """Lets time pass until `until`, with wake-ups, time-outs and cancellations but no answers."""
+        """Lets time pass until `until`, with wake-ups, timeouts and cancellations but no answers."""
         while self.host.now < until:
             self.host.now += step
             for forward in list(self.host.open):
                 if self.host.now >= forward[2] + forward[4]:
                     self.end(forward, "timeout")
             self.gateway.on_wake(self.host.now, 0)
-            for now, _, cancelled in self.host.named("cancel_forward"):
+            for now, _, cancelled in self.host.calls_named("cancel_forward"):
                 for forward in [f for f in self.host.open if f[:2] == cancelled and now == self.host.now]:
                     self.end(forward, "cancelled")
 
@@ -169,8 +169,8 @@
         return [entry[1:] for entry in locations[id] if entry[0] <= now][-1]
 
     for id, (at, group, left, outcomes) in hits.items():
-        forwards = [(now, a) for now, _, a in host.named("send_forward") if a[0] == id]
-        answers = [(now, name) for now, name, a in host.named("reject_hit", "fail_hit") if a[0] == id]
+        forwards = [(now, a) for now, _, a in host.calls_named("send_forward") if a[0] == id]
+        answers = [(now, name) for now, name, a in host.calls_named("reject_hit", "fail_hit") if a[0] == id]
         answers += [(now, "delivered") for _, ending, now in outcomes if ending == "ok" and not answers]
         if len(answers) != 1 or answers[0][0] > at + left + 20 * MS:
             violations.append(("lost", id))
@@ -209,7 +209,7 @@
         if answers and answers[0][1] == "reject_hit" and executed_results and harmful:
             violations.append(("harmful bounce", id))
     state, cap, counted_from, sent = {}, {1: None}, {}, {}
-    events = [(now, 1, name, a) for now, name, a in host.named("send_forward")]
+    events = [(now, 1, name, a) for now, name, a in host.calls_named("send_forward")]
     events += [(now, 0, what, value) for now, what, value in reported]
     events += [(at, 0, "accepted", id) for id, (at, *_) in hits.items()]
     accepted = []
@@ -254,7 +254,7 @@
     """Violations of session affinity: hits whose key the newest build had answered, sent to an earlier build
     while the newest one was on trial or released."""
     violations, builds, news, answered = [], {}, (1, "released"), {}
-    events = [(now, 1, name, a) for now, name, a in host.named("send_forward")]
+    events = [(now, 1, name, a) for now, name, a in host.calls_named("send_forward")]
     events += [(at, 0, what, value) for at, what, value in reported if what in ("list", "news")]
     events += [
         (at, 2, "ok", (id, number))
@@ -280,15 +280,15 @@
     return violations
 
 
-def random_day(seed, **changes):
-    """Runs a gateway on random events; returns what the reference model needs: (bench, hits, reported)."""
+def random_events(seed, **changes):
+    """Runs a gateway on random events; returns what the reference model needs: (driver, hits, reported)."""
     random_source = random.Random(seed)
     rows = [row(f"i{n}", zone=random_source.choice("ab"), cell=n % 3) for n in range(6)]
     reported = [(0, "list", r) for r in rows]
-    bench = Bench(rows, seed, **changes)
+    driver = GatewayDriver(rows, seed, **changes)
     hits = {}
-    while bench.host.now < 8_000 * MS:
-        now = bench.host.now
+    while driver.host.now < 8_000 * MS:
+        now = driver.host.now
         if random_source.random() < 0.03:
             changed = row(
                 f"i{random_source.randrange(8)}",
@@ -297,21 +297,21 @@
                 random_source.choice([None, now]),
             )
             reported.append((now, "list", changed))
-            bench.gateway.on_list(now, False, [changed])
+            driver.gateway.on_list(now, False, [changed])
         elif random_source.random() < 0.02:
             phase, cap = random_source.choice(
                 [("trial", 0.2), ("trial", 1.0), ("going back", 0), ("released", None)]
             )
             reported.append((now, "cap", (2, cap)))
             reported.append((now, "news", (2, phase)))
-            bench.news(2, 0, phase, 1.0 if cap is None else cap)
+            driver.news(2, 0, phase, 1.0 if cap is None else cap)
         if now % (30 * MS) == 0:
-            bench.gateway.on_wake(now, 0)
+            driver.gateway.on_wake(now, 0)
         for _ in range(random_source.choice([0, 0, 1, 1, 2, 12 if random_source.random() < 0.02 else 1])):
             group, left = random_source.choice(GROUPS), random_source.choice([80, 400, 1500, 2500]) * MS
-            hits[bench.hits + 1] = (now, group, left, [])
-            bench.hit(group["name"], left, random_source.randrange(9))
-        for forward in list(bench.host.open):
+            hits[driver.hits + 1] = (now, group, left, [])
+            driver.hit(group["name"], left, random_source.randrange(9))
+        for forward in list(driver.host.open):
             if now >= forward[2] + forward[4]:
                 ending = "timeout"
             elif random_source.random() < 0.12:
@@ -319,38 +319,40 @@
             else:
                 continue
             hits[forward[0]][3].append((forward[1], ending, now))
-            bench.end(forward, ending, {"inflight": random_source.randrange(5)})
-        for at, name, arguments in bench.host.calls[-40:]:
+            driver.end(forward, ending, {"inflight": random_source.randrange(5)})
+        for at, name, arguments in driver.host.calls[-40:]:
             if name == "probe_instance" and at >= now - 10 * MS and random_source.random() < 0.5:
                 report = {"inflight": random_source.randrange(5)}
-                bench.gateway.on_probed(
+                driver.gateway.on_probed(
                     now, *arguments, random_source.choice(["ok", "ok", "timeout"]), 5 * MS, report
                 )
-            for forward in [f for f in bench.host.open if name == "cancel_forward" and f[:2] == arguments]:
+            for forward in [f for f in driver.host.open if name == "cancel_forward" and f[:2] == arguments]:
                 hits[forward[0]][3].append((forward[1], "cancelled", now))
-                bench.end(forward, "cancelled")
-        bench.host.now += 5 * MS
-    while bench.host.open or bench.gateway.held_hits:
-        bench.host.now += 5 * MS
-        for forward in list(bench.host.open):
-            if bench.host.now >= forward[2] + forward[4]:
-                hits[forward[0]][3].append((forward[1], "timeout", bench.host.now))
-                bench.end(forward, "timeout")
-        bench.gateway.on_wake(bench.host.now, 0)
-    return bench, hits, reported
+                driver.end(forward, "cancelled")
+        driver.host.now += 5 * MS
+    while driver.host.open or driver.gateway.held_hits:
+        driver.host.now += 5 * MS
+        for forward in list(driver.host.open):
+            if driver.host.now >= forward[2] + forward[4]:
+                hits[forward[0]][3].append((forward[1], "timeout", driver.host.now))
+                driver.end(forward, "timeout")
+        driver.gateway.on_wake(driver.host.now, 0)
+    return driver, hits, reported
 
 
-OLD = [row(f"i{n}") for n in range(6)]
-NEW = [row(f"n{n}", 2) for n in range(4)]
-THIN = {"gateways": 100, "may_probe": True}
+OLD_ROWS = [row(f"i{n}") for n in range(6)]
+NEW_ROWS = [row(f"n{n}", 2) for n in range(4)]
+LOW_TRAFFIC = {"gateways": 100, "may_probe": True}
 
 
 def trial(took, fails=None, until=16_000, **changes):
     """Runs a trial with warm instances whose stage has just begun; returns (time, verdict) of the votes, and
-    the bench."""
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), **{"stage_caps": [1.0, 1.0], **changes})
-    bench.serve(until * MS, took, groups=("look", "hold"), fails=fails)
-    return [(now, verdict) for now, _, (_, _, verdict) in bench.host.named("cast_vote")], bench
+    the driver."""
+    driver = GatewayDriver(
+        OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), **{"stage_caps": [1.0, 1.0], **changes}
+    )
+    driver.serve(until * MS, took, groups=("look", "hold"), fails=fails)
+    return [(now, verdict) for now, _, (_, _, verdict) in driver.host.calls_named("cast_vote")], driver
 
 
 def steady(bad=100):
--- a/tests/pgworld.py
+++ b/tests/pgworld.py
@@ -5,7 +5,7 @@
 import json
 import struct
 
-from world import SECOND, Around, Log
+from world import SECOND, Log, WorldBase
 
 from cobaltpond.edge.config import parse_config
 from cobaltpond.edge.main import Edge
@@ -191,7 +191,7 @@
     return ("nothing",)
 
 
-class PgWorld(Around):
+class PgWorld(WorldBase):
     """The test bed, with one instance for each script.
 
     `discovery_offset` selects the address of discovery, counted from the gateway's port; a test may listen on
@@ -212,7 +212,7 @@
         discovery_offset=1,
         start_edge=True,
     ):
-        self.deaths = []
+        self.task_failures = []
         self.log = Log()
         self.received = []
         self.votes = []
@@ -220,9 +220,9 @@
         self.feeds = []
         self.machine = Machine(1) if self.virtual else None
         kernel = self.machine.process("case", ["case"]) if self.virtual else EpollKernel()
-        self.loop = Loop(kernel, lambda task, error: self.deaths.append((task.name, error)))
+        self.loop = Loop(kernel, lambda task, error: self.task_failures.append((task.name, error)))
         self.lock, base = reserve_ports(self.loop.kernel, 7)
-        self.door = ("127.0.0.1", base)
+        self.listen_address = ("127.0.0.1", base)
         # the body of an error 500 that discovery answers with
         self.response_overrides, self.discovery_error = {}, None
         self.news = news or {"Revision": 1, "Wave": 0, "State": "stable", "MaxShare": 1.0, "AgeMs": 0}
@@ -344,7 +344,7 @@
         return self.edge.frontend.listener is not None
 
     def connect(self):
-        return Client((yield from dial(self.loop, self.door, SECOND)))
+        return Client((yield from dial(self.loop, self.listen_address, SECOND)))
 
     def query(self, *queries):
         """Sends the queries over one new connection and returns the outcome of each."""
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -10,7 +10,7 @@
 import os
 import sys
 
-from world import requests
+from world import request_reader
 
 from cobaltpond.loop import (
     Deadline,
@@ -63,9 +63,9 @@
 class Rig:
     """`count` gateways; number n is in zone `zones[n % len(zones)]`."""
 
-    def __init__(self, folder, count, zones=("north",), seed=1, more=""):
-        """`more`: further lines for the settings of every gateway."""
-        self.more = more
+    def __init__(self, folder, count, zones=("north",), seed=1, extra_settings=""):
+        """`extra_settings`: further lines for the settings of every gateway."""
+        self.extra_settings = extra_settings
         self.loop = Loop(EpollKernel(), self.on_task_failure)
         self.folder = str(folder)
         self.count = count
@@ -96,9 +96,9 @@
         self.news = {n: {"build": 1, "stage": 0, "phase": "released", "cap": 1.0} for n in range(count)}
         self.since, self.silent_desks, self.rows, self.revision = self.loop.kernel.now(), {}, [], 1
         self.served = {}  # name of an instance -> hits
-        self.epoch, self.asked, self.votes, self.seen = "e", [], [], {}
+        self.epoch, self.request_log, self.votes, self.reported_states = "e", [], [], {}
         # By name of the instance: times of its connections, and the delay of its answers.
-        self.dials, self.slow = {}, {}
+        self.connect_times, self.answer_delays = {}, {}
         for pair in pairs:
             self.loop.spawn(self.relay_datagrams(pair), f"link-{pair}")
         for n in range(count):
@@ -156,19 +156,19 @@
         listener = self.loop.kernel.listen(("127.0.0.1", 0), 256)
         self.served[name] = 0
 
-        self.dials[name], self.slow[name] = [], delay
+        self.connect_times[name], self.answer_delays[name] = [], delay
 
         def answer_requests(connection):
-            self.dials[name].append(self.loop.kernel.now())
-            next_request = requests(connection)
+            self.connect_times[name].append(self.loop.kernel.now())
+            next_request = request_reader(connection)
             while True:
                 head, _ = yield from next_request()
                 if head is None:
                     return
                 if head.target != b"/-/probe":
                     self.served[name] += 1
-                if self.slow[name]:
-                    yield Sleep(self.slow[name])
+                if self.answer_delays[name]:
+                    yield Sleep(self.answer_delays[name])
                 yield from connection.write(http1.response(200, [], name.encode()))
 
         self.loop.spawn(serve(self.loop, listener, answer_requests, 256, name), name)
@@ -188,14 +188,14 @@
 
     def on_list(self, n, request):
         full_list = {"epoch": self.epoch, "revision": self.revision, "base": None, "rows": self.rows}
-        self.asked.append((self.loop.kernel.now(), "list", n))
+        self.request_log.append((self.loop.kernel.now(), "list", n))
         if "watch" not in request.query:
             return json_response(200, full_list)
         stream = self.streams[n]["list"] = ResponseStream()
         stream.send_object(full_list)
         return stream
 
-    def tell_list(self, row, receivers):
+    def push_list(self, row, receivers):
         """Changes one row of the instance list, and pushes the change to some of the gateways only."""
         self.rows = [r if r["id"] != row["id"] else row for r in self.rows]
         self.revision += 1
@@ -208,8 +208,8 @@
         if request.path == "/v1/votes":
             self.votes.append((n, request.json_object()))
             return json_response(200, {"news": self.news_of(n)})
-        self.asked.append((self.loop.kernel.now(), "desk", n))
-        self.seen[n] = json.loads(request.query.get("seen") or "null")
+        self.request_log.append((self.loop.kernel.now(), "desk", n))
+        self.reported_states[n] = json.loads(request.query.get("seen") or "null")
         stream = self.streams[n]["desk"] = ResponseStream()
         stream.send_object({"news": self.news_of(n)})
         return stream
@@ -217,7 +217,7 @@
     def news_of(self, n):
         return {**self.news[n], "age_us": self.loop.kernel.now() - self.since}
 
-    def tell_news(self, receivers, **news):
+    def push_news(self, receivers, **news):
         self.since = self.loop.kernel.now()
         for n in receivers:
             self.news[n] = news
@@ -244,7 +244,7 @@
                 f'peers = "127.0.0.1:{peers}", snapshot = "{self.snapshot(m)}", '
                 f'memory = "{self.folder}/list-{m}")'
             )
-        lines.append(self.more)
+        lines.append(self.extra_settings)
         lines.append(f"members(period = ms({PERIOD // MS}), wait = ms({PERIOD // MS * 3 // 10}))")
         self.loop.kernel.replace_file(path, "\n".join(lines).encode(), sync=False)
         return path
@@ -317,7 +317,7 @@
 
         yield from self.until(all_see_it, bound)
 
-    def gathered(self):
+    def start_all(self):
         """Starts all gateways, and waits until each sees all others as alive."""
         self.start(*range(self.count))
         yield from self.until_seen("alive", range(self.count), range(self.count), 30 * SECOND)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -119,11 +119,11 @@
 
 def test_json_lines_are_split_and_bounded():
     """Guards against a peer that sends a line without end."""
-    lines = JsonLineParser(most=100)
+    lines = JsonLineParser(max_line_bytes=100)
     assert lines.feed(encode_line({"a": 1}) + b'{"b"') == [{"a": 1}] and lines.feed(b":2}\n") == [{"b": 2}]
     for malformed in (b"[1]\n", b"{x\n", b"x" * 101):
         with pytest.raises(JsonLineError):
-            JsonLineParser(most=100).feed(malformed)
+            JsonLineParser(max_line_bytes=100).feed(malformed)
 
 
 ROW = {
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -9,8 +9,8 @@
 RECOVERY = "recovery(dials = 40.0, calls = 40.0, settle = s(6), snapshot_every = ms(300))"
 
 
-def rig(tmp_path, count=3, instances=4, more=RECOVERY, **rest):
-    cluster = Rig(tmp_path, count, more=more, **rest)
+def rig(tmp_path, count=3, instances=4, extra_settings=RECOVERY, **rest):
+    cluster = Rig(tmp_path, count, extra_settings=extra_settings, **rest)
     for n in range(instances):
         cluster.instance(f"old-{n}", 1)
     return cluster
@@ -38,10 +38,10 @@
             tries += 1
             assert tries < 200, f"gateway {n}: {cluster.served}"
 
-    cluster.slow = dict.fromkeys(cluster.slow, 20 * MS)
+    cluster.answer_delays = dict.fromkeys(cluster.answer_delays, 20 * MS)
     for n in numbers:
         yield from answered(n, list(cluster.served), 8)
-    cluster.slow[name] = SECOND
+    cluster.answer_delays[name] = SECOND
     for n in numbers:
         yield from answered(n, [name], 1)
 
@@ -58,10 +58,10 @@
 
 
 def test_a_starting_gateway_follows_the_phases_and_asks_settled_donors(tmp_path):
-    cluster = rig(tmp_path, more=UNLIMITED_DIALS)
+    cluster = rig(tmp_path, extra_settings=UNLIMITED_DIALS)
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         yield from cluster.until_phase("settled", range(3))
         yield from meet_slow_instance(cluster, (0, 1))
         cluster.signal("KILL", 2)
@@ -84,7 +84,7 @@
     cluster = rig(tmp_path)
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         began = cluster.loop.kernel.now()
         cluster.signal("KILL", *range(3))
         cluster.start(*range(3))
@@ -105,7 +105,7 @@
     """Thundering herd: four calls a second for list and desk, ten dials a second for an instance, with hits
     at every gateway meanwhile.
     """
-    cluster = rig(tmp_path, 4, 3, more="recovery(dials = 10.0, calls = 4.0, settle = s(4))")
+    cluster = rig(tmp_path, 4, 3, extra_settings="recovery(dials = 10.0, calls = 4.0, settle = s(4))")
 
     def hitting(n):
         while True:
@@ -113,7 +113,7 @@
             yield Sleep(5 * MS)
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         cluster.signal("KILL", *range(4))
         begin = cluster.loop.kernel.now()
         cluster.start(*range(4))
@@ -125,17 +125,19 @@
 
     begin = cluster.run(go())
     for what in ("list", "desk"):
-        times = [at for at, kind, _ in cluster.asked if kind == what and at >= begin]
+        times = [at for at, kind, _ in cluster.request_log if kind == what and at >= begin]
         # Four gateways and four calls a second: spread over a second, not in one burst.
         assert len(times) >= 4 and times[-1] - times[0] > 150 * MS, (what, times)
-    for name, times in cluster.dials.items():
+    for name, times in cluster.connect_times.items():
         times = [at for at in times if at >= begin]
         assert times and max_in_window(times) <= 10 + 3 * 10**0.5, (name, len(times))
     assert all(n > 20 for n in cluster.served.values())
 
 
 def test_an_intact_snapshot_is_restored_and_a_truncated_or_foreign_one_is_refused(tmp_path):
-    cluster = rig(tmp_path, 3, more=UNLIMITED_DIALS.replace("snapshot_every", "warm = False, snapshot_every"))
+    cluster = rig(
+        tmp_path, 3, extra_settings=UNLIMITED_DIALS.replace("snapshot_every", "warm = False, snapshot_every")
+    )
     kernel = cluster.loop.kernel
 
     def kept(n):
@@ -151,7 +153,7 @@
         kernel.replace_file(cluster.snapshot(n), other.get(n, data), sync=False)
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         yield from cluster.until_phase("settled", range(3))
         yield from meet_slow_instance(cluster, range(3))
         for n in range(3):
@@ -182,7 +184,7 @@
     """The gateway starts in mid-trial, when the time since the stage began has long exceeded the vote's wait.
     It once voted *on* at once.
     """
-    cluster = rig(tmp_path, 3, more="recovery(settle = s(3), hear = s(1))")
+    cluster = rig(tmp_path, 3, extra_settings="recovery(settle = s(3), hear = s(1))")
     cluster.instance("new-0", 2)
 
     def voted(n):
@@ -193,9 +195,9 @@
         return has
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         yield from cluster.until_phase("settled", range(3))
-        cluster.tell_news(range(3), build=2, stage=0, phase="trial", cap=0.5)
+        cluster.push_news(range(3), build=2, stage=0, phase="trial", cap=0.5)
         cluster.since -= 60 * SECOND
         yield from cluster.until(voted(1), 10 * SECOND)
         cluster.signal("KILL", 1)
@@ -219,7 +221,7 @@
     cluster = rig(tmp_path)
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         yield from cluster.until_phase("settled", range(3))
         cluster.signal("STOP", 1)
         yield from cluster.until_seen("failed", [1], [0, 2])
@@ -247,11 +249,11 @@
     cluster = rig(tmp_path, 2)
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         for n in range(2):
             yield from cluster.hits(n, 8)
         older, revision = list(cluster.rows), cluster.revision
-        cluster.tell_list({**cluster.rows[0], "state": "draining"}, range(2))
+        cluster.push_list({**cluster.rows[0], "state": "draining"}, range(2))
         yield Sleep(300 * MS)
         cluster.epoch = "later"
         cluster.rows = older if how == "older" else []
@@ -284,14 +286,14 @@
     cluster = rig(tmp_path, 2)
 
     def go():
-        yield from cluster.gathered()
-        cluster.tell_news(range(2), build=2, stage=0, phase="trial", cap=0.5, mark=[5, 7], stable=1, gone=[])
+        yield from cluster.start_all()
+        cluster.push_news(range(2), build=2, stage=0, phase="trial", cap=0.5, mark=[5, 7], stable=1, gone=[])
         yield from cluster.until(lambda: heard("trial"))
-        cluster.tell_news(
+        cluster.push_news(
             range(2), build=2, stage=0, phase="going back", cap=0.0, mark=[5, 8], stable=1, gone=[2]
         )
         yield from cluster.until(lambda: heard("going back"))
-        cluster.seen.clear()
+        cluster.reported_states.clear()
         for n in range(2):
             cluster.streams[n]["desk"].close()
         yield from cluster.until(asked_again)
@@ -305,7 +307,7 @@
 
     def asked_again():
         yield Sleep(0)
-        return len(cluster.seen) == 2
+        return len(cluster.reported_states) == 2
 
     cluster.run(go())
     word = {
@@ -317,4 +319,4 @@
         "stable": 1,
         "gone": [2],
     }
-    assert [cluster.seen[n] for n in range(2)] == [word, word]
+    assert [cluster.reported_states[n] for n in range(2)] == [word, word]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -81,7 +81,7 @@
         client.connection.close()
         yield from world.until(lambda: not world.edge.frontend.clients)
         world.client_left = True
-        yield from world.until(lambda: not world.edge.host.hits)
+        yield from world.until(lambda: not world.edge.host.pending_hits)
 
     world.run(go())
     assert world.received == [] and world.forward_results() == {"changed meanwhile": 1}
@@ -209,9 +209,9 @@
         clients.append(client)
         yield from client.send(statement(1, "pay"), start=True)
         yield from world.until(lambda: world.received)
-        yield from world.until(lambda: not world.edge.host.hits and not world.edge.frontend.clients)
+        yield from world.until(lambda: not world.edge.host.pending_hits and not world.edge.frontend.clients)
         yield Sleep(20 * MS)
 
     world.run(go())
     decisions = world.edge.host.decisions
-    assert decisions.hits == {} and [i.out for i in decisions.fleet.by_id.values()] == [0, 0]
+    assert decisions.hits == {} and [i.own_inflight for i in decisions.fleet.by_id.values()] == [0, 0]
--- a/tests/test_crossings_ends.py
+++ b/tests/test_crossings_ends.py
@@ -40,7 +40,7 @@
     world = PgWorld(answer_script(lambda text, _: good_answer(text)), tmp=tmp_path)
 
     def go():
-        yield from world.until(lambda: world.edge.discovery.has_heard)
+        yield from world.until(lambda: world.edge.discovery.has_received)
         for _ in range(2):
             world.reload_configuration(discovery=f"127.0.0.1:{world.base + 3}")
         yield from world.until(lambda: any(offset == 3 for offset, _, _ in world.requests))
--- a/tests/test_crossings_instances.py
+++ b/tests/test_crossings_instances.py
@@ -103,13 +103,13 @@
     def go():
         clients.append((yield from world.connect()))
         yield from clients[0].send(statement(1), start=True)
-        yield from world.until(lambda: world.received and not world.edge.host.hits)
+        yield from world.until(lambda: world.received and not world.edge.host.pending_hits)
         yield Sleep(80 * MS)
         return (yield from world.query(statement(2)))
 
     assert world.run(go()) == [OK]
     assert world.edge.endpoints.open_count == 1 and [
-        i.out for i in world.edge.host.decisions.fleet.by_id.values()
+        i.own_inflight for i in world.edge.host.decisions.fleet.by_id.values()
     ] == [0]
 
 
@@ -197,7 +197,7 @@
         client.connection.write_now(pg.query_message(statement(1)))
         client.connection.handle.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.connection.close()
-        yield from world.until(lambda: not world.edge.frontend.clients and not world.edge.host.hits)
+        yield from world.until(lambda: not world.edge.frontend.clients and not world.edge.host.pending_hits)
         try:
             yield from client.read()
         except ConnectionLostError:
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -320,11 +320,11 @@
     world.response_overrides[2] = delay_vote_reply
 
     def go():
-        yield from world.until(lambda: desk.has_heard)
+        yield from world.until(lambda: desk.has_received)
         yield from desk.cast_vote(2, 0, "none")
         yield Sleep(5 * MS)
         decisions = world.edge.host.decisions
-        return desk.last_state, decisions.phase, decisions.cap, decisions.cast_answer
+        return desk.last_state, decisions.phase, decisions.cap, decisions.last_ballot_answer
 
     assert world.run(go()) == ((2, 0, "going back", 0.0), "going back", 0.0, "ok")
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -38,8 +38,8 @@
 
 def play(days, tmp_path, extra=None):
     """All days at once, one loop; their results by name."""
-    deaths = []
-    loop = Loop(EpollKernel(), lambda task, trouble: deaths.append((task.name, trouble)))
+    task_failures = []
+    loop = Loop(EpollKernel(), lambda task, trouble: task_failures.append((task.name, trouble)))
     runs = {
         name: ScenarioRun(loop, plan, str(tmp_path / name), lambda text: None, (extra or {}).get(name))
         for name, plan in days.items()
--- a/tests/test_desk_state.py
+++ b/tests/test_desk_state.py
@@ -86,8 +86,8 @@
     "other",
     [
         replace(SEEN, mark=(5, 6), phase=GOING_BACK),
-        replace(SEEN, mark=(4, 9), build=41, gone=(43,)),
-        replace(SEEN, mark=(5, 7), gone=(43, 40)),
+        replace(SEEN, mark=(4, 9), build=41, rolled_back_builds=(43,)),
+        replace(SEEN, mark=(5, 7), rolled_back_builds=(43, 40)),
     ],
 )
 def test_a_build_that_any_member_saw_rolled_back_is_rolled_back(other):
@@ -106,7 +106,7 @@
 )
 def test_contradicting_reports_are_named_and_wait_for_the_operator(reports, why):
     recovery, state = conclude_reports(reports)
-    assert state == WAITING and why in recovery.why
+    assert state == WAITING and why in recovery.reason
     assert recovery.plan.build == 43 and recovery.plan.cap <= min(seen.cap for seen in reports)
 
 
@@ -116,7 +116,7 @@
     recovery, state = conclude_reports([None], None, (43, 42))
     assert (
         state == WAITING
-        and "[42, 43]" in recovery.why
+        and "[42, 43]" in recovery.reason
         and (recovery.plan.stable, recovery.plan.cap) == (42, CAPS[0])
     )
     assert conclude_reports([], None)[1] == CARRIED_ON
@@ -125,22 +125,24 @@
 def test_a_late_report_of_a_member_that_was_unreachable():
     recovery, _ = conclude_reports([SEEN])
     assert (
-        recovery.late_state("g2", None, 43, 6)
-        == recovery.late_state("g2", replace(SEEN, mark=(5, 2)), 43, 6)
+        recovery.classify_late_report("g2", None, 43, 6)
+        == recovery.classify_late_report("g2", replace(SEEN, mark=(5, 2)), 43, 6)
         == ""
     )
     assert (
-        recovery.late_state("g2", replace(SEEN, mark=(6, 9), build=44), 43, 6) == ""
+        recovery.classify_late_report("g2", replace(SEEN, mark=(6, 9), build=44), 43, 6) == ""
     )  # published by this desk since its restart
     assert (
-        recovery.late_state("g2", replace(SEEN, mark=(5, 6), build=42, phase=RELEASED, gone=(43,)), 43, 6)
+        recovery.classify_late_report(
+            "g2", replace(SEEN, mark=(5, 6), build=42, phase=RELEASED, rolled_back_builds=(43,)), 43, 6
+        )
         == "back"
     )
     recovery, _ = conclude_reports([SEEN])
-    assert recovery.late_state("g2", SEEN, 43, 6) == ""
+    assert recovery.classify_late_report("g2", SEEN, 43, 6) == ""
     assert (
-        recovery.late_state("g2", replace(SEEN, mark=(5, 9), build=44), 43, 6) == "waiting"
-        and "build 44" in recovery.why
+        recovery.classify_late_report("g2", replace(SEEN, mark=(5, 9), build=44), 43, 6) == "waiting"
+        and "build 44" in recovery.reason
     )
 
 
@@ -257,7 +259,7 @@
     for name, seen in (("g0", last), ("g1", older), ("g2", None)):
         recovery.add_state(name, seen)
     state = recovery.conclude()
-    assert state in (CARRIED_ON, RESUMED), recovery.why
+    assert state in (CARRIED_ON, RESUMED), recovery.reason
     if state == RESUMED:
         stages.resume(desk.now, recovery.plan, "after a loss")
     else:
@@ -273,10 +275,10 @@
     )
     assert stages.build == last.build and (stages.phase == RELEASED) == (last.phase == RELEASED)
     if stages.phase == TRIAL:
-        assert stages.cap() <= lowest + 1e-9 and stages.build not in last.gone
+        assert stages.cap() <= lowest + 1e-9 and stages.build not in last.rolled_back_builds
     if last.phase in (GOING_BACK, WITHDRAWN):
         assert stages.phase in (GOING_BACK, WITHDRAWN) and stages.stable == last.stable
-    desk.stages, gone = stages, set(last.gone)
+    desk.stages, rolled_back_builds = stages, set(last.rolled_back_builds)
     desk.obey_orders()
     began = len(desk.published)
     for what in after:
@@ -284,8 +286,8 @@
     marks = [seen.mark for seen in desk.published]
     assert marks == sorted(marks) and all(seen.mark > last.mark for seen in desk.published[began:])
     for seen in desk.published[began:]:
-        assert seen.build not in gone or seen.phase in (GOING_BACK, WITHDRAWN)
-        gone |= set(seen.gone)
+        assert seen.build not in rolled_back_builds or seen.phase in (GOING_BACK, WITHDRAWN)
+        rolled_back_builds |= set(seen.rolled_back_builds)
 
 
 def test_a_journal_of_the_previous_version_is_read():
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -28,7 +28,7 @@
     got, _ = world.received
     assert got.split(b",d=")[0] == sent.split(b",d=")[0] and got.endswith(b",k=00000000000000aa */")
     assert 1200 < int(got.split(b",d=")[1].split(b",")[0]) <= 1400
-    assert world.edge.frontend.open_ids == {} and world.edge.host.hits == {}
+    assert world.edge.frontend.open_ids == {} and world.edge.host.pending_hits == {}
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
     assert world.forward_results() == {result: 1, **({"answer": 1} if answer == OK else {})}
     assert len(world.received) == (2 if answer == OK else 1)
     # only an error sent by the instance counts against its build
-    errored = sum(e for e, _ in world.edge.host.decisions.fleet.builds[1].errored.values())
+    errored = sum(e for e, _ in world.edge.host.decisions.fleet.builds[1].error_counts.values())
     assert errored == (result == "server error")
 
 
@@ -206,7 +206,7 @@
     world.run(go())
     assert (
         world.forward_results() == {"called off": 1}
-        and world.edge.host.hits == {}
+        and world.edge.host.pending_hits == {}
         and world.edge.frontend.open_ids == {}
     )
 
@@ -282,9 +282,9 @@
     world = PgWorld(answer_script(lambda text, _: good_answer(text)))
 
     def go():
-        world.edge.host.post_event("on_wrong", None)
-        yield from world.until(lambda: world.deaths)
-        return (yield from world.query(statement(1)))[0], world.deaths.pop()[0]
+        world.edge.host.post_event("on_wrong_answer", None)
+        yield from world.until(lambda: world.task_failures)
+        return (yield from world.query(statement(1)))[0], world.task_failures.pop()[0]
 
     assert world.run(go()) == (OK, "decisions")
 
--- a/tests/test_edge_list.py
+++ b/tests/test_edge_list.py
@@ -135,7 +135,7 @@
     world = PgWorld(answer_script(lambda text, _: good_answer(text)))
 
     def go():
-        yield from world.until(lambda: len(world.feeds) == 1 and world.edge.platform.has_heard)
+        yield from world.until(lambda: len(world.feeds) == 1 and world.edge.platform.has_received)
         world.feeds[0].send_object({})
         world.feeds[0].send_object(line)
         yield from world.until(lambda: len(world.feeds) == 2)
@@ -149,7 +149,7 @@
     world = PgWorld(answer_script(lambda text, _: good_answer(text)), tmp=tmp_path)
 
     def go():
-        yield from world.until(lambda: world.edge.platform.has_heard)
+        yield from world.until(lambda: world.edge.platform.has_received)
         (tmp_path / "config.json").write_text("{")
         world.edge.stop("HUP")  # the file is read again for a while, as it may be partly written
         yield from world.until(lambda: any(level == "error" for level, _, _ in world.log.lines))
--- a/tests/test_frontend_limits.py
+++ b/tests/test_frontend_limits.py
@@ -1,7 +1,7 @@
 """The frontend's limits on requests, and its rules against ambiguous request framing."""
 
 import pytest
-from world import World, answer_of, good, hits
+from world import World, answer_ok, outcome_counts, read_response
 
 from cobaltpond.wire import http1
 
@@ -46,12 +46,12 @@
 )
 def test_request_limits_at_and_beyond_their_bounds(data, status):
     """Guards against limits that are off by one and against invalid heads that become hits."""
-    world = World(good, more=LIMIT)
+    world = World(answer_ok, extra_settings=LIMIT)
 
     def go():
         connection = yield from world.connect()
         yield from connection.write(data)
-        got_status = (yield from answer_of(connection))[0]
+        got_status = (yield from read_response(connection))[0]
         connection.close()
         return got_status
 
@@ -78,16 +78,16 @@
 )
 def test_request_smuggling_is_rejected(data):
     """An ambiguous request gets one error and ends the connection; what follows it never becomes a hit."""
-    world = World(good)
+    world = World(answer_ok)
     next_request = b"GET /look HTTP/1.1\r\nhost: t\r\n\r\n"
     received = world.run(world.raw(data + next_request))
     assert received.startswith(b"HTTP/1.1 4") or received.startswith(b"HTTP/1.1 5"), received
-    assert received.count(b"HTTP/1.1 ") == 1 and not world.got
+    assert received.count(b"HTTP/1.1 ") == 1 and not world.received_requests
 
 
 def test_expect_continue_and_a_malformed_chunked_body():
     """An open hit with a malformed body ends with a 400 as its only answer."""
-    world = World(good)
+    world = World(answer_ok)
 
     def go():
         connection = yield from world.connect()
@@ -95,11 +95,11 @@
         yield from connection.write(http1.request_head("POST", b"/pay", fields))
         first = yield from connection.read()
         yield from connection.write(b"abc")
-        status = (yield from answer_of(connection))[0]
+        status = (yield from read_response(connection))[0]
         yield from connection.write(http1.request("POST", "/pay", [(b"host", b"t")], None))
         yield from world.until(lambda: world.process.host.open_hits)
         yield from connection.write(b"zz\r\n")
         return first, status, (yield from connection.read())[:12]
 
     assert world.run(go()) == (b"HTTP/1.1 100 Continue\r\n\r\n", 200, b"HTTP/1.1 400")
-    assert hits(world)["gone"] == 1
+    assert outcome_counts(world)["gone"] == 1
--- a/tests/test_gateway_links.py
+++ b/tests/test_gateway_links.py
@@ -1,7 +1,7 @@
 """A gateway's links to the list, the desk and the other gateways, and the forward results it reports."""
 
 import pytest
-from world import SECOND, SHEET, World, good
+from world import SECOND, SETTINGS, World, answer_ok
 
 from cobaltpond.gateway.forward_results import FORWARD_RESULTS
 from cobaltpond.gateway.peers import Peers
@@ -12,7 +12,7 @@
 
 def test_list_stream_recovers_with_the_whole_list():
     """After a gap and after a broken stream the gateway requests the whole list and goes on from it."""
-    world = World(good, good)
+    world = World(answer_ok, answer_ok)
 
     def go():
         yield from world.ask()
@@ -39,7 +39,7 @@
     """Guards against a vote that counts as cast where the desk has not counted it, or the reverse."""
     from cobaltpond.rpc import json_response
 
-    world, events = World(good), []
+    world, events = World(answer_ok), []
 
     def answer_vote():
         if response == "late":
@@ -76,11 +76,11 @@
 
 def test_polled_list_is_refreshed_and_survives_failures():
     """While polls fail the last list stays in use; the next one that succeeds is applied."""
-    world = World(good, by="asking")
+    world = World(answer_ok, by="asking")
 
     def go():
         assert (yield from world.ask())[0] == 200
-        yield from world.until(lambda: world.asked >= 3)
+        yield from world.until(lambda: world.list_polls >= 3)
         world.list_unavailable = True
         yield from world.until(lambda: world.process.list_follower.counts["errors"])
         assert (yield from world.ask())[0] == 200  # the last list received stays in use
@@ -95,11 +95,18 @@
     loop, events = Loop(EpollKernel()), []
     lock, first_port = reserve_ports(loop.kernel, 4)
     second_port, stranger_port = first_port + 1, first_port + 2
-    names = {"more": "", "list": 1, "by": "push", "desk": 1, "door": first_port + 3, "peers": first_port}
+    names = {
+        "extra_settings": "",
+        "list": 1,
+        "by": "push",
+        "desk": 1,
+        "door": first_port + 3,
+        "peers": first_port,
+    }
     second_gateway = (
         f'gateway(number = 1, zone = "a", door = "127.0.0.1:9", peers = "127.0.0.1:{second_port}")'
     )
-    settings = read_settings("x", SHEET % names + second_gateway)
+    settings = read_settings("x", SETTINGS % names + second_gateway)
 
     class Host:
         def post_event(self, *event):
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -26,7 +26,7 @@
     rig = make_rig(tmp_path, 5, zones=("north", "south"))
 
     def scenario():
-        yield from rig.gathered()
+        yield from rig.start_all()
         rig.signal("KILL", 3)
         others = [0, 1, 2, 4]
         yield from rig.until_seen("failed", [3], others)
@@ -58,7 +58,7 @@
     north, south = [0, 2, 4], [1, 3, 5]
 
     def scenario():
-        yield from rig.gathered()
+        yield from rig.start_all()
         rig.links[1, 0].cut = True  # Gateway 0 does not hear gateway 1, which hears gateway 0.
 
         def link_is_reported():
@@ -108,15 +108,15 @@
         return [name for name in names if name and name.startswith("new")]
 
     def scenario():
-        rig.tell_news(range(3), build=2, stage=1, phase="trial", cap=1.0)
-        yield from rig.gathered()
+        rig.push_news(range(3), build=2, stage=1, phase="trial", cap=1.0)
+        yield from rig.start_all()
 
         def new_build_is_used():
             return instances_of_new_build((yield from rig.hits(0, 10)))
 
         yield from rig.until(new_build_is_used)
         rig.silent_desks[0] = True  # Its desk link stays connected but silent.
-        rig.tell_news([1, 2], build=2, stage=1, phase="going back", cap=0.0)
+        rig.push_news([1, 2], build=2, stage=1, phase="going back", cap=0.0)
 
         def build_is_closed():
             table = yield from rig.table(0)
@@ -124,14 +124,14 @@
 
         yield from rig.until(build_is_closed)
         assert not instances_of_new_build((yield from rig.hits(0, 20)))
-        rig.tell_news([1, 2], build=2, stage=1, phase="released", cap=1.0)
+        rig.push_news([1, 2], build=2, stage=1, phase="released", cap=1.0)
         # Gossip does not open the build again.
         assert not instances_of_new_build((yield from rig.hits(0, 20)))
-        rig.tell_news([0], build=2, stage=1, phase="released", cap=1.0)
+        rig.push_news([0], build=2, stage=1, phase="released", cap=1.0)
         yield from rig.until(new_build_is_used)  # Its own desk does.
         for n in range(3):  # Instances that drain by the others' lists only.
             row = next(r for r in rig.rows if r["id"] == f"old-{n}")
-            rig.tell_list({**row, "state": "draining"}, [1, 2])
+            rig.push_list({**row, "state": "draining"}, [1, 2])
 
         def only_new_build_is_used():
             names = yield from rig.hits(0, 12)
@@ -149,8 +149,8 @@
         rig.instance(f"new-{n}", 2)
 
     def scenario():
-        rig.tell_news(range(3), build=2, stage=1, phase="trial", cap=1.0)
-        yield from rig.gathered()
+        rig.push_news(range(3), build=2, stage=1, phase="trial", cap=1.0)
+        yield from rig.start_all()
         for n in (1, 2):
             assert None not in (yield from rig.hits(n, 40))
         rig.signal("KILL", 0)
@@ -173,7 +173,7 @@
     rig = make_rig(tmp_path, 3)
 
     def scenario():
-        yield from rig.gathered()
+        yield from rig.start_all()
         rig.signal("KILL", 2)
         yield from rig.until_seen("failed", [2], [0, 1])
         command = rig.loop.kernel.spawn(
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -76,7 +76,7 @@
 def count_verdicts(limits_, hits):
     """(passed, rejected) of hits, given as (time, hit)."""
     compiled = CompiledLimits(limits_)
-    passes = [compiled.check(at, hit).by is None for at, hit in hits]
+    passes = [compiled.check(at, hit).rejected_by is None for at, hit in hits]
     return sum(passes), len(passes) - sum(passes)
 
 
@@ -85,14 +85,14 @@
     compiled, passed = CompiledLimits([limit]), []
     for at in range(0, 10 * S, 7_001):
         verdict = compiled.check(at, HitAttributes("look", "repeatable"))
-        if verdict.by is None:
+        if verdict.rejected_by is None:
             passed.append(at)
         else:
-            assert 0 < verdict.wait <= 100_000
+            assert 0 < verdict.wait_us <= 100_000
             probe = CompiledLimits([limit])
             probe.levels["a"].buckets[None] = list(compiled.levels["a"].buckets[None])
             assert (
-                probe.check(at + verdict.wait, HitAttributes("look", "repeatable")).by is None
+                probe.check(at + verdict.wait_us, HitAttributes("look", "repeatable")).rejected_by is None
             )  # the advised wait suffices
     for begin in range(0, 9 * S, S // 10):
         assert sum(begin <= at < begin + S for at in passed) <= 15
@@ -101,7 +101,7 @@
 
 def test_retries_are_limited_to_a_share_of_first_tries():
     limit = Limit("retries", "repeats", "nothing", 0, 2, "tries", 200)
-    first, again = HitAttributes("look", "repeatable"), HitAttributes("look", "repeatable", again=True)
+    first, again = HitAttributes("look", "repeatable"), HitAttributes("look", "repeatable", is_retry=True)
     passed, bounced = count_verdicts([limit], [(n, again) for n in range(5)])
     assert (passed, bounced) == (2, 3)  # only the burst
     hits = [(n, again if n % 2 else first) for n in range(200)]
@@ -117,7 +117,7 @@
         for customer, times in (("ann", 9), ("bob", 1 if at % 500_000 == 0 else 0)):
             for _ in range(times):
                 passed[customer] += (
-                    compiled.check(at, HitAttributes("look", "repeatable", customer)).by is None
+                    compiled.check(at, HitAttributes("look", "repeatable", customer)).rejected_by is None
                 )
     assert passed["bob"] == 20  # its guaranteed two a second, whatever the other customer sends
     assert 90 <= passed["ann"] <= 125
@@ -126,7 +126,7 @@
 def test_a_limit_on_trial_counts_and_rejects_nothing():
     compiled = CompiledLimits([Limit("t", "hits", "nothing", 1_000, 1, trial=True)])
     verdicts = [compiled.check(0, HitAttributes("look", "repeatable")) for _ in range(10)]
-    assert all(v.by is None for v in verdicts) and sum(v.over == ("t",) for v in verdicts) == 9
+    assert all(v.rejected_by is None for v in verdicts) and sum(v.exceeded == ("t",) for v in verdicts) == 9
     assert compiled.counts == {"t": [1, 9]}
 
 
@@ -136,7 +136,9 @@
         compiled.check(n * 100, HitAttributes("look", "repeatable", key=n))
     assert len(compiled.levels["k"].buckets) <= 101
     rows = CompiledLimits([Limit("k", "hits", "key", 1, 1, keys=3)])
-    assert [rows.check(n, HitAttributes("look", "repeatable", key=n)).by for n in range(6)] == [None] * 3 + [
+    assert [rows.check(n, HitAttributes("look", "repeatable", key=n)).rejected_by for n in range(6)] == [
+        None
+    ] * 3 + [
         None,
         "k",
         "k",
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -2,97 +2,102 @@
 late."""
 
 import pytest
-from helpers import MS, NEW, OLD, THIN, Bench, steady
+from helpers import LOW_TRAFFIC, MS, NEW_ROWS, OLD_ROWS, GatewayDriver, steady
 
 
 def test_hit_that_takes_most_of_its_target_latency_is_not_cancelled():
     """With few hits an instance is not heard from for long: only an overdue answer is a sign of silence."""
-    bench = Bench(OLD[:2])
-    bench.serve(6_000 * MS, lambda id: 450 * MS, every=400 * MS)  # target latency: 600 ms
+    driver = GatewayDriver(OLD_ROWS[:2])
+    driver.serve(6_000 * MS, lambda id: 450 * MS, every=400 * MS)  # target latency: 600 ms
     assert (
-        len(bench.host.named("send_forward")) > 10
-        and bench.host.named("cancel_forward", "reject_hit", "fail_hit") == []
+        len(driver.host.calls_named("send_forward")) > 10
+        and driver.host.calls_named("cancel_forward", "reject_hit", "fail_hit") == []
     )
 
 
-PRICED = {**THIN, "probe_price": 0.08}
+PRICED = {**LOW_TRAFFIC, "probe_price": 0.08}
 
 
 def test_no_probe_where_it_costs_more_than_the_hits_it_may_save():
-    bench = Bench(OLD, **PRICED)
-    bench.serve(4_000 * MS, lambda id: 100 * MS)
-    assert len(bench.host.named("send_forward")) > 90 and bench.host.named("probe_instance") == []
-    while bench.host.open:
-        bench.end(bench.host.open[0], "ok")
-    bench.hit()
-    bench.end(bench.host.open[0], "unreachable")  # one dial in ten fails, as far as it knows
-    bench.hit()
-    assert len(bench.host.named("probe_instance")) == 1
+    driver = GatewayDriver(OLD_ROWS, **PRICED)
+    driver.serve(4_000 * MS, lambda id: 100 * MS)
+    assert (
+        len(driver.host.calls_named("send_forward")) > 90 and driver.host.calls_named("probe_instance") == []
+    )
+    while driver.host.open:
+        driver.end(driver.host.open[0], "ok")
+    driver.hit()
+    driver.end(driver.host.open[0], "unreachable")  # one dial in ten fails, as far as it knows
+    driver.hit()
+    assert len(driver.host.calls_named("probe_instance")) == 1
 
 
 def probe_overdue_instance(replies):
     """A low-traffic gateway with a forward in flight for so long that it probes the instance, which replies
-    or not. Returns the bench and the instance."""
-    bench = Bench(OLD[:2], **PRICED)
-    bench.run(100 * MS)
-    bench.hit()
-    bench.run(450 * MS)  # target latency: 600 ms
-    ((_, _, (probed,)),) = bench.host.named("probe_instance")
-    assert probed == bench.host.open[0][3] and bench.host.named("cancel_forward") == []
+    or not. Returns the driver and the instance."""
+    driver = GatewayDriver(OLD_ROWS[:2], **PRICED)
+    driver.run(100 * MS)
+    driver.hit()
+    driver.run(450 * MS)  # target latency: 600 ms
+    ((_, _, (probed,)),) = driver.host.calls_named("probe_instance")
+    assert probed == driver.host.open[0][3] and driver.host.calls_named("cancel_forward") == []
     if replies:
-        bench.gateway.on_probed(bench.host.now, probed, "ok", MS, {"inflight": 9})
-    bench.run(600 * MS)
-    return bench, probed
+        driver.gateway.on_probed(driver.host.now, probed, "ok", MS, {"inflight": 9})
+    driver.run(600 * MS)
+    return driver, probed
 
 
 def test_busy_instance_that_replies_to_a_probe_keeps_its_hit():
-    bench, probed = probe_overdue_instance(True)
+    driver, probed = probe_overdue_instance(True)
     assert (
-        bench.host.named("cancel_forward") == []
-        and len(bench.host.named("probe_instance", "send_forward")) == 2
+        driver.host.calls_named("cancel_forward") == []
+        and len(driver.host.calls_named("probe_instance", "send_forward")) == 2
     )
-    assert bench.gateway.fleet.by_id[probed].ejected_until == 0
+    assert driver.gateway.fleet.by_id[probed].ejected_until == 0
 
 
 def test_instance_that_does_not_reply_to_a_probe_is_ejected_and_its_hit_retried_elsewhere():
-    bench, probed = probe_overdue_instance(False)
+    driver, probed = probe_overdue_instance(False)
     assert (
-        len(bench.host.named("cancel_forward")) == 1 and bench.gateway.fleet.by_id[probed].ejected_until > 0
+        len(driver.host.calls_named("cancel_forward")) == 1
+        and driver.gateway.fleet.by_id[probed].ejected_until > 0
     )
-    assert bench.host.open[0][3] != probed
+    assert driver.host.open[0][3] != probed
 
 
 def test_late_answers_to_hits_sent_before_the_last_admission_cut_cut_no_more():
-    bench = Bench(OLD, gateways=100, may_cancel=False)
+    driver = GatewayDriver(OLD_ROWS, gateways=100, may_cancel=False)
     for _ in range(8):
-        bench.hit()
-    bench.run(700 * MS)  # target latency: 600 ms
-    while bench.host.open:
-        bench.end(bench.host.open[0], "ok")
-        bench.run(bench.host.now + 25 * MS)
-    assert bench.gateway.admitted == 0.7
-    bench.gateway.admitted = 1.0
-    bench.hit()
-    bench.run(bench.host.now + 700 * MS)
-    bench.end(bench.host.open[0], "ok")
-    assert bench.gateway.admitted == 0.7
+        driver.hit()
+    driver.run(700 * MS)  # target latency: 600 ms
+    while driver.host.open:
+        driver.end(driver.host.open[0], "ok")
+        driver.run(driver.host.now + 25 * MS)
+    assert driver.gateway.admitted_share == 0.7
+    driver.gateway.admitted_share = 1.0
+    driver.hit()
+    driver.run(driver.host.now + 700 * MS)
+    driver.end(driver.host.open[0], "ok")
+    assert driver.gateway.admitted_share == 0.7
 
 
 def test_load_that_moves_to_a_released_build_is_no_evidence_against_it():
     """Once the earlier build drains, the new one gets the hits of both and is slower for it. Samples of the
     trial still count."""
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 0.5), stage_caps=[0.5, 1.0], gate="clock", layout="beside")
-    bench.serve(6_000 * MS, steady(), groups=("look",))
-    gateway, released = bench.gateway, bench.host.now
-    bench.news(2, 0, "released", 1.0)
-    bench.serve(7_000 * MS, steady(), groups=("look",))
-    bench.gateway.on_list(bench.host.now, False, [{**one, "state": "draining"} for one in OLD])
-    bench.serve(9_000 * MS, steady(500), groups=("look",))
+    driver = GatewayDriver(
+        OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 0.5), stage_caps=[0.5, 1.0], gate="clock", layout="beside"
+    )
+    driver.serve(6_000 * MS, steady(), groups=("look",))
+    gateway, released = driver.gateway, driver.host.now
+    driver.news(2, 0, "released", 1.0)
+    driver.serve(7_000 * MS, steady(), groups=("look",))
+    driver.gateway.on_list(driver.host.now, False, [{**one, "state": "draining"} for one in OLD_ROWS])
+    driver.serve(9_000 * MS, steady(500), groups=("look",))
     new, old = (
-        gateway.recent_samples(b, gateway.groups["look"], bench.host.now)
+        gateway.recent_samples(b, gateway.groups["look"], driver.host.now)
         for b in (gateway.newest, gateway.newest.earlier)
     )
-    pairs, unpaired = gateway.stratify(new, old, bench.host.now)
+    pairs, unpaired = gateway.stratify(new, old, driver.host.now)
     assert sum(s.at > released for s in new) > 30 and unpaired == []
     counted = sum(len(some) for some, _ in pairs)
     assert 0 < counted <= sum(s.at <= released for s in new)
@@ -101,17 +106,17 @@
 def test_hits_after_the_last_one_of_the_earlier_build_are_not_paired_with_its_hits():
     """Where instances are replaced in place, the earlier ones leave one after another, and their last hits
     are quick."""
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
-    bench.serve(3_000 * MS, steady(), groups=("look", "hold"))
-    bench.gateway.on_list(bench.host.now, False, [{**one, "state": "gone"} for one in OLD])
-    bench.serve(3_500 * MS, steady(500), groups=("look", "hold"))
-    gateway = bench.gateway
+    driver = GatewayDriver(OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
+    driver.serve(3_000 * MS, steady(), groups=("look", "hold"))
+    driver.gateway.on_list(driver.host.now, False, [{**one, "state": "gone"} for one in OLD_ROWS])
+    driver.serve(3_500 * MS, steady(500), groups=("look", "hold"))
+    gateway = driver.gateway
     for group in gateway.groups.values():
         new, old = (
-            gateway.recent_samples(build, group, bench.host.now)
+            gateway.recent_samples(build, group, driver.host.now)
             for build in (gateway.newest, gateway.newest.earlier)
         )
-        pairs, unpaired = gateway.stratify(new, old, bench.host.now)
+        pairs, unpaired = gateway.stratify(new, old, driver.host.now)
         last = max(sample.at - sample.latency for sample in old) if old else 0
         paired, since = sum(len(some) for some, _ in pairs), max(new[0].at, old[0].at) if new and old else 0
         assert paired == sum(since <= sample.at <= last for sample in new) or group.name == "pay"
@@ -121,15 +126,15 @@
 def test_slow_hit_cuts_admission_before_its_answer_comes():
     """In congestion answers take several times the target latency: waiting for them would admit all hits
     until then."""
-    bench = Bench(OLD[:2], **PRICED)
-    bench.run(100 * MS)
-    bench.hit()
-    bench.run(450 * MS)  # target latency: 600 ms
-    ((_, _, (probed,)),) = bench.host.named("probe_instance")
-    bench.gateway.on_probed(bench.host.now, probed, "ok", MS, {"inflight": 9})
-    assert bench.gateway.admitted == 1.0
-    bench.run(700 * MS)
-    assert bench.gateway.admitted == 0.7 and bench.host.open
+    driver = GatewayDriver(OLD_ROWS[:2], **PRICED)
+    driver.run(100 * MS)
+    driver.hit()
+    driver.run(450 * MS)  # target latency: 600 ms
+    ((_, _, (probed,)),) = driver.host.calls_named("probe_instance")
+    driver.gateway.on_probed(driver.host.now, probed, "ok", MS, {"inflight": 9})
+    assert driver.gateway.admitted_share == 1.0
+    driver.run(700 * MS)
+    assert driver.gateway.admitted_share == 0.7 and driver.host.open
 
 
 def test_preference_for_a_trusted_build_shrinks_with_the_number_of_gateways():
@@ -137,29 +142,33 @@
     of a stage (thundering herd)."""
     shares = []
     for gateways in (3, 180):
-        bench = Bench(
-            OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0], gateways=gateways, layout="beside"
+        driver = GatewayDriver(
+            OLD_ROWS + NEW_ROWS,
+            news=(2, 0, "trial", 1.0),
+            stage_caps=[1.0, 1.0],
+            gateways=gateways,
+            layout="beside",
         )
-        bench.gateway.build_trusted = True
+        driver.gateway.build_trusted = True
         for _ in range(60):
-            bench.hit()
-            bench.end(bench.host.open[0])
-            bench.host.now += 10 * MS
-        sent = [a[1] for _, _, a in bench.host.named("send_forward")]
+            driver.hit()
+            driver.end(driver.host.open[0])
+            driver.host.now += 10 * MS
+        sent = [a[1] for _, _, a in driver.host.calls_named("send_forward")]
         shares.append(sum(id[0] == "n" for id in sent) / len(sent))
     assert shares[0] == 1.0 and 0.3 < shares[1] < 0.5  # 4 of 10 instances
 
 
 def test_overdue_forward_that_may_not_be_cancelled_counts_once():
     """The unanswered probe is counted; the forward stays in flight and is checked again and again."""
-    bench = Bench(OLD[:2], **PRICED)
-    bench.run(100 * MS)
-    bench.hit("pay")
-    bench.run(650 * MS)  # target latency: 800 ms; and two ticks
-    ((_, _, (probed,)),) = bench.host.named("probe_instance")
-    bench.gateway.on_probed(bench.host.now, probed, "timeout", 250 * MS, {})
-    bench.run(1_500 * MS)
-    assert bench.host.open and bench.host.named("cancel_forward") == []
-    assert bench.gateway.fleet.by_id[
+    driver = GatewayDriver(OLD_ROWS[:2], **PRICED)
+    driver.run(100 * MS)
+    driver.hit("pay")
+    driver.run(650 * MS)  # target latency: 800 ms; and two ticks
+    ((_, _, (probed,)),) = driver.host.calls_named("probe_instance")
+    driver.gateway.on_probed(driver.host.now, probed, "timeout", 250 * MS, {})
+    driver.run(1_500 * MS)
+    assert driver.host.open and driver.host.calls_named("cancel_forward") == []
+    assert driver.gateway.fleet.by_id[
         probed
-    ].ejected_until > 0 and bench.gateway.unreachable_share == pytest.approx(0.1)
+    ].ejected_until > 0 and driver.gateway.unreachable_share == pytest.approx(0.1)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -25,9 +25,9 @@
 
 @pytest.fixture
 def loop():
-    deaths = []
-    loop = Loop(EpollKernel(), lambda task, trouble: deaths.append((task.name, trouble)))
-    loop.deaths = deaths
+    task_failures = []
+    loop = Loop(EpollKernel(), lambda task, trouble: task_failures.append((task.name, trouble)))
+    loop.task_failures = task_failures
     return loop
 
 
@@ -84,7 +84,7 @@
         yield task
         return said
 
-    assert run(loop, go()) == ["cleaning", "clean"] and not loop.deaths
+    assert run(loop, go()) == ["cleaning", "clean"] and not loop.task_failures
 
 
 def test_a_task_cancelled_before_its_first_step_still_cleans_up(loop):
@@ -115,7 +115,7 @@
         yield Sleep(5 * MS)
 
     run(loop, alone())
-    ((name, trouble),) = loop.deaths
+    ((name, trouble),) = loop.task_failures
     assert name == "bad" and str(trouble) == "oh"
 
     def joined():
@@ -123,7 +123,7 @@
 
     with pytest.raises(ValueError):
         run(loop, joined())
-    assert len(loop.deaths) == 1
+    assert len(loop.task_failures) == 1
 
 
 def test_a_value_on_its_way_is_not_lost_to_an_interruption(loop):
@@ -276,7 +276,7 @@
         yield task
 
     run(loop, go())
-    assert not loop.deaths
+    assert not loop.task_failures
 
 
 def test_what_can_be_spared_goes_before_accepting_pauses(loop):
@@ -339,7 +339,7 @@
         yield Sleep(5 * MS)
 
     run(loop, go())
-    assert answered == [True] and used.tries == 6 and not loop.deaths
+    assert answered == [True] and used.tries == 6 and not loop.task_failures
 
 
 def test_children_end_and_are_told_to(loop, tmp_path):
--- a/tests/test_lost_desk.py
+++ b/tests/test_lost_desk.py
@@ -72,7 +72,7 @@
         yield from town.wait_until(lambda: town.runs_only(3))
 
     run.go(go())
-    assert not run.deaths
+    assert not run.task_failures
 
 
 def test_a_desk_that_lost_all_empties_no_place_and_a_trial_goes_on_no_further_than_it_was(tmp_path):
@@ -97,7 +97,7 @@
         yield from town.wait_until(lambda: town.runs_only(2))
 
     run.go(go())
-    assert not run.deaths
+    assert not run.task_failures
 
 
 def test_an_agent_whose_journal_is_lost_takes_on_what_runs_and_starts_nothing_twice(tmp_path):
@@ -128,4 +128,4 @@
         yield from town.wait_until(lambda: town.runs_only(2))
 
     run.go(go())
-    assert not run.deaths
+    assert not run.task_failures
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -114,7 +114,7 @@
 
 def encode_ping(view, receiver=1, kind=wire.PING):
     view.send(kind, receiver, 77)
-    return view.out.pop()[1]
+    return view.outbox.pop()[1]
 
 
 def test_datagrams_stay_within_the_size_limit_in_a_large_cluster():
@@ -125,13 +125,13 @@
         view.apply_row(1, n, 5, 0, ALIVE if n % 3 else SUSPECT, n)
     view.news, view.drains = (7, 1, 0, 0.4, 3_000_000), list(range(20))
     for kind in (wire.PING, wire.INDIRECT_PING):
-        view.send(kind, 3, 1, about=5, differs=True)
-    sizes = [len(data) for _, data in view.out]
+        view.send(kind, 3, 1, subject=5, differs=True)
+    sizes = [len(data) for _, data in view.outbox]
     assert max(sizes) <= 250 and min(sizes) > 200
     other = View(3, zones, ProbeSettings(), RandomSource(1), 9, 0)
     heard = []
     other.on_gossip = lambda member, news, drains: heard.append((member.number, news, drains))
-    other.receive_datagram(5, 0, view.out[0][1])
+    other.receive_datagram(5, 0, view.outbox[0][1])
     assert heard == [(0, (7, 1, 0, pytest.approx(0.4, abs=1e-4), 3_000_000), list(range(wire.MAX_DRAINS)))]
     assert sum(m.state != UNHEARD for m in other.members.values()) >= 5
 
@@ -152,7 +152,7 @@
     first, second = make_views()[:2]
     with pytest.raises(wire.DatagramError, match=reason):
         second.receive_datagram(5, 0, corrupt(encode_ping(first)))
-    assert all(m.state == UNHEARD for m in second.members.values()) and not second.out
+    assert all(m.state == UNHEARD for m in second.members.values()) and not second.outbox
 
 
 def test_datagram_with_wrong_sender_or_receiver_is_rejected():
@@ -170,7 +170,7 @@
     """During an upgrade, gateways of a newer minor version send fields that this version does not know."""
     first, second = make_views()[:2]
     first.self_description["out"] = 41
-    fields = wire.self_field({**first.self_description, "start": 1000, "incarnation": 0, "state": 1})
+    fields = wire.encode_facts({**first.self_description, "start": 1000, "incarnation": 0, "state": 1})
     longer = wire.encode_field(wire.SELF, fields[2:] + b"later")
     data = wire.encode_datagram(
         wire.PING,
@@ -189,7 +189,7 @@
     for n, received in enumerate((data, newer)):
         second.receive_datagram(5 + n, 0, received)
     assert second.members[0].state == ALIVE and second.members[0].facts["out"] == 41
-    assert len(second.out) == 2  # Both were answered.
+    assert len(second.outbox) == 2  # Both were answered.
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
@@ -223,9 +223,9 @@
     second.receive_datagram(6, 0, older)
     assert second.members[0].facts["out"] == 2 and second.counts["old"] == 1
     second.apply_row(7, 0, 2000, 0, ALIVE, 3)  # A newer start is known by now.
-    second.out.clear()
+    second.outbox.clear()
     second.receive_datagram(8, 0, encode_ping(first))
-    assert second.members[0].start == 2000 and not second.out
+    assert second.members[0].start == 2000 and not second.outbox
 
 
 def test_datagrams_of_one_sender_are_limited_per_period():
@@ -236,7 +236,7 @@
         second.receive_datagram(5, 0, data)
     assert (
         second.counts["heard"] == MAX_DATAGRAMS_PER_PERIOD
-        and len(second.out) <= MAX_DATAGRAMS_PER_PERIOD
+        and len(second.outbox) <= MAX_DATAGRAMS_PER_PERIOD
         and second.counts["flood"] > 900
     )
     second.receive_datagram(5 + second.probe_settings.period, 0, data)
@@ -291,7 +291,7 @@
     gossip.update_release(100, *own, 50)
     posted.clear()
     gossip.receive(100, member, (*gossiped, 10), [])
-    assert posted == ([("on_shut", gossiped[0])] if is_accepted else [])
+    assert posted == ([("on_build_blocked", gossiped[0])] if is_accepted else [])
 
 
 def test_own_desk_overrules_gossip_and_it_is_not_accepted_again():
@@ -302,7 +302,8 @@
     assert gossip.outgoing(300)[0] == (7, 1, GOING_BACK, 0.0, 110)  # It is passed on with its age.
     gossip.update_release(400, 7, 1, "trial", 0.5, 350)
     gossip.receive(500, member, (7, 1, GOING_BACK, 0.0, 310), [])
-    assert posted == [("on_shut", 7), ("on_shut", None)] and gossip.outgoing(500)[0][2] == TRIAL
+    assert posted == [("on_build_blocked", 7), ("on_build_blocked", None)]
+    assert gossip.outgoing(500)[0][2] == TRIAL
 
 
 def test_drains_are_accepted_from_newer_lists_only_and_gossiped_for_a_while():
@@ -344,16 +345,16 @@
     evidence.update_release(610, 8, "trial", 300)
     asked = evidence.due_requests(610, [1, 2, 3, 4])
     assert len(asked) == 2 and evidence.due_requests(620, [1, 2, 3, 4]) == []
-    evidence.apply_answer(9, [(8, "look", 100, 50, 0)])  # This member was not asked.
+    evidence.apply_response(9, [(8, "look", 100, 50, 0)])  # This member was not asked.
     assert posted == []
-    evidence.apply_answer(asked[0], [(8, "look", 100, 10, 500), (7, "look", 40, 0, 2000)])
-    assert posted == [("on_tally", 8, "look", 50, 5, 0, 500)]
-    evidence.apply_answer(asked[0], [(8, "look", 900, 90, 0)])  # Only its first answer counts.
+    evidence.apply_response(asked[0], [(8, "look", 100, 10, 500), (7, "look", 40, 0, 2000)])
+    assert posted == [("on_platform_counts", 8, "look", 50, 5, 0, 500)]
+    evidence.apply_response(asked[0], [(8, "look", 900, 90, 0)])  # Only its first answer counts.
     living = [n for n in (1, 2, 3, 4) if n != asked[1]]
     replacement = evidence.due_requests(610 + 500_000, living)  # A member that is gone is replaced.
     assert len(replacement) == 1 and replacement[0] not in asked
-    evidence.apply_answer(replacement[0], [(8, "look", 80, 6, 0)])  # The larger count wins.
-    assert posted[1:] == [("on_tally", 8, "look", 30, 1, 0, 0)]
+    evidence.apply_response(replacement[0], [(8, "look", 80, 6, 0)])  # The larger count wins.
+    assert posted[1:] == [("on_platform_counts", 8, "look", 30, 1, 0, 0)]
     assert evidence.due_requests(10**9, living) == []
 
 
