--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -4,7 +4,7 @@
 import os
 
 import pytest
-from helpers import MS, NEW, OLD, Bench, row
+from helpers import MS, NEW_ROWS, OLD_ROWS, GatewayDriver, row
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -180,7 +180,7 @@
     warm = WarmStart(window, RandomSource(1), now)
     to = warm.due_requests(now, sorted(rows_by_donor))
     for number in to:
-        warm.apply_answer(number, rows_by_donor[number])
+        warm.apply_response(number, rows_by_donor[number])
     return warm, to
 
 
@@ -225,7 +225,7 @@
     warm, _ = warm_start_after_answers(
         {1: [(old, 5.0, 10, 1.0, SILENT, 0), (new, 5.0, 10, 1.0, SILENT, 12 * S)]}
     )
-    warm.apply_answer(7, [(new, 5.0, 1, 1.0, 1, 0)])
+    warm.apply_response(7, [(new, 5.0, 1, 1.0, 1, 0)])
     assert warm.accepted_rows({new: "a"}) == [] and warm.counts["stale"] == 2
 
 
@@ -240,14 +240,14 @@
 
 
 def test_decisions_accept_reports_only_on_instances_not_observed_themselves():
-    bench = Bench(OLD)
-    bench.hit()
-    bench.host.now += 50 * MS
-    known_id = bench.host.open[0][3]
-    bench.end(bench.host.open[0])
-    others = [r["id"] for r in OLD if r["id"] != known_id]
-    bench.gateway.on_recalled(
-        bench.host.now,
+    driver = GatewayDriver(OLD_ROWS)
+    driver.hit()
+    driver.host.now += 50 * MS
+    known_id = driver.host.open[0][3]
+    driver.end(driver.host.open[0])
+    others = [r["id"] for r in OLD_ROWS if r["id"] != known_id]
+    driver.gateway.on_warm_start(
+        driver.host.now,
         [
             (known_id, 9.0, 50, 0.9, True),
             (others[0], 9.0, 0, 0.0, False),
@@ -256,19 +256,19 @@
         ],
         [],
     )
-    by_id = bench.gateway.fleet.by_id
+    by_id = driver.gateway.fleet.by_id
     assert by_id[known_id].latency_ratio < 2 and by_id[known_id].ejected_until == 0
-    assert by_id[others[0]].latency_ratio == 9.0 and by_id[others[1]].ejected_until > bench.host.now
+    assert by_id[others[0]].latency_ratio == 9.0 and by_id[others[1]].ejected_until > driver.host.now
     for _ in range(8):
-        bench.hit()
-    used = [f[3] for f in bench.host.open]
+        driver.hit()
+    used = [f[3] for f in driver.host.open]
     assert others[0] not in used and others[1] not in used and len(used) == 8
 
 
 def test_sticky_keys_are_restored_only_for_the_newest_build():
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 0.5), keys_stay=True)
-    bench.gateway.on_recalled(0, [], [(7, 2), (8, 1), (9, 3)])
-    assert {key: build.number for key, build in bench.gateway.kept_keys.items()} == {7: 2}
+    driver = GatewayDriver(OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 0.5), keys_stay=True)
+    driver.gateway.on_warm_start(0, [], [(7, 2), (8, 1), (9, 3)])
+    assert {key: build.number for key, build in driver.gateway.kept_keys.items()} == {7: 2}
 
 
 def test_a_gateway_in_a_restart_loop_stays_within_the_cap_of_a_trial():
@@ -277,14 +277,16 @@
     """
     sent = taken = 0
     for seed in range(20):
-        bench = Bench(OLD + NEW, seed=seed, news=(2, 0, "trial", 0.05), stage_caps=[0.05, 1.0])
+        driver = GatewayDriver(
+            OLD_ROWS + NEW_ROWS, seed=seed, news=(2, 0, "trial", 0.05), stage_caps=[0.05, 1.0]
+        )
         for _ in range(10):
-            bench.host.now += 30 * MS
-            bench.hit()
-            for forward in list(bench.host.open):
-                bench.end(forward)
+            driver.host.now += 30 * MS
+            driver.hit()
+            for forward in list(driver.host.open):
+                driver.end(forward)
         taken += 10
-        sent += sum(a[1].startswith("n") for _, _, a in bench.host.named("send_forward"))
+        sent += sum(a[1].startswith("n") for _, _, a in driver.host.calls_named("send_forward"))
     assert sent <= 0.05 * taken + 2 and taken == 200
 
 
@@ -323,15 +325,15 @@
     """The host limits dials; the decisions choose among reachable instances, and hold or reject the hit if
     there is none.
     """
-    bench = Bench([row("a"), row("b")], paced=True)
-    bench.host.is_reachable = lambda id: id == "b"
+    driver = GatewayDriver([row("a"), row("b")], paced=True)
+    driver.host.is_reachable = lambda id: id == "b"
     for _ in range(3):
-        bench.hit()
-    assert [f[3] for f in bench.host.open] == ["b"] * 3
-    bench.host.is_reachable = lambda id: False
-    bench.hit()
-    bench.run(400 * MS)
-    assert len(bench.host.named("reject_hit")) == 1
+        driver.hit()
+    assert [f[3] for f in driver.host.open] == ["b"] * 3
+    driver.host.is_reachable = lambda id: False
+    driver.hit()
+    driver.run(400 * MS)
+    assert len(driver.host.calls_named("reject_hit")) == 1
 
 
 def test_the_reservation_of_a_cancelled_forward_expires():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,20 @@
 from math import sqrt
 
 import pytest
-from helpers import MS, NEW, OLD, THIN, Bench, broken_rules, random_day, row, scoped, sheet, steady, trial
+from helpers import (
+    LOW_TRAFFIC,
+    MS,
+    NEW_ROWS,
+    OLD_ROWS,
+    GatewayDriver,
+    broken_rules,
+    example_settings,
+    random_events,
+    row,
+    scoped,
+    steady,
+    trial,
+)
 
 from cobaltpond.benchlink.policy_settings import policy_settings
 from cobaltpond.decisions.records import RandomSource
@@ -26,13 +39,13 @@
     ],
 )
 def test_random_events_break_no_rule_of_the_reference_model(seed, changes):
-    bench, hits, reported = random_day(seed, **changes)
-    assert len(hits) > 700 and len(bench.host.named("send_forward")) > 150
-    assert broken_rules(bench.host, hits, reported, sheet(**changes)) == []
+    driver, hits, reported = random_events(seed, **changes)
+    assert len(hits) > 700 and len(driver.host.calls_named("send_forward")) > 150
+    assert broken_rules(driver.host, hits, reported, example_settings(**changes)) == []
 
 
 def test_equal_events_give_equal_actions():
-    assert random_day(5)[0].host.calls == random_day(5)[0].host.calls
+    assert random_events(5)[0].host.calls == random_events(5)[0].host.calls
 
 
 def test_rank_test_agrees_with_counting_every_pair():
@@ -77,77 +90,79 @@
 
 def test_burst_that_slows_both_builds_fails_neither():
     random_source = RandomSource(4)
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
-    bench.serve(
+    driver = GatewayDriver(OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
+    driver.serve(
         16_000 * MS,
-        lambda id: (60 + random_source.randbelow(80)) * (4 if bench.host.now > 9_000_000 else 1) * MS,
+        lambda id: (60 + random_source.randbelow(80)) * (4 if driver.host.now > 9_000_000 else 1) * MS,
     )
-    assert "back" not in {a[2] for _, _, a in bench.host.named("cast_vote")}
+    assert "back" not in {a[2] for _, _, a in driver.host.calls_named("cast_vote")}
 
 
 def test_lost_vote_is_retried_and_a_standing_one_renewed_before_it_expires():
-    votes, bench = trial(steady(), vote_wait=800 * MS)
+    votes, driver = trial(steady(), vote_wait=800 * MS)
     gaps = [b[0] - a[0] for a, b in zip(votes, votes[1:], strict=False)]
     assert gaps and min(gaps) >= 800 * MS  # no answer came: one try each time it is overdue
-    bench.gateway.on_news(bench.host.now, 2, 0, "trial", 1.0, 0, True, "ok")
-    count = len(bench.host.named("cast_vote"))
-    bench.serve(bench.host.now + 4_000 * MS, steady())
-    assert len(bench.host.named("cast_vote")) == count
-    bench.serve(bench.host.now + 2_000 * MS, steady())
-    assert len(bench.host.named("cast_vote")) > count
+    driver.gateway.on_news(driver.host.now, 2, 0, "trial", 1.0, 0, True, "ok")
+    count = len(driver.host.calls_named("cast_vote"))
+    driver.serve(driver.host.now + 4_000 * MS, steady())
+    assert len(driver.host.calls_named("cast_vote")) == count
+    driver.serve(driver.host.now + 2_000 * MS, steady())
+    assert len(driver.host.calls_named("cast_vote")) > count
 
 
 def test_silent_instance_is_ejected_and_its_hits_are_retried_elsewhere():
-    bench = Bench(OLD)
-    bench.serve(3_000 * MS, lambda id: 10**9 if id == "i0" else 50 * MS)
-    cancelled = {a[0] for _, _, a in bench.host.named("cancel_forward")}
-    assert cancelled and cancelled <= {a[0] for _, _, a in bench.host.named("send_forward") if a[1] != "i0"}
-    late = [a for now, _, a in bench.host.named("send_forward") if a[1] == "i0" and now > 600 * MS]
+    driver = GatewayDriver(OLD_ROWS)
+    driver.serve(3_000 * MS, lambda id: 10**9 if id == "i0" else 50 * MS)
+    cancelled = {a[0] for _, _, a in driver.host.calls_named("cancel_forward")}
+    assert cancelled and cancelled <= {
+        a[0] for _, _, a in driver.host.calls_named("send_forward") if a[1] != "i0"
+    }
+    late = [a for now, _, a in driver.host.calls_named("send_forward") if a[1] == "i0" and now > 600 * MS]
     assert len(late) <= 3
 
 
 def test_hit_without_an_eligible_instance_is_rejected_before_its_client_leaves():
-    bench = Bench([])
-    short, long = bench.hit(left=60 * MS), bench.hit(left=2500 * MS)
-    bench.run(1000 * MS)
-    answered = {a[0]: now for now, _, a in bench.host.named("reject_hit")}
+    driver = GatewayDriver([])
+    short, long = driver.hit(left=60 * MS), driver.hit(left=2500 * MS)
+    driver.run(1000 * MS)
+    answered = {a[0]: now for now, _, a in driver.host.calls_named("reject_hit")}
     assert answered[short] <= 60 * MS and answered[long] <= 150 * MS
 
 
 def test_failed_forward_of_a_mutating_hit_is_neither_retried_nor_rejected_as_harmless():
-    bench = Bench(OLD)
-    bench.hit("pay")
-    bench.end(bench.host.open[0], "reset")
-    assert [name for _, name, _ in bench.host.named("fail_hit", "reject_hit", "send_forward")] == [
+    driver = GatewayDriver(OLD_ROWS)
+    driver.hit("pay")
+    driver.end(driver.host.open[0], "reset")
+    assert [name for _, name, _ in driver.host.calls_named("fail_hit", "reject_hit", "send_forward")] == [
         "send_forward",
         "fail_hit",
     ]
 
 
 def test_inflight_limit_shrinks_when_an_instance_is_slow_and_grows_back():
-    bench = Bench(OLD[:1])
-    bench.serve(3_000 * MS, lambda id: 500 * MS)
-    assert bench.gateway.fleet.by_id["i0"].limit == 1
-    bench.serve(6_000 * MS, lambda id: 20 * MS)
-    assert bench.gateway.fleet.by_id["i0"].limit > 1
+    driver = GatewayDriver(OLD_ROWS[:1])
+    driver.serve(3_000 * MS, lambda id: 500 * MS)
+    assert driver.gateway.fleet.by_id["i0"].limit == 1
+    driver.serve(6_000 * MS, lambda id: 20 * MS)
+    assert driver.gateway.fleet.by_id["i0"].limit > 1
 
 
-def test_cold_instance_gets_only_its_part():
-    bench = Bench(OLD + [row("cold", started=0)])
-    bench.serve(1_500 * MS, lambda id: (20 if id == "cold" else 400) * MS)
-    to_cold = sum(a[1] == "cold" for _, _, a in bench.host.named("send_forward"))
-    assert to_cold <= 1 + 2 * 0.6 * (0.33 + 0.67 * 0.375) * bench.hits / 7
+def test_cold_instance_gets_only_its_share():
+    driver = GatewayDriver(OLD_ROWS + [row("cold", started=0)])
+    driver.serve(1_500 * MS, lambda id: (20 if id == "cold" else 400) * MS)
+    to_cold = sum(a[1] == "cold" for _, _, a in driver.host.calls_named("send_forward"))
+    assert to_cold <= 1 + 2 * 0.6 * (0.33 + 0.67 * 0.375) * driver.hits / 7
 
 
 def test_list_is_requested_again_after_an_error_and_after_silence():
-    bench = Bench(OLD, list_by="asking")
-    bench.gateway.on_list_error(0)
-    bench.run(1_000 * MS)
-    assert len(bench.host.named("watch_list")) >= 2
-    bench.gateway.on_list(bench.host.now, False, [])
-    requests = len(bench.host.named("watch_list"))
-    bench.run(9_000 * MS)
-    assert len(bench.host.named("watch_list")) > requests
+    driver = GatewayDriver(OLD_ROWS, list_by="asking")
+    driver.gateway.on_list_error(0)
+    driver.run(1_000 * MS)
+    assert len(driver.host.calls_named("watch_list")) >= 2
+    driver.gateway.on_list(driver.host.now, False, [])
+    requests = len(driver.host.calls_named("watch_list"))
+    driver.run(9_000 * MS)
+    assert len(driver.host.calls_named("watch_list")) > requests
 
 
 def test_start_message_is_converted_and_unknown_fields_are_skipped():
@@ -169,97 +184,102 @@
 
 
 def test_failing_hosts_of_both_builds_do_not_condemn_the_new_one():
-    votes, bench = trial(steady(), lambda id: id in ("i0", "i3", "n0", "n1"))
-    assert any(bench.gateway.fleet.builds[2].errored.values())
+    votes, driver = trial(steady(), lambda id: id in ("i0", "i3", "n0", "n1"))
+    assert any(driver.gateway.fleet.builds[2].error_counts.values())
     assert "back" not in {verdict for _, verdict in votes}
 
 
 def test_low_traffic_gateway_probes_two_instances_and_chooses_the_less_loaded():
-    bench = Bench(OLD, **THIN)
+    driver = GatewayDriver(OLD_ROWS, **LOW_TRAFFIC)
     for _ in range(6):
-        bench.hit()
-        probed = [a[0] for now, _, a in bench.host.named("probe_instance") if now == bench.host.now]
-        bench.probes(lambda id, busy=probed[0]: 9 if id == busy else 0)
-        assert bench.host.open[-1][3] == probed[1]
-        bench.host.now += 100 * MS
+        driver.hit()
+        probed = [a[0] for now, _, a in driver.host.calls_named("probe_instance") if now == driver.host.now]
+        driver.probes(lambda id, busy=probed[0]: 9 if id == busy else 0)
+        assert driver.host.open[-1][3] == probed[1]
+        driver.host.now += 100 * MS
 
 
 def test_hit_whose_probes_get_no_reply_is_sent_within_two_ticks():
-    bench = Bench(OLD, **THIN)
-    bench.hit()
-    assert not bench.host.open
-    bench.run(75 * MS)
-    assert len(bench.host.open) == 1
+    driver = GatewayDriver(OLD_ROWS, **LOW_TRAFFIC)
+    driver.hit()
+    assert not driver.host.open
+    driver.run(75 * MS)
+    assert len(driver.host.open) == 1
 
 
 def test_low_traffic_gateway_keeps_to_reachable_instances_while_dials_fail():
-    bench = Bench(OLD, gateways=100)
+    driver = GatewayDriver(OLD_ROWS, gateways=100)
     for _ in range(30):
-        bench.hit()
-        while bench.host.open:
-            ok = bench.host.open[0][3] in ("i0", "i1")
-            bench.end(bench.host.open[0], "ok" if ok else "unreachable")
-        bench.run(bench.host.now + 200 * MS)
-    late = {a[1] for now, _, a in bench.host.named("send_forward") if now > 4_000 * MS}
+        driver.hit()
+        while driver.host.open:
+            ok = driver.host.open[0][3] in ("i0", "i1")
+            driver.end(driver.host.open[0], "ok" if ok else "unreachable")
+        driver.run(driver.host.now + 200 * MS)
+    late = {a[1] for now, _, a in driver.host.calls_named("send_forward") if now > 4_000 * MS}
     assert late and late <= {"i0", "i1"}
 
 
 def test_low_traffic_gateway_sends_no_retries_while_answers_are_late():
-    bench = Bench(OLD, gateways=100)
-    bench.serve(8_000 * MS, lambda id: 700 * MS, every=200 * MS)
-    assert len([c for c in bench.host.named("cancel_forward") if c[0] > 2_000 * MS]) <= 2
-    assert any(now > 2_000 * MS for now, _, _ in bench.host.named("reject_hit"))
+    driver = GatewayDriver(OLD_ROWS, gateways=100)
+    driver.serve(8_000 * MS, lambda id: 700 * MS, every=200 * MS)
+    assert len([c for c in driver.host.calls_named("cancel_forward") if c[0] > 2_000 * MS]) <= 2
+    assert any(now > 2_000 * MS for now, _, _ in driver.host.calls_named("reject_hit"))
 
 
 def test_errors_of_one_customer_at_all_instances_count_against_no_instance_or_build():
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
+    driver = GatewayDriver(OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
     for n in range(300):
-        bench.hit(customer="worthless" if n % 3 else "good")
-        while bench.host.open:
-            bench.end(bench.host.open[0], "error" if n % 3 else "ok")
-        bench.run(bench.host.now + 50 * MS)
-    assert not any(i.ejected_until > bench.host.now for i in bench.gateway.fleet.up)
-    assert "back" not in {a[2] for _, _, a in bench.host.named("cast_vote")}
-    assert len(bench.host.named("send_forward")) < 340  # and no further forwards
+        driver.hit(customer="worthless" if n % 3 else "good")
+        while driver.host.open:
+            driver.end(driver.host.open[0], "error" if n % 3 else "ok")
+        driver.run(driver.host.now + 50 * MS)
+    assert not any(i.ejected_until > driver.host.now for i in driver.gateway.fleet.up)
+    assert "back" not in {a[2] for _, _, a in driver.host.calls_named("cast_vote")}
+    assert len(driver.host.calls_named("send_forward")) < 340  # and no further forwards
 
 
 def test_judge_sends_a_build_back_on_samples_of_other_gateways():
     news = (2, 0, "trial", 1.0)
-    many = [Bench(OLD + NEW, n, news, gateways=50, number=n, may_tell=True) for n in range(9, 25)]
-    judge = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), gateways=50, number=2, may_tell=True, gate="clock")
+    many = [
+        GatewayDriver(OLD_ROWS + NEW_ROWS, n, news, gateways=50, number=n, may_tell=True)
+        for n in range(9, 25)
+    ]
+    judge = GatewayDriver(
+        OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), gateways=50, number=2, may_tell=True, gate="clock"
+    )
     for one in many:
         one.serve(1_600 * MS, steady(300), every=200 * MS, groups=("look", "hold"))
     for at, _, (to, data) in sorted(
-        (c for one in many for c in one.host.named("send_to_peer")), key=lambda c: c[0]
+        (c for one in many for c in one.host.calls_named("send_to_peer")), key=lambda c: c[0]
     ):
         judge.run(at)
         if to == 2:
             judge.gateway.on_peer(at, 7, data)
             judge.gateway.on_peer(at, 7, b"?")
-    assert not any(c[2][2] == "back" for one in many for c in one.host.named("cast_vote"))
+    assert not any(c[2][2] == "back" for one in many for c in one.host.calls_named("cast_vote"))
     judge.run(judge.host.now + 1_500 * MS)  # a hold that was cast first waits for its answer
-    assert judge.host.named("cast_vote")[-1][2][2] == "back"
+    assert judge.host.calls_named("cast_vote")[-1][2][2] == "back"
 
 
-def test_cold_budget_not_used_at_once_is_not_saved_up():
+def test_unused_slow_start_tokens_are_not_saved_up():
     cold = [row(f"c{n}", started=0) for n in range(2)]
-    bench = Bench(OLD + cold, cold_time=100_000 * MS)
+    driver = GatewayDriver(OLD_ROWS + cold, cold_time=100_000 * MS)
     for _ in range(200):
-        bench.gateway.refill_cold_tokens(bench.host.now)
-    assert all(i.tokens < 2 for i in bench.gateway.fleet.up)
+        driver.gateway.refill_cold_tokens(driver.host.now)
+    assert all(i.tokens < 2 for i in driver.gateway.fleet.up)
 
 
 def test_idle_gateway_schedules_hardly_any_wakeups():
-    bench = Bench(OLD)
-    bench.run(3_000 * MS)
-    assert len(bench.host.named("schedule_wakeup")) <= 2
+    driver = GatewayDriver(OLD_ROWS)
+    driver.run(3_000 * MS)
+    assert len(driver.host.calls_named("schedule_wakeup")) <= 2
 
 
 def test_outcomes_before_the_first_news_are_sent_to_no_judge_and_raise_nothing():
     """A desk that has lost its state tells gateways of no build, so outcomes come while none is known."""
-    bench = Bench(OLD, may_tell=True, gateways=100, stage_caps=[1.0, 1.0])
-    bench.gateway.newest = None  # as it is until the first news
+    driver = GatewayDriver(OLD_ROWS, may_tell=True, gateways=100, stage_caps=[1.0, 1.0])
+    driver.gateway.newest = None  # as it is until the first news
     for ending in ("ok", "error"):
-        bench.hit()
-        bench.end(bench.host.open[-1], ending)
-    assert not bench.host.named("send_to_peer") and bench.gateway.fleet.builds[1].samples
+        driver.hit()
+        driver.end(driver.host.open[-1], ending)
+    assert not driver.host.calls_named("send_to_peer") and driver.gateway.fleet.builds[1].samples
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -229,7 +229,7 @@
                 decisions.on_news(0, 2, 0, "trial", 0.5, 0, False, "ok")
                 decisions.hits.clear()
                 for number, name in enumerate(edge.frontend.groups):  # the host knows them by then
-                    edge.host.hits[number] = DiscardedHit(number, "", edge.frontend)
+                    edge.host.pending_hits[number] = DiscardedHit(number, "", edge.frontend)
                     decisions.on_hit(1, number, name, None, 7, 500_000, None, False)
                     decisions.on_outcome(2, number, 0, "ok", 1_000, False, {})
     assert refused > 100
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 from rig import MS, SECOND, Rig
-from world import World, good, hits
+from world import World, answer_ok, outcome_counts
 
 from cobaltpond.loop import Sleep
 from cobaltpond.recovery.measure import max_in_window
@@ -16,7 +16,7 @@
 
 
 def rig(tmp_path, count=3, **rest):
-    cluster = Rig(tmp_path, count, more="", **rest)
+    cluster = Rig(tmp_path, count, extra_settings="", **rest)
     settings_path = cluster.settings_path
     cluster.let_through = []  # (time, gateway) of each served hit
 
@@ -62,7 +62,7 @@
     cluster = rig(tmp_path)
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         for _ in range(3):
             cluster.loop.spawn(send_hits_forever(cluster, 0, 10 * MS), "hits")
         yield from wait_until_lent(cluster, 0, RATE * 0.6)
@@ -96,7 +96,7 @@
         raise AssertionError("no owner has granted a lease")
 
     def go():
-        yield from cluster.gathered()
+        yield from cluster.start_all()
         for n in range(3):
             cluster.loop.spawn(send_hits_forever(cluster, n, 10 * MS), "hits")
         for n in range(3):
@@ -135,7 +135,7 @@
 
 
 def test_a_hit_over_a_limit_is_rejected_before_the_decisions_and_keeps_its_connection():
-    world = World(good, more=GATEWAY_LIMITS)
+    world = World(answer_ok, extra_settings=GATEWAY_LIMITS)
 
     def go():
         connection = yield from world.connect()
@@ -151,11 +151,15 @@
     problem = json.loads(body)
     assert problem["limit"] == "buys" and 0 < problem["retry_after_ms"] <= 500 and problem["retry_harmless"]
     assert head.get(b"cobaltpond-retry") == b"harmless" and head.get(b"retry-after") == b"1"
-    assert len(world.got) == 4 and world.process.host.taken == 4 and hits(world)["limited"] == 1
+    assert (
+        len(world.received_requests) == 4
+        and world.process.host.accepted_count == 4
+        and outcome_counts(world)["limited"] == 1
+    )
 
 
 def test_retries_over_their_share_are_rejected_and_a_limit_on_trial_rejects_nothing():
-    world = World(good, more=GATEWAY_LIMITS)
+    world = World(answer_ok, extra_settings=GATEWAY_LIMITS)
     again = [(b"cobaltpond-try", b"1")]
 
     def go():
@@ -176,7 +180,7 @@
 
 
 def test_a_client_that_expects_100_continue_gets_the_rejection_and_a_close():
-    world = World(good, more=GATEWAY_LIMITS)
+    world = World(answer_ok, extra_settings=GATEWAY_LIMITS)
 
     def go():
         for _ in range(2):
@@ -188,4 +192,6 @@
         )
 
     got = world.run(go())
-    assert got.startswith(b"HTTP/1.1 429") and b"100 Continue" not in got and len(world.got) == 2
+    assert (
+        got.startswith(b"HTTP/1.1 429") and b"100 Continue" not in got and len(world.received_requests) == 2
+    )
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -260,7 +260,7 @@
         client.connection.close()
         yield from world.until(lambda: not world.edge.frontend.clients)
         world.client_left = True
-        yield from world.until(lambda: not world.edge.host.hits)
+        yield from world.until(lambda: not world.edge.host.pending_hits)
         return (yield from world.query(statement(9)))
 
     assert world.run(go()) == [OK]
--- a/tests/test_thin.py
+++ b/tests/test_thin.py
@@ -1,7 +1,7 @@
 """Decisions of low-traffic gateways, hundreds of which share the load: a test for each past failure."""
 
 import pytest
-from helpers import MS, NEW, OLD, Bench, row, steady
+from helpers import MS, NEW_ROWS, OLD_ROWS, GatewayDriver, row, steady
 
 from cobaltpond.decisions.records import RandomSource, Sample
 from cobaltpond.decisions.sample_message import SampleMessage
@@ -10,7 +10,8 @@
 
 def test_significance_allows_as_many_false_alarms_as_the_votes_make_harmless():
     assert max_expected_events(1, 0.0001) == pytest.approx(0.0001)
-    lone, many = Bench(OLD, gateways=500).gateway, Bench(OLD, gateways=500, back_votes=25).gateway
+    lone = GatewayDriver(OLD_ROWS, gateways=500).gateway
+    many = GatewayDriver(OLD_ROWS, gateways=500, back_votes=25).gateway
     assert (
         many.significance_z < lone.significance_z == many.strict_significance_z
         and many.min_samples < lone.min_samples
@@ -20,20 +21,24 @@
 
 @pytest.mark.parametrize("left, stall", [(300 * MS, 0), (2000 * MS, 1000 * MS)])
 def test_short_deadline_or_stalled_gateway_is_no_evidence_against_an_instance(left, stall):
-    bench = Bench(OLD + NEW, gateways=100)
+    driver = GatewayDriver(OLD_ROWS + NEW_ROWS, gateways=100)
     for _ in range(40):
-        bench.hit(left=left)
-        bench.host.now += stall  # the gateway gets no event meanwhile
+        driver.hit(left=left)
+        driver.host.now += stall  # the gateway gets no event meanwhile
         if stall:
-            bench.end(bench.host.open[0], "ok")
-            bench.gateway.on_wake(bench.host.now, 0)
-        bench.run(bench.host.now + 500 * MS)
-    assert len(bench.host.named("send_forward")) == 40 and not bench.host.named("cancel_forward")
-    assert bench.gateway.admitted == 1 and not any(b.samples for b in bench.gateway.fleet.builds.values())
+            driver.end(driver.host.open[0], "ok")
+            driver.gateway.on_wake(driver.host.now, 0)
+        driver.run(driver.host.now + 500 * MS)
+    assert len(driver.host.calls_named("send_forward")) == 40 and not driver.host.calls_named(
+        "cancel_forward"
+    )
+    assert driver.gateway.admitted_share == 1 and not any(
+        b.samples for b in driver.gateway.fleet.builds.values()
+    )
 
 
 def test_errors_below_the_least_number_of_samples_prove_nothing():
-    gateway = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), gateways=47).gateway
+    gateway = GatewayDriver(OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), gateways=47).gateway
     build = gateway.fleet.builds[2]
     assert gateway.assess_errors(build, "all", (4, 5, 0, 85), gateway.significance_z) == "fine"
     assert gateway.assess_errors(build, "all", (6, 9, 0, 85), gateway.significance_z) == "fail"
@@ -43,9 +48,9 @@
     votes = []
     for needed in (1, 25):
         many = {"gateways": 500, "back_votes": needed, "stage_caps": [1.0, 1.0]}
-        bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), **many)
-        bench.serve(14_000 * MS, steady(400), every=400 * MS)
-        votes.append({a[2] for _, _, a in bench.host.named("cast_vote")})
+        driver = GatewayDriver(OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), **many)
+        driver.serve(14_000 * MS, steady(400), every=400 * MS)
+        votes.append({a[2] for _, _, a in driver.host.calls_named("cast_vote")})
     assert "back" not in votes[0] and "back" in votes[1]
 
 
@@ -53,7 +58,7 @@
     """The tag in a message stays the same over a restart, and wrong answers are reported seconds later: both
     may concern the process before the restart, which may have run another build."""
     started = 5_000 * MS
-    gateway = Bench(
+    gateway = GatewayDriver(
         [row("a", 1), row("n", 2, started=started)],
         news=(2, 0, "trial", 1.0),
         gateways=100,
@@ -62,24 +67,29 @@
     instance, build = gateway.fleet.by_id["n"], gateway.fleet.builds[2]
     for now, latency, age in ((5_400 * MS, 900 * MS, 0), (9_000 * MS, 200 * MS, 4_000 * MS)):
         gateway.on_peer(now, 3, SampleMessage.pack(Sample(now, latency, False, instance, 0, 1.0, 0), 0, age))
-        gateway.on_wrong(now, "n", "look", now - started + 1)
+        gateway.on_wrong_answer(now, "n", "look", now - started + 1)
     assert not any(build.samples.values())
     gateway.on_peer(
         9_000 * MS, 3, SampleMessage.pack(Sample(9_000 * MS, 900 * MS, False, instance, 0, 1.0, 0), 0, 0)
     )
-    gateway.on_wrong(9_000 * MS, "n", "look", 1_000 * MS)
+    gateway.on_wrong_answer(9_000 * MS, "n", "look", 1_000 * MS)
     assert len(build.samples["look"]) == 2
 
 
 def test_judges_get_samples_of_a_build_long_after_its_release():
     """A build that fails only under load may be released before it meets that load. Judges that got samples
     for 2.5 warm-ups after the release only (join+mass at 30 gateways, seed 4) never saw it fail."""
-    bench = Bench(
-        OLD + NEW, news=(2, 0, "trial", 1.0), gateways=100, number=9, may_tell=True, stage_caps=[1.0, 1.0]
+    driver = GatewayDriver(
+        OLD_ROWS + NEW_ROWS,
+        news=(2, 0, "trial", 1.0),
+        gateways=100,
+        number=9,
+        may_tell=True,
+        stage_caps=[1.0, 1.0],
     )
-    bench.news(2, 0, "released", 1.0)
-    bench.serve(60_000 * MS, steady(), every=400 * MS)
-    assert [now for now, *_ in bench.host.named("send_to_peer") if now > 50_000 * MS]
+    driver.news(2, 0, "released", 1.0)
+    driver.serve(60_000 * MS, steady(), every=400 * MS)
+    assert [now for now, *_ in driver.host.calls_named("send_to_peer") if now > 50_000 * MS]
 
 
 @pytest.mark.parametrize("failing, verdict", [(10, "fail"), (5, "fine")])
@@ -87,7 +97,7 @@
     """The earlier build has no hits left to compare with: errors of a minority of the instances have another
     cause than the build."""
     news = [row(f"n{n}", 2) for n in range(10)]
-    gateway = Bench(OLD + news, news=(2, 0, "released", 1.0), gateways=30).gateway
+    gateway = GatewayDriver(OLD_ROWS + news, news=(2, 0, "released", 1.0), gateways=30).gateway
     build, instances = gateway.fleet.builds[2], [gateway.fleet.by_id[one["id"]] for one in news]
     new = [
         Sample(0, 900, at < 40 // failing and n < failing, instance, 0, 1.0, 0)
@@ -95,11 +105,11 @@
         for at in range(20)
     ]
     counts, window = (40, 200, 2, 200), int(2.5 * gateway.cold_time)
-    gateway.assess(build, gateway.stage_began + window - 1)
+    gateway.assess(build, gateway.stage_started_at + window - 1)
     assert (
         gateway.assess_errors(build, "all", counts, gateway.significance_z, new) == "fail"
     )  # still compared with the earlier build
-    gateway.assess(build, gateway.stage_began + window)
+    gateway.assess(build, gateway.stage_started_at + window)
     assert gateway.assess_errors(build, "all", counts, gateway.significance_z, new) == verdict
 
 
@@ -109,7 +119,7 @@
     (roll+mass at 30 gateways, seed 8) passed a build that failed a sixth of its hits at nearly all
     instances."""
     news = [row(f"n{n}", 2) for n in range(10)]
-    gateway = Bench(news, news=(2, 0, "released", 1.0), gateways=30).gateway
+    gateway = GatewayDriver(news, news=(2, 0, "released", 1.0), gateways=30).gateway
     build, instances = gateway.fleet.builds[2], [gateway.fleet.by_id[one["id"]] for one in news]
     new = [
         Sample(0, 900, at < 40 // failing and n < failing, instance, 0, 1.0, 0)
@@ -125,55 +135,59 @@
     assert gateway.assess_errors(build, "all", (40, 200, 0, 0), gateway.significance_z, new) == "fine"
 
 
-def test_weeks_without_a_release_keep_no_more_than_days():
+def test_samples_do_not_grow_without_a_release():
     """Evidence that is trimmed only when a build is assessed grows without bound between releases, as it did
     in the soak test on sockets."""
-    bench = Bench([row("a"), row("b")], keys_stay=True)
+    driver = GatewayDriver([row("a"), row("b")], keys_stay=True)
     for n in range(3000):
-        bench.hit(key=n)
-        bench.end(bench.host.open[-1])
-        bench.host.now += 10 * MS
-        bench.host.calls.clear()
-    build = bench.gateway.fleet.build(1)
+        driver.hit(key=n)
+        driver.end(driver.host.open[-1])
+        driver.host.now += 10 * MS
+        driver.host.calls.clear()
+    build = driver.gateway.fleet.build(1)
     assert len(build.samples["look"]) <= 480
-    bench.news(2, 0, "trial", 0.2)
-    bench.news(3, 0, "trial", 0.2)
-    assert not bench.gateway.kept_keys
+    driver.news(2, 0, "trial", 0.2)
+    driver.news(3, 0, "trial", 0.2)
+    assert not driver.gateway.kept_keys
 
 
 def test_a_late_answer_of_the_earlier_build_does_not_lower_a_kept_key():
     """A forward to the earlier build may be in flight while the new one answers the same key. Its late answer
     bound the key to the earlier build again in a simulated run."""
-    bench = Bench([row("a"), row("b", 2)], news=(2, 0, "trial", 1.0), keys_stay=True, stage_caps=[1.0, 1.0])
+    driver = GatewayDriver(
+        [row("a"), row("b", 2)], news=(2, 0, "trial", 1.0), keys_stay=True, stage_caps=[1.0, 1.0]
+    )
     forwards = {}
     while set(forwards) != {"a", "b"}:
-        bench.hit(key=7)
-        forwards[bench.host.open[-1][3]] = bench.host.open[-1]
-    bench.end(forwards["b"])
-    bench.host.now += 10 * MS
-    bench.end(forwards["a"])
-    for forward in list(bench.host.open):
-        bench.end(forward)
-    bench.host.now += 10 * MS
-    before = len(bench.host.named("send_forward"))
+        driver.hit(key=7)
+        forwards[driver.host.open[-1][3]] = driver.host.open[-1]
+    driver.end(forwards["b"])
+    driver.host.now += 10 * MS
+    driver.end(forwards["a"])
+    for forward in list(driver.host.open):
+        driver.end(forward)
+    driver.host.now += 10 * MS
+    before = len(driver.host.calls_named("send_forward"))
     for _ in range(20):
-        bench.hit(key=7)
-    assert {a[1] for _, _, a in bench.host.named("send_forward")[before:]} == {"b"}
+        driver.hit(key=7)
+    assert {a[1] for _, _, a in driver.host.calls_named("send_forward")[before:]} == {"b"}
 
 
 @pytest.mark.parametrize("first", ["news", "newest row"])
 def test_gateway_that_starts_during_a_trial_knows_the_earlier_build(first):
     """Whether the news or the list comes first, the build on trial is assessed against the one before it."""
-    bench = (
-        Bench([], news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
+    driver = (
+        GatewayDriver([], news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
         if first == "news"
-        else Bench([], news=(0, 0, "released", 1.0), stage_caps=[1.0, 1.0])
+        else GatewayDriver([], news=(0, 0, "released", 1.0), stage_caps=[1.0, 1.0])
+    )
+    driver.gateway.on_list(
+        driver.host.now, True, NEW_ROWS + OLD_ROWS if first == "newest row" else OLD_ROWS + NEW_ROWS
     )
-    bench.gateway.on_list(bench.host.now, True, NEW + OLD if first == "newest row" else OLD + NEW)
-    bench.news(2, 0, "trial", 1.0)
-    assert bench.gateway.newest.earlier.number == 1
-    bench.serve(8_000 * MS, steady(), fails=lambda id: id[0] == "n")
-    assert "back" in {verdict for _, _, (_, _, verdict) in bench.host.named("cast_vote")}
+    driver.news(2, 0, "trial", 1.0)
+    assert driver.gateway.newest.earlier.number == 1
+    driver.serve(8_000 * MS, steady(), fails=lambda id: id[0] == "n")
+    assert "back" in {verdict for _, _, (_, _, verdict) in driver.host.calls_named("cast_vote")}
 
 
 def test_few_errors_spread_over_many_instances_fail_a_build():
@@ -182,8 +196,8 @@
     old, new = (
         [row(f"{mark}{n:02}", build, cell=n // 3) for n in range(30)] for mark, build in (("i", 1), ("n", 2))
     )
-    bench = Bench(old + new, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
-    gateway, group = bench.gateway, bench.gateway.groups["look"]
+    driver = GatewayDriver(old + new, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
+    gateway, group = driver.gateway, driver.gateway.groups["look"]
     for n in range(3_600):  # 600 of the new build, of which 12 errors at 12 instances
         instance = gateway.fleet.by_id[f"{'i' if n % 6 else 'n'}{n // 6 % 30:02}"]
         errored = instance.id[0] == "n" and n >= 3_600 - 12 * 6
@@ -199,8 +213,8 @@
     old, new = (
         [row(f"{mark}{n:02}", build, cell=n // 3) for n in range(30)] for mark, build in (("i", 1), ("n", 2))
     )
-    bench = Bench(old + new, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
-    gateway, group, dice = bench.gateway, bench.gateway.groups["look"], RandomSource(3)
+    driver = GatewayDriver(old + new, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
+    gateway, group, dice = driver.gateway, driver.gateway.groups["look"], RandomSource(3)
     ended = []
     for n in range(12_000):  # one a millisecond, a tenth of them to the earlier build
         instance = gateway.fleet.by_id[f"{'n' if n % 10 else 'i'}{dice.randbelow(30):02}"]
@@ -221,11 +235,11 @@
 
 
 def test_error_in_a_message_is_placed_in_the_stratum_in_which_it_came():
-    """An error counts as a time-out but comes at once: dated back by the time-out it would be compared with
+    """An error counts as a timeout but comes at once: dated back by the timeout it would be compared with
     hits of an earlier, quieter stratum."""
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), may_tell=True, gateways=180)
-    gateway = bench.gateway
-    instance = gateway.fleet.by_id[NEW[0]["id"]]
+    driver = GatewayDriver(OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), may_tell=True, gateways=180)
+    gateway = driver.gateway
+    instance = gateway.fleet.by_id[NEW_ROWS[0]["id"]]
     for errored in (True, False):
         message = SampleMessage.pack(Sample(0, 2500 * MS, errored, instance, 0, 1.0, 0), 0)
         gateway.on_peer(90_000 * MS, 5, message)
@@ -237,81 +251,97 @@
     assert first.errored and first.latency == 2500 * MS
 
 
-def judges_after(bench, living):
+def judges_after(driver, living):
     """The judges of the newest build once the membership has changed."""
-    bench.gateway.on_members(bench.host.now, living)
-    return bench.gateway.judges(bench.gateway.newest)
+    driver.gateway.on_members(driver.host.now, living)
+    return driver.gateway.judges(driver.gateway.newest)
 
 
 def test_dead_judge_is_replaced_by_one_that_gets_past_samples_and_none_gets_duplicates():
-    bench = Bench(
-        OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0], may_tell=True, gateways=20, number=3
+    driver = GatewayDriver(
+        OLD_ROWS + NEW_ROWS,
+        news=(2, 0, "trial", 1.0),
+        stage_caps=[1.0, 1.0],
+        may_tell=True,
+        gateways=20,
+        number=3,
     )
     # this gateway, number 3, is left out so that it is no judge itself
     everybody = {n: 100 + n for n in range(20) if n != 3}
-    first = judges_after(bench, everybody)
-    bench.serve(3_000 * MS, steady())
-    sent = bench.host.named("send_to_peer")
+    first = judges_after(driver, everybody)
+    driver.serve(3_000 * MS, steady())
+    sent = driver.host.calls_named("send_to_peer")
     assert {a[0] for _, _, a in sent} == set(first) and all(len(a[1]) == 8 for _, _, a in sent)
-    second = judges_after(bench, {n: at for n, at in everybody.items() if n != first[0]})
+    second = judges_after(driver, {n: at for n, at in everybody.items() if n != first[0]})
     new = [n for n in second if n not in first]
-    again = bench.host.named("send_to_peer")[len(sent) :]
+    again = driver.host.calls_named("send_to_peer")[len(sent) :]
     assert len(new) == 1 and {a[0] for _, _, a in again} == set(new) and 8 <= len(again) <= 40
     assert (
         all(SampleMessage.unpack(a[1])[5] >= 0 for _, _, a in again)
         and max(SampleMessage.unpack(a[1])[5] for _, _, a in again) > 0
     )
-    count = len(bench.host.named("send_to_peer"))
-    judges_after(bench, {n: at for n, at in everybody.items() if n != first[0]})
-    judges_after(bench, everybody)  # the first is back with the same start: it has the samples
-    assert len(bench.host.named("send_to_peer")) == count
-    judges_after(bench, everybody | {first[0]: 999})  # it was restarted and has none
-    assert {a[0] for _, _, a in bench.host.named("send_to_peer")[count:]} == {first[0]}
+    count = len(driver.host.calls_named("send_to_peer"))
+    judges_after(driver, {n: at for n, at in everybody.items() if n != first[0]})
+    judges_after(driver, everybody)  # the first is back with the same start: it has the samples
+    assert len(driver.host.calls_named("send_to_peer")) == count
+    judges_after(driver, everybody | {first[0]: 999})  # it was restarted and has none
+    assert {a[0] for _, _, a in driver.host.calls_named("send_to_peer")[count:]} == {first[0]}
 
 
 def test_no_report_of_another_gateway_lifts_a_restriction():
-    bench = Bench(OLD + NEW, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
+    driver = GatewayDriver(OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), stage_caps=[1.0, 1.0])
 
     def sent(count=40):
-        before = len(bench.host.named("send_forward"))
+        before = len(driver.host.calls_named("send_forward"))
         for _ in range(count):
-            bench.hit()
-            if bench.host.open:
-                bench.end(bench.host.open[0])
-            bench.host.now += 10 * MS
-        return {a[1][0] for _, _, a in bench.host.named("send_forward")[before:]}
+            driver.hit()
+            if driver.host.open:
+                driver.end(driver.host.open[0])
+            driver.host.now += 10 * MS
+        return {a[1][0] for _, _, a in driver.host.calls_named("send_forward")[before:]}
 
     assert "n" in sent()
-    bench.gateway.on_shut(bench.host.now, 2)
+    driver.gateway.on_build_blocked(driver.host.now, 2)
     assert sent() == {"i"}
-    bench.news(2, 0, "trial", 1.0)
-    bench.gateway.on_shut(bench.host.now, None)  # as the host reports it once the desk has answered
+    driver.news(2, 0, "trial", 1.0)
+    driver.gateway.on_build_blocked(
+        driver.host.now, None
+    )  # as the host reports it once the desk has answered
     assert "n" in sent()
-    tags = [SampleMessage.instance_tag(one["id"], 1) for one in OLD]
-    bench.gateway.on_drains(bench.host.now, tags + [1, 2])
+    tags = [SampleMessage.instance_tag(one["id"], 1) for one in OLD_ROWS]
+    driver.gateway.on_drains(driver.host.now, tags + [1, 2])
     assert sent() == {"n"}
-    bench.gateway.on_list(bench.host.now, False, [OLD[0]])
-    bench.news(2, 0, "going back", 0.0)
+    driver.gateway.on_list(driver.host.now, False, [OLD_ROWS[0]])
+    driver.news(2, 0, "going back", 0.0)
     assert sent() == {"i"}
-    bench.gateway.on_shut(bench.host.now, None)  # lifts nothing that the desk has ordered
+    driver.gateway.on_build_blocked(driver.host.now, None)  # lifts nothing that the desk has ordered
     assert sent() == {"i"}
 
 
 def test_no_more_sticky_keys_are_bound_to_a_trial_than_its_cap_serves():
     """If each hit could bind its key, all keys would be bound to the trial one by one, and the hits beyond
     its cap would be rejected."""
-    bench = Bench(
-        OLD + NEW, news=(2, 0, "trial", 0.2), stage_caps=[0.2, 1.0], keys_stay=True, exposure_free=50
+    driver = GatewayDriver(
+        OLD_ROWS + NEW_ROWS,
+        news=(2, 0, "trial", 0.2),
+        stage_caps=[0.2, 1.0],
+        keys_stay=True,
+        exposure_free=50,
     )
     for n in range(2_000):
-        bench.hit(key=n % 40)
-        bench.end(bench.host.open[0])
-        bench.host.now += 20 * MS
-    assert not bench.host.named("reject_hit")
-    bound = [key for key, build in bench.gateway.kept_keys.items() if build.number == 2]
+        driver.hit(key=n % 40)
+        driver.end(driver.host.open[0])
+        driver.host.now += 20 * MS
+    assert not driver.host.calls_named("reject_hit")
+    bound = [key for key, build in driver.gateway.kept_keys.items() if build.number == 2]
     assert 2 <= len(bound) <= 16  # 8 on average
-    other = Bench(
-        OLD + NEW, news=(2, 0, "trial", 0.2), stage_caps=[0.2, 1.0], keys_stay=True, seed=9, number=2
+    other = GatewayDriver(
+        OLD_ROWS + NEW_ROWS,
+        news=(2, 0, "trial", 0.2),
+        stage_caps=[0.2, 1.0],
+        keys_stay=True,
+        seed=9,
+        number=2,
     )
     assert all(other.gateway.may_bind_key(key, other.gateway.newest) == (key in bound) for key in range(40))
     other.news(2, 1, "trial", 1.0)
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -12,8 +12,8 @@
 
 class Run:
     def __init__(self, folder, hosts, layout):
-        self.loop = Loop(EpollKernel(), lambda task, trouble: self.deaths.append((task.name, trouble)))
-        self.deaths = []
+        self.loop = Loop(EpollKernel(), lambda task, trouble: self.task_failures.append((task.name, trouble)))
+        self.task_failures = []
         self.town = HostCluster(self.loop, folder, hosts, layout)
 
     def go(self, generator):
@@ -80,7 +80,7 @@
         return seen
 
     seen = run.go(go())
-    assert not run.deaths
+    assert not run.task_failures
     assert "WronglySigned" in str(seen["forged"]) and "FetchFailed" in str(seen["corrupt"])
     assert all(seen[flaw] for flaw in ("exit", "deaf", "cut")), seen
 
@@ -125,7 +125,7 @@
         assert "gone" in [state for _, _, _, state, _ in town.registry_log[gone:]]
 
     run.go(go())
-    assert not run.deaths
+    assert not run.task_failures
 
 
 def test_keys_are_rotated_and_the_build_of_the_old_key_can_still_be_gone_back_to(tmp_path):
@@ -179,4 +179,4 @@
         )
 
     run.go(go())
-    assert not run.deaths
+    assert not run.task_failures
--- a/tests/world.py
+++ b/tests/world.py
@@ -22,7 +22,7 @@
 
 SECOND = 1_000_000
 LIMITS = http1.MessageLimits(head=1 << 20, body=1 << 28)
-SHEET = """
+SETTINGS = """
 path_group(name = "look", kind = "repeatable", target_latency = ms(400), client_timeout = ms(1500))
 path_group(name = "hold", kind = "tagged", scope = "all", repeat_window = s(3), target_latency = ms(400),
            client_timeout = ms(1500))
@@ -37,7 +37,7 @@
         vote_life = s(5), vote_wait = ms(300), dwell = ms(500))
 rules(drain_grace = ms(250), cold_time = s(2), cold_share = 0.5, overload_factor = 2.0, tip_time = ms(1500))
 reports(names = ["inflight"])
-%(more)s
+%(extra_settings)s
 listing(address = "127.0.0.1:%(list)d", by = "%(by)s", ask_within = ms(900))
 desk(address = "127.0.0.1:%(desk)d", platform = "127.0.0.1:%(desk)d")
 gateway(number = 0, zone = "a", door = "127.0.0.1:%(door)d", peers = "127.0.0.1:%(peers)d")
@@ -54,11 +54,11 @@
         return lambda event, **fields: self.lines.append((level, event, fields))
 
 
-class Around:
+class WorldBase:
     """The base of the test worlds of all gateways.
 
-    A subclass sets `loop`, `lock` (the reserved ports), `deaths` (tasks that failed) and `door` (the address
-    for clients); its `opened()` returns whether the gateway accepts clients.
+    A subclass sets `loop`, `lock` (the reserved ports), `task_failures`, and `listen_address` (the
+    address for clients); its `opened()` returns whether the gateway accepts clients.
     """
 
     def run(self, generator, bound=12 * SECOND):
@@ -79,7 +79,7 @@
         finally:
             self.loop.close()
             self.lock.close()
-            assert not self.deaths, self.deaths
+            assert not self.task_failures, self.task_failures
             assert not self.loop.tasks, self.loop.tasks
 
     def finish(self, task):
@@ -94,7 +94,7 @@
 
     def raw(self, data):
         """Sends bytes on a connection of its own; returns what the gateway sends until it closes."""
-        connection, received = (yield from dial(self.loop, self.door, SECOND)), b""
+        connection, received = (yield from dial(self.loop, self.listen_address, SECOND)), b""
         try:
             yield from connection.write(data)
             while data_read := (yield from connection.read()):
@@ -105,25 +105,30 @@
         return received
 
 
-class World(Around):
+class World(WorldBase):
     """A world with one HTTP gateway.
 
     `scripts`: one coroutine function `(world, connection)` per instance, called for each connection to it.
-    `more`: further settings. `by`: how the gateway gets the list, "push" or "asking". `seen`: connections per
-    instance. `got`: (head, body) of the requests that `good` has received. `rows`, `revision`: the list.
-    `asked`: how often the list was polled.
+    `extra_settings`: further lines of the settings. `by`: how the gateway gets the list, "push" or "asking".
+    `connection_counts`: connections per instance. `received_requests`: (head, body) of the requests that
+    `answer_ok` has received. `rows`, `revision`: the list. `list_polls`: how often the list was polled.
     """
 
-    def __init__(self, *scripts, more="", decisions=None, by="push"):
-        self.deaths = []
-        self.loop = Loop(EpollKernel(), lambda task, error: self.deaths.append((task.name, error)))
+    def __init__(self, *scripts, extra_settings="", decisions=None, by="push"):
+        self.task_failures = []
+        self.loop = Loop(EpollKernel(), lambda task, error: self.task_failures.append((task.name, error)))
         self.log, self.votes, self.list_streams, self.answer_vote = Log(), [], [], None
-        self.asked, self.list_unavailable = 0, False
+        self.list_polls, self.list_unavailable = 0, False
         self.lock, base = reserve_ports(self.loop.kernel, 4)
         names = {"list": base, "desk": base + 1, "door": base + 2, "peers": base + 3}
-        self.door = ("127.0.0.1", names["door"])
-        self.settings = read_settings("test.star", SHEET % {**names, "more": more, "by": by})
-        self.rows, self.revision, self.seen, self.got = [], 0, [0] * len(scripts), []
+        self.listen_address = ("127.0.0.1", names["door"])
+        self.settings = read_settings(
+            "test.star", SETTINGS % {**names, "extra_settings": extra_settings, "by": by}
+        )
+        self.rows = []
+        self.revision = 0
+        self.connection_counts = [0] * len(scripts)
+        self.received_requests = []
         for n, script in enumerate(scripts):
             listener = self.loop.kernel.listen(("127.0.0.1", 0), 64)
             host, port = listener.address()
@@ -154,7 +159,7 @@
         """The connection handler of an instance: counts the connection and runs its script."""
 
         def handle_connection(connection):
-            self.seen[number] += 1
+            self.connection_counts[number] += 1
             yield from script(self, connection)
 
         return handle_connection
@@ -164,7 +169,7 @@
         if self.list_unavailable:
             raise RpcError(503, "not now")
         if "watch" not in request.query:
-            self.asked += 1
+            self.list_polls += 1
             whole = {"epoch": "e", "revision": self.revision, "base": None, "rows": self.rows}
             return json_response(200, whole)
         stream = ResponseStream()
@@ -172,7 +177,7 @@
         self.list_streams.append(stream)
         return stream
 
-    def tell(self, row):
+    def push_row(self, row):
         """Changes one row of the list and pushes the change."""
         self.rows = [r if r["id"] != row["id"] else row for r in self.rows]
         self.revision += 1
@@ -196,7 +201,7 @@
 
     def connect(self):
         """A new client connection."""
-        return (yield from dial(self.loop, self.door, SECOND))
+        return (yield from dial(self.loop, self.listen_address, SECOND))
 
     def ask(self, method="GET", path="/look", fields=(), body=b"", connection=None):
         """Sends one request, by default on a new connection; returns (status, head, body)."""
@@ -207,7 +212,7 @@
             if path == "/hold" and not any(name == b"idempotency-key" for name, _ in fields):
                 fields.append((b"idempotency-key", b"m1"))
             yield from connection.write(http1.request(method, path, fields, body))
-            return (yield from answer_of(connection, method == "HEAD"))
+            return (yield from read_response(connection, method == "HEAD"))
         finally:
             if own_connection:
                 connection.close()
@@ -220,7 +225,7 @@
         return statuses
 
 
-def answer_of(connection, no_body=False):
+def read_response(connection, no_body=False):
     """Reads one response; returns (status, head, body). `no_body`: it is the response to a HEAD request."""
     parser, head, body = http1.ResponseParser(LIMITS, no_body), None, b""
     while True:
@@ -234,7 +239,7 @@
                 return head.status, head, body
 
 
-def requests(connection):
+def request_reader(connection):
     """Returns `get`: each `head, body = yield from get()` reads a request; (None, b"") at the end."""
     parser, events, state = http1.RequestParser(LIMITS), [], [None, b""]
 
@@ -256,18 +261,18 @@
     return get
 
 
-def good(world, connection, body=b"fine", fields=()):
+def answer_ok(world, connection, body=b"fine", fields=()):
     """The script of an instance that answers every request with 200."""
-    get = requests(connection)
+    get = request_reader(connection)
     while True:
         head, request_body = yield from get()
         if head is None:
             return
-        world.got.append((head, request_body))
+        world.received_requests.append((head, request_body))
         yield from connection.write(http1.response(200, list(fields), body))
 
 
-def endings(world):
+def forward_failures(world):
     """How often each key of FORWARD_RESULTS but "answer" occurred."""
     return {
         observation: n
@@ -276,6 +281,6 @@
     }
 
 
-def hits(world):
+def outcome_counts(world):
     """The frontend's counters, by outcome."""
     return {k: v for k, v in world.process.frontend.counts.items()}
