--- a/cobaltpond/loop/__init__.py
+++ b/cobaltpond/loop/__init__.py
@@ -1,7 +1,10 @@
-"""The only room that knows the operating system: clock, epoll, sockets, timers, tasks, processes, files."""
+"""Event loop and access to the operating system: clock, epoll, sockets, timers, tasks, processes and
+files. No other package calls the operating system directly.
+"""
 
 from cobaltpond.loop.errors import ConnectionLostError, HandlesExhaustedError, RefusedError, UnreachableError
-from cobaltpond.loop.kernel import EpollKernel, Kernel
+from cobaltpond.loop.kernel import EpollKernel
+from cobaltpond.loop.kernel_interface import Kernel
 from cobaltpond.loop.ports import reserve_ports
 from cobaltpond.loop.process import map_in_workers, run_component
 from cobaltpond.loop.streams import Connection, dial, serve
--- a/cobaltpond/loop/errors.py
+++ b/cobaltpond/loop/errors.py
@@ -1,39 +1,55 @@
-"""What can be wrong with a socket, in the room's own words."""
+"""Errors of sockets and connections, independent of the kernel that reports them."""
 
 import errno
 import os
 
-LOST = {errno.ECONNRESET, errno.EPIPE, errno.ENOTCONN, errno.ECONNABORTED, errno.ETIMEDOUT, errno.EBADF}
-USED_UP = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
+LOST_CONNECTION_CODES = {
+    errno.ECONNRESET,
+    errno.EPIPE,
+    errno.ENOTCONN,
+    errno.ECONNABORTED,
+    errno.ETIMEDOUT,
+    errno.EBADF,
+}
+EXHAUSTED_CODES = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 
 
 class ConnectionLostError(Exception):
-    """The connection is gone: reset, broken, or closed on our side."""
+    """The connection has ended: it was reset, broke, or was closed on this side."""
 
 
 class RefusedError(Exception):
-    """Nobody listens at that address."""
+    """The peer refused the connection (nothing listens at the address), or another process holds the file
+    lock.
+    """
 
 
 class UnreachableError(Exception):
-    """No connection, for another reason than a refusal."""
+    """A connection, a listener or a process could not be opened for a reason other than a refusal."""
 
 
 class HandlesExhaustedError(Exception):
-    """The process may open no more files or sockets now."""
+    """The process has reached its file descriptor limit, or the system is out of sockets, buffers or local
+    ports.
+    """
 
 
-def translate_os_error(trouble: OSError) -> Exception:
-    if trouble.errno in LOST:
-        return ConnectionLostError(os.strerror(trouble.errno))
-    if trouble.errno == errno.ECONNREFUSED:
-        return RefusedError(os.strerror(trouble.errno))
-    if trouble.errno in USED_UP:
-        return HandlesExhaustedError(os.strerror(trouble.errno))
-    return UnreachableError(str(trouble))
+def translate_os_error(error: OSError) -> Exception:
+    """Returns the error of this module that stands for the `errno` of an OSError; UnreachableError for any
+    other code.
+    """
+    if error.errno in LOST_CONNECTION_CODES:
+        return ConnectionLostError(os.strerror(error.errno))
+    if error.errno == errno.ECONNREFUSED:
+        return RefusedError(os.strerror(error.errno))
+    if error.errno in EXHAUSTED_CODES:
+        return HandlesExhaustedError(os.strerror(error.errno))
+    return UnreachableError(str(error))
 
 
 def error_name(error: BaseException) -> str:
-    """The name under which an error is reported to another process: the `outer_name` of its class where it
-    has one, so that a class can be renamed without a change of what is sent, else the name of the class."""
+    """Returns the name under which an error is reported to another process. This is the `outer_name` of
+    its class where it has one, so that a class can be renamed without changing what is sent; otherwise
+    it is the name of the class.
+    """
     return getattr(error, "outer_name", type(error).__name__)
--- a/cobaltpond/loop/kernel.py
+++ b/cobaltpond/loop/kernel.py
@@ -1,10 +1,4 @@
-"""The seam to the operating system. All that the program reads, waits for or changes outside itself goes
-through a `Kernel`; another kernel (a virtual clock with seeded faults) can take its place unseen.
-
-Handles are non-blocking: an operation that cannot go on now returns None, one that never will raises one of
-the errors below. `poll` reports a handle once each time that it becomes ready (edge-triggered, epoll(7)):
-whoever was told None must wait for the next report; whoever has not tried yet must try first.
-"""
+"""The kernel of a real process, on epoll; `kernel_interface.py` describes the contract of all kernels."""
 
 import errno
 import fcntl
@@ -14,142 +8,133 @@
 import signal
 import socket
 import time
-from typing import Protocol
 
-from cobaltpond.loop.children import MARK, AdoptedProcess, ChildProcess, has_mark, marked
+from cobaltpond.loop.children import (
+    MARK_VARIABLE,
+    AdoptedProcess,
+    ChildProcess,
+    find_marked_processes,
+    has_mark,
+)
 from cobaltpond.loop.errors import RefusedError, UnreachableError, translate_os_error
 from cobaltpond.loop.sockets import Datagrams, Handle, Listener, Stream
 
-READ, WRITE = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
-BROKEN = select.EPOLLERR | select.EPOLLHUP
-
-
-class Kernel(Protocol):
-    """What the program asks of the world. Times are whole microseconds of a clock that never goes back."""
-
-    def now(self) -> int: ...
-    def random_seed(self) -> int: ...
-    def poll(self, until: int | None) -> list: ...
-    def run_loop(self, loop, main): ...
-    def freeze_memory(self) -> None: ...
-    def listen(self, address: tuple[str, int], backlog: int): ...
-    def dial(self, address: tuple[str, int]): ...
-    def open_datagrams(self, address: tuple[str, int]): ...
-    def spawn(self, argv: list[str], output: str, mark: str = ""): ...
-    def adopt_process(self, mark: str): ...
-    def marked_processes(self) -> list[tuple[int, str]]: ...
-    def command_lines(self) -> list[tuple[int, list[str]]]: ...
-    def kill_process(self, pid: int) -> None: ...
-    def on_signals(self, call) -> None: ...
-    def read_file(self, path: str) -> bytes | None: ...
-    def replace_file(self, path: str, data: bytes, sync: bool = True) -> None: ...
-    def append_file(self, path: str): ...
-    def write_file(self, path: str, data: bytes, mode: int = 0o644) -> None: ...
-    def rename(self, path: str, to: str) -> None: ...
-    def sync_folder(self, path: str) -> None: ...
-    def make_folder(self, path: str) -> None: ...
-    def list_folder(self, path: str) -> list[str]: ...
-    def remove(self, path: str) -> None: ...
-    def truncate(self, path: str, size: int) -> None: ...
-    def file_size(self, path: str) -> int | None: ...
-    def file_age(self, path: str) -> int: ...
-    def touch(self, path: str) -> None: ...
-    def free_space(self, path: str) -> int: ...
-    def lock_file(self, path: str): ...
-    def wall_clock(self) -> int: ...
+READ_EVENTS, WRITE_EVENTS = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
+ERROR_EVENTS = select.EPOLLERR | select.EPOLLHUP
 
 
 class AppendFile:
-    """A file that only grows."""
+    """A file that is only appended to, buffered in this process."""
 
     def __init__(self, path: str):
         self.file = open(path, "ab", buffering=1 << 16)
 
     def write(self, data: bytes) -> None:
+        """Appends to the buffer, which is written out when it is full."""
         self.file.write(data)
 
     def flush(self) -> None:
+        """Writes the buffer to the operating system; the data may not be on disk yet."""
         self.file.flush()
 
     def sync(self) -> None:
+        """Writes the buffer out and waits until the data is on disk (fsync)."""
         self.file.flush()
         os.fsync(self.file.fileno())
 
     def close(self) -> None:
+        """Writes the buffer out and closes the file; calling it again does nothing."""
         self.file.close()
 
 
 class EpollKernel:
-    """The real world of one process."""
+    """The kernel of a real process: epoll, sockets, the file system and child processes."""
 
     def __init__(self):
         self.epoll, self.handles, self.wake_fd = select.epoll(), {}, None
         self.signal_handler, self.pending_signals = None, []
 
     def now(self) -> int:
+        """Returns the monotonic time in microseconds."""
         return time.monotonic_ns() // 1000
 
     def random_seed(self) -> int:
+        """Returns 64 random bits of the operating system as an integer."""
         return int.from_bytes(os.urandom(8), "big")
 
     def register_handle(self, handle: Handle) -> None:
-        number = handle.sock.fileno()
-        self.handles[number] = handle
-        self.epoll.register(number, READ | WRITE | select.EPOLLET)
+        """Adds a handle to the epoll set, edge-triggered for reading and writing."""
+        descriptor = handle.sock.fileno()
+        self.handles[descriptor] = handle
+        self.epoll.register(descriptor, READ_EVENTS | WRITE_EVENTS | select.EPOLLET)
 
     def unregister_handle(self, handle: Handle) -> None:
-        number = handle.sock.fileno()
-        self.handles.pop(number, None)
+        """Removes a handle from the epoll set; does nothing if it is not in it."""
+        descriptor = handle.sock.fileno()
+        self.handles.pop(descriptor, None)
         try:
-            self.epoll.unregister(number)
+            self.epoll.unregister(descriptor)
         except (OSError, ValueError):
             pass
 
     def poll(self, until: int | None) -> list[tuple[Handle, bool, bool]]:
-        """Waits until something is ready or the time has come; None waits without end."""
-        wait = -1 if until is None else max(0, until - self.now()) / 1e6
+        """Waits until a handle is ready or the time has come (None: without limit), and calls the signal
+        handler for the signals that have arrived. Errors and hang-ups are reported as readable and
+        writable.
+        """
+        timeout_s = -1 if until is None else max(0, until - self.now()) / 1e6
         ready = []
-        for number, mask in self.epoll.poll(wait):
-            if number == self.wake_fd:
-                os.read(number, 4096)
+        for descriptor, mask in self.epoll.poll(timeout_s):
+            if descriptor == self.wake_fd:
+                os.read(descriptor, 4096)
                 continue
-            handle = self.handles.get(number)
+            handle = self.handles.get(descriptor)
             if handle is not None:
-                ready.append((handle, bool(mask & (READ | BROKEN)), bool(mask & (WRITE | BROKEN))))
+                ready.append(
+                    (
+                        handle,
+                        bool(mask & (READ_EVENTS | ERROR_EVENTS)),
+                        bool(mask & (WRITE_EVENTS | ERROR_EVENTS)),
+                    )
+                )
         while self.pending_signals:
             self.signal_handler(self.pending_signals.pop(0))
         return ready
 
     def run_loop(self, loop, main):
-        """Gives the loop its turns until the main task has ended, then cancels what is left. Gives what it
-        gave."""
+        """Runs the loop until the main task has ended, then cancels the remaining tasks. Returns the
+        result of the main task or raises its error.
+        """
         try:
             return loop.run(main)
         finally:
             loop.close()
 
     def freeze_memory(self) -> None:
-        """What is in memory now stays: later collections pass it over."""
+        """Collects garbage once and excludes the objects that remain from later collections."""
         gc.collect()
         gc.freeze()
 
     def listen(self, address, backlog=128) -> Listener:
+        """Opens a listening TCP socket. Raises UnreachableError where the address cannot be used."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             sock.bind(tuple(address))
             sock.listen(backlog)
-        except OSError as trouble:
+        except OSError as error:
             sock.close()
-            raise UnreachableError(f"cannot listen at {address[0]}:{address[1]}: {trouble}") from None
+            raise UnreachableError(f"cannot listen at {address[0]}:{address[1]}: {error}") from None
         return Listener(self, sock)
 
     def dial(self, address) -> Stream:
-        """A connection that is being made: wait until writable, then ask `connected`."""
+        """Starts a TCP connection: wait until the stream is writable, then call `connected`. Raises an
+        error of `errors.py` where it fails at once.
+        """
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        except OSError as trouble:
-            raise translate_os_error(trouble) from None
+        except OSError as error:
+            raise translate_os_error(error) from None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(tuple(address))
         if code not in (0, errno.EINPROGRESS):
@@ -158,44 +143,48 @@
         return Stream(self, sock)
 
     def open_datagrams(self, address) -> Datagrams:
+        """Opens a UDP socket that is bound to the address. Raises OSError where the address cannot be
+        used.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(tuple(address))
         return Datagrams(self, sock)
 
     def spawn(self, argv, output, mark="") -> ChildProcess:
-        """Starts a process that leads its own session and group; what it prints goes to the end of a file. A
-        mark lets a later start of this program find it again, see `adopt_process`. Raises UnreachableError
-        where it cannot start."""
-        import subprocess  # not on the path of `run`, which may start nothing
+        """Starts a process that leads its own session and process group; its output is appended to a file.
+        A mark lets a later run of this program find it again, see `adopt_process`. Raises
+        UnreachableError where it cannot start.
+        """
+        import subprocess  # imported here: the `run` command loads this module and may start no process
 
         try:
-            with open(output, "ab") as sink:
+            with open(output, "ab") as output_file:
                 return ChildProcess(
                     subprocess.Popen(
                         argv,
                         stdin=subprocess.DEVNULL,
-                        stdout=sink,
-                        stderr=sink,
+                        stdout=output_file,
+                        stderr=output_file,
                         start_new_session=True,
-                        env={**os.environ, MARK: mark},
+                        env={**os.environ, MARK_VARIABLE: mark},
                     )
                 )
-        except OSError as trouble:
-            raise UnreachableError(f"{argv[0]}: {trouble}") from None
+        except OSError as error:
+            raise UnreachableError(f"{argv[0]}: {error}") from None
 
     def adopt_process(self, mark) -> AdoptedProcess | None:
-        """The living process that was started with this mark."""
+        """Returns the running process that was started with this mark, or None."""
         for name in os.listdir("/proc"):
             if name.isdigit() and has_mark(int(name), mark):
                 return AdoptedProcess(int(name), mark)
         return None
 
     def marked_processes(self) -> list[tuple[int, str]]:
-        """(pid, mark) of every living process that was started with a mark and leads its group."""
-        return marked()
+        """Returns (pid, mark) of every running process that was started with a mark and leads its group."""
+        return find_marked_processes()
 
     def command_lines(self) -> list[tuple[int, list[str]]]:
-        """(pid, words) of every other process that shows them."""
+        """Returns (pid, arguments) of every other process whose command line is readable."""
         found = []
         for name in os.listdir("/proc"):
             if name.isdigit() and int(name) != os.getpid():
@@ -207,15 +196,18 @@
         return found
 
     def kill_process(self, pid) -> None:
+        """Sends SIGKILL; does nothing where there is no such process."""
         try:
             os.kill(pid, signal.SIGKILL)
         except ProcessLookupError:
             pass
 
-    def on_signals(self, call) -> None:
-        """`call(name)` in the loop's turn after TERM, INT or HUP has come."""
+    def on_signals(self, handler) -> None:
+        """Registers `handler(name)`, which `poll` calls after SIGTERM, SIGINT or SIGHUP has arrived; a
+        pipe in the epoll set wakes the loop.
+        """
         read, write = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
-        self.wake_fd, self.signal_handler = read, call
+        self.wake_fd, self.signal_handler = read, handler
         self.epoll.register(read, select.EPOLLIN)
         for name in ("TERM", "INT", "HUP"):
             signal.signal(
@@ -224,10 +216,11 @@
         signal.set_wakeup_fd(write, warn_on_full_buffer=False)
 
     def environment_variable(self, name) -> str | None:
-        """Of the environment that the process was started with."""
+        """Returns a variable of the environment that the process was started with, or None."""
         return os.environ.get(name)
 
     def read_file(self, path) -> bytes | None:
+        """Returns the content of a file, or None where there is none."""
         try:
             with open(path, "rb") as file:
                 return file.read()
@@ -235,29 +228,33 @@
             return None
 
     def replace_file(self, path, data, sync=True) -> None:
-        """All of it or none: write aside, sync, rename, sync of the folder (rename(2))."""
-        aside = f"{path}.new"
+        """Replaces a file atomically: writes a temporary file beside it, syncs it, renames it over the old
+        one and syncs the folder (rename(2)). Without `sync` the two syncs are left out.
+        """
+        temporary_path = f"{path}.new"
         if sync:
-            self.write_file(aside, data)
-            self.rename(aside, path)
+            self.write_file(temporary_path, data)
+            self.rename(temporary_path, path)
             self.sync_folder(os.path.dirname(os.path.abspath(path)))
         else:
-            with open(aside, "wb") as file:
+            with open(temporary_path, "wb") as file:
                 file.write(data)
-            os.replace(aside, path)
+            os.replace(temporary_path, path)
 
     def write_file(self, path, data, mode=0o644) -> None:
-        """Written and synced; its name is not safe before `sync_folder`."""
-        number = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
-        with open(number, "wb") as file:
+        """Writes a file and syncs its content; its directory entry is durable only after `sync_folder`."""
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
+        with open(descriptor, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
 
     def rename(self, path, to) -> None:
+        """Renames a file or folder; a file or an empty folder at the new path is replaced."""
         os.replace(path, to)
 
     def sync_folder(self, path) -> None:
+        """Makes the entries of a folder durable (fsync)."""
         folder = os.open(path, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -265,51 +262,55 @@
             os.close(folder)
 
     def make_folder(self, path) -> None:
+        """Creates a folder and its parents where they are missing."""
         os.makedirs(path, exist_ok=True)
 
     def list_folder(self, path) -> list[str]:
-        """Names in order; none where there is no such folder."""
+        """Returns the sorted names in a folder; an empty list where there is no such folder."""
         try:
             return sorted(os.listdir(path))
         except FileNotFoundError:
             return []
 
     def remove(self, path) -> None:
-        """A file, or a folder with all in it; nothing where it is gone already."""
+        """Removes a file, or a folder with its content; does nothing where there is none."""
         if os.path.isdir(path) and not os.path.islink(path):
-            import shutil  # as above
+            import shutil  # imported here for the same reason as subprocess in `spawn`
 
             shutil.rmtree(path)
         elif os.path.lexists(path):
             os.remove(path)
 
     def truncate(self, path, size) -> None:
+        """Cuts a file to `size` bytes and syncs it."""
         with open(path, "r+b") as file:
             file.truncate(size)
             os.fsync(file.fileno())
 
     def file_size(self, path) -> int | None:
-        """None where there is no such file."""
+        """Returns the size in bytes, or None where there is no such file."""
         try:
             return os.stat(path).st_size
         except FileNotFoundError:
             return None
 
     def file_age(self, path) -> int:
-        """Microseconds since it was last written or touched."""
+        """Returns the microseconds since the file was last written or touched."""
         return max(0, self.wall_clock() - os.stat(path).st_mtime_ns // 1000)
 
     def touch(self, path) -> None:
+        """Sets the modification time of a file to now."""
         os.utime(path)
 
     def free_space(self, path) -> int:
-        """Bytes that an ordinary user may still write there."""
-        state = os.statvfs(path)
-        return state.f_bavail * state.f_frsize
+        """Returns the bytes that an unprivileged user may still write to the file system of the path."""
+        stats = os.statvfs(path)
+        return stats.f_bavail * stats.f_frsize
 
     def lock_file(self, path):
-        """Holds a file for this process alone while the result is kept. Raises RefusedError where another has
-        it."""
+        """Locks a file for this process until the returned object is closed. Raises RefusedError where
+        another process holds the lock.
+        """
         file = open(path, "ab")
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -319,8 +320,11 @@
         return file
 
     def wall_clock(self) -> int:
-        """Microseconds since 1970, for expiry and ages of files only: it may jump."""
+        """Returns microseconds since the Unix epoch. The clock may jump: it serves only for expiry and
+        file ages.
+        """
         return time.time_ns() // 1000
 
     def append_file(self, path) -> AppendFile:
+        """Opens a file for appending."""
         return AppendFile(path)
--- a/cobaltpond/loop/process.py
+++ b/cobaltpond/loop/process.py
@@ -1,32 +1,38 @@
-"""A process that consists of one part with a `run` (its main task) and a `stop(signal name)`; pools of
-workers."""
+"""Runs a process that consists of one component, and pools of worker processes."""
 
 import os
 
 from cobaltpond.loop.tasks import Loop
 
 
-def run_component(kernel, make, log, name: str):
-    """`make(loop)` gives the part. Runs it until it ends by itself or by a signal, then cancels what is left.
-    A task that dies is logged with its stack and the rest goes on; a main task that dies ends the process."""
+def run_component(kernel, make_component, log, name: str):
+    """Runs one component on a new event loop and returns the result of its main task.
 
-    def died(task, trouble):
-        log.error("task died", task=task.name, exc_info=(type(trouble), trouble, trouble.__traceback__))
+    `make_component(loop)` returns the component: an object with a `run` generator, the main task, and a
+    `stop(signal name)` method. It runs until it ends by itself or after a signal; then the tasks that remain
+    are cancelled. A task that fails is logged with its stack trace and the other tasks go on; a main task
+    that fails ends the process with its exception.
+    """
 
-    loop = Loop(kernel, died)
-    part = make(loop)
-    kernel.on_signals(part.stop)
-    return kernel.run_loop(loop, loop.spawn(part.run(), name))
+    def log_failure(task, error):
+        log.error("task died", task=task.name, exc_info=(type(error), error, error.__traceback__))
 
+    loop = Loop(kernel, log_failure)
+    component = make_component(loop)
+    kernel.on_signals(component.stop)
+    return kernel.run_loop(loop, loop.spawn(component.run(), name))
 
-def map_in_workers(jobs: int, call, items, each: int = 30):
-    """Gives `call(item)` for every item, in order, worked out by `jobs` processes (0: one a core; 1: this
-    one). A worker is replaced after `each` items, so that what one leaves in memory goes."""
+
+def map_in_workers(jobs: int, function, items, items_per_worker: int = 30):
+    """Yields `function(item)` for every item, in order, computed by `jobs` processes (0: one per core; 1:
+    in this process). A worker process is replaced after `items_per_worker` items, which frees the
+    memory that the items left behind.
+    """
     jobs = jobs or os.cpu_count() or 1
     if jobs == 1:
-        yield from map(call, items)
+        yield from map(function, items)
         return
-    import multiprocessing  # not on the path of `run`, which may start nothing
+    import multiprocessing  # imported here: the `run` command loads this module and may start no process
 
-    with multiprocessing.get_context("spawn").Pool(jobs, maxtasksperchild=each) as pool:
-        yield from pool.imap(call, items)
+    with multiprocessing.get_context("spawn").Pool(jobs, maxtasksperchild=items_per_worker) as pool:
+        yield from pool.imap(function, items)
--- a/cobaltpond/loop/random_source.py
+++ b/cobaltpond/loop/random_source.py
@@ -1,8 +1,10 @@
-"""Seeded chance for stand-ins and tools; the decisions have their own (`decisions/records.py`)."""
+"""Seeded random numbers for stand-ins and tools. The decisions have their own generator
+(`decisions/records.py`).
+"""
 
 from random import Random
 
 
 def seeded_random(seed) -> Random:
-    """The same draws for the same seed."""
+    """Returns a generator that makes the same draws for the same seed."""
     return Random(seed)
--- a/cobaltpond/loop/sockets.py
+++ b/cobaltpond/loop/sockets.py
@@ -1,4 +1,6 @@
-"""Sockets as the real kernel gives them out: streams, listeners, datagrams. Non-blocking; see `kernel.py`."""
+"""Non-blocking sockets of the epoll kernel: streams, listeners and datagram sockets. `kernel.py` describes
+the contract.
+"""
 
 import os
 import socket
@@ -8,7 +10,9 @@
 
 
 class Handle:
-    """A socket known to the kernel; `reader` and `writer` are the tasks that wait for it."""
+    """A socket that is registered with the kernel. `reader` and `writer` are the tasks that wait until it
+    is readable or writable, or None.
+    """
 
     def __init__(self, kernel, sock: socket.socket):
         self.kernel, self.sock, self.reader, self.writer = kernel, sock, None, None
@@ -17,27 +21,32 @@
         kernel.register_handle(self)
 
     def close(self) -> None:
+        """Closes the socket and wakes the tasks that wait for it; calling it again does nothing."""
         if not self.closed:
             self.closed = True
             self.kernel.unregister_handle(self)
             self.sock.close()
-            for task in (self.reader, self.writer):  # they try again, and are told that it is gone
+            for task in (self.reader, self.writer):  # each tries again and gets ConnectionLostError
                 if task is not None:
                     task.wake()
             self.reader = self.writer = None
 
     def address(self) -> tuple[str, int]:
+        """Returns the local (host, port)."""
         return self.sock.getsockname()[:2]
 
 
 class Stream(Handle):
+    """A TCP connection, possibly one that is still being established."""
+
     def connected(self) -> bool:
-        """Is the dial through? Raises RefusedError, UnreachableError or HandlesExhaustedError where it has
-        failed."""
-        trouble = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if trouble:
-            wrong = translate_os_error(OSError(trouble, os.strerror(trouble)))
-            raise UnreachableError(str(wrong)) if isinstance(wrong, ConnectionLostError) else wrong
+        """Tells whether the connection is established. Raises RefusedError, UnreachableError or
+        HandlesExhaustedError where the attempt has failed.
+        """
+        code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if code:
+            error = translate_os_error(OSError(code, os.strerror(code)))
+            raise UnreachableError(str(error)) if isinstance(error, ConnectionLostError) else error
         try:
             self.sock.getpeername()
         except OSError:
@@ -45,35 +54,40 @@
         return True
 
     def recv(self, size: int) -> bytes | None:
-        """b"" at the peer's end of file."""
+        """Returns up to `size` bytes, b"" at the peer's end of file, or None if nothing is there yet.
+        Raises ConnectionLostError.
+        """
         if self.closed:
-            raise ConnectionLostError("closed here")
+            raise ConnectionLostError("the connection is closed on this side")
         try:
             return self.sock.recv(size)
         except BlockingIOError:
             return None
-        except OSError as trouble:
-            raise ConnectionLostError(str(trouble)) from None
+        except OSError as error:
+            raise ConnectionLostError(str(error)) from None
 
     def send(self, data) -> int | None:
+        """Returns how many bytes the system accepted, or None if its send buffer is full. Raises
+        ConnectionLostError.
+        """
         if self.closed:
-            raise ConnectionLostError("closed here")
+            raise ConnectionLostError("the connection is closed on this side")
         try:
             return self.sock.send(data)
         except BlockingIOError:
             return None
-        except OSError as trouble:
-            raise ConnectionLostError(str(trouble)) from None
+        except OSError as error:
+            raise ConnectionLostError(str(error)) from None
 
     def finish(self) -> None:
-        """Our end of file: the peer reads what was sent and then b""."""
+        """Shuts down the sending side: the peer reads what was sent and then b"". Reading goes on."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
 
     def abort(self) -> None:
-        """Closes with a reset: what is not yet sent is thrown away, and the peer sees it at once."""
+        """Closes with a reset: unsent data is discarded, and the peer sees the reset at once."""
         if not self.closed:
             try:
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -83,28 +97,38 @@
 
 
 class Listener(Handle):
+    """A listening TCP socket."""
+
     def accept(self) -> Stream | None:
-        """Raises HandlesExhaustedError where the process has no descriptor left; the caller stays in the
-        backlog."""
+        """Returns the next connection, or None if none waits. Raises HandlesExhaustedError where the
+        process has no file descriptor left; the connection then stays in the backlog.
+        """
         try:
             sock, _ = self.sock.accept()
         except (BlockingIOError, ConnectionAbortedError):
             return None
-        except OSError as trouble:
-            raise translate_os_error(trouble) from None
+        except OSError as error:
+            raise translate_os_error(error) from None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return Stream(self.kernel, sock)
 
 
 class Datagrams(Handle):
+    """A bound UDP socket."""
+
     def recv(self, size: int) -> tuple[bytes, tuple[str, int]] | None:
+        """Returns (data, sender address), or None if nothing is there. A datagram longer than `size` bytes
+        is cut off.
+        """
         try:
             return self.sock.recvfrom(size)
-        except OSError:  # also the ICMP error of an earlier send
+        except OSError:  # includes the ICMP error that an earlier send caused
             return None
 
     def send(self, data: bytes, address: tuple[str, int]) -> bool:
-        """False where it was not sent: it counts as lost on the way."""
+        """Sends one datagram. Returns False where the system did not send it; the caller treats it as lost
+        on the network.
+        """
         try:
             self.sock.sendto(data, address)
             return True
--- a/cobaltpond/loop/streams.py
+++ b/cobaltpond/loop/streams.py
@@ -1,10 +1,12 @@
-"""Bytes over a stream handle: reads, writes with back-pressure, dials with a time-out, a bounded accept."""
+"""TCP connections as tasks use them: reads, writes with back-pressure, dials with a deadline, and a
+bounded accept loop.
+"""
 
 from cobaltpond.loop.errors import ConnectionLostError, HandlesExhaustedError
 from cobaltpond.loop.tasks import Deadline, Readable, Sleep, TaskCancelledError, Writable
 
-CHUNK = 1 << 16
-LAST_TRIES = 50  # to take what waits in a backlog, with no descriptor left
+CHUNK = 1 << 16  # bytes  # bytes
+MAX_DRAIN_ATTEMPTS = 50  # attempts to accept the rest of the backlog while no file descriptor is free
 
 
 class Connection:
@@ -15,20 +17,25 @@
 
     @property
     def closed(self):
+        """Whether this side has closed the connection."""
         return self.handle.closed
 
     def read(self, size=CHUNK):
-        """The next bytes; b"" at the end. Raises ConnectionLostError."""
+        """Waits for the next bytes, at most `size`; b"" at the peer's end of file. Raises
+        ConnectionLostError.
+        """
         while (data := self.handle.recv(size)) is None:
             yield Readable(self.handle)
         return data
 
     def read_now(self, size=CHUNK):
-        """What is there without waiting; None where nothing is."""
+        """Returns the bytes that have arrived, b"" at the end of file, or None if there are none, without
+        waiting. Raises ConnectionLostError.
+        """
         return self.handle.recv(size)
 
     def write(self, data):
-        """Returns when the operating system has taken all of it. Raises ConnectionLostError."""
+        """Returns when the operating system has accepted all of the data. Raises ConnectionLostError."""
         view = memoryview(data)
         while view:
             sent = self.handle.send(view)
@@ -38,52 +45,63 @@
                 view = view[sent:]
 
     def write_now(self, data):
-        """How many bytes were taken without waiting."""
+        """Returns how many bytes the operating system accepted without waiting. Raises
+        ConnectionLostError.
+        """
         return self.handle.send(data) or 0
 
     def close(self):
+        """Closes the connection; calling it again does nothing. Written data is still sent, but the peer
+        sees a reset if received data is left unread.
+        """
         self.handle.close()
 
     def abort(self):
+        """Closes the connection with a reset and discards unsent data."""
         self.handle.abort()
 
 
-def dial(loop, address, time_out):
-    """A connection. Raises RefusedError, UnreachableError, HandlesExhaustedError, or DeadlineExceededError
-    after `time_out` microseconds."""
+def dial(loop, address, timeout):
+    """Opens a connection. Raises RefusedError, UnreachableError, HandlesExhaustedError, or
+    DeadlineExceededError after `timeout` microseconds.
+    """
     handle = loop.kernel.dial(address)
     try:
-        with Deadline(loop, time_out):
+        with Deadline(loop, timeout):
             while not handle.connected():
                 yield Writable(handle)
-        done, handle = handle, None
-        return Connection(loop, done)
+        connected_handle, handle = handle, None
+        return Connection(loop, connected_handle)
     finally:
         if handle is not None:
             handle.close()
 
 
-def serve(loop, listener, answer, most, name, pause=50_000, evict=lambda: False):
-    """Accepts for ever; `answer(connection)` is a task each, `most` (a number, or called) at once; the rest
-    waits.
+def serve(loop, listener, serve_connection, max_open, name, pause=50_000, evict=lambda: False):
+    """Accepts connections until it is cancelled and runs `serve_connection(connection)` as a task for
+    each.
+
+    At most `max_open` connections (a number, or a function that returns one) are open at once; further ones
+    wait in the backlog. At that bound, and when the file descriptor limit is reached, `evict()` closes a
+    connection that can be given up and returns whether there was one. If there is none, accepting pauses for
+    `pause` microseconds: open connections go on, and the loop does not spin.
 
-    Guards against used-up descriptors: `evict()` closes what can be spared and says whether there was any;
-    else accepting pauses, what is open goes on, and nothing spins.
+    When cancelled, it accepts what remains in the backlog before it closes the listener.
     """
-    open_now, number = [0], 0
+    open_count, accepted_count = [0], 0
 
-    def one(connection):
+    def run_connection(connection):
         try:
-            yield from answer(connection)
+            yield from serve_connection(connection)
         except ConnectionLostError:
             pass
         finally:
-            open_now[0] -= 1
+            open_count[0] -= 1
             connection.close()
 
     try:
         while True:
-            if open_now[0] >= (most() if callable(most) else most):
+            if open_count[0] >= (max_open() if callable(max_open) else max_open):
                 yield Sleep(0 if evict() else pause)
                 continue
             try:
@@ -94,25 +112,25 @@
             if handle is None:
                 yield Readable(listener)
                 continue
-            number += 1
-            open_now[0] += 1
-            loop.spawn(one(Connection(loop, handle)), f"{name}-{number}")
-            if number % 64 == 0:
-                yield Sleep(0)  # a flood of dials must not hold up the turn
+            accepted_count += 1
+            open_count[0] += 1
+            loop.spawn(run_connection(Connection(loop, handle)), f"{name}-{accepted_count}")
+            if accepted_count % 64 == 0:
+                yield Sleep(0)  # a burst of connections must not block the other tasks of the loop
     except TaskCancelledError:
-        # who waits in the backlog believes to be connected and may have sent something: take them all
-        tries = LAST_TRIES
-        while tries:
+        # Clients in the backlog see an established connection and may have sent a request: accept them all.
+        attempts_left = MAX_DRAIN_ATTEMPTS
+        while attempts_left:
             try:
                 handle = listener.accept()
-            except HandlesExhaustedError:  # they stay in the backlog until something is closed
-                tries -= 1
+            except HandlesExhaustedError:  # the clients stay in the backlog until a descriptor is closed
+                attempts_left -= 1
                 yield Sleep(0 if evict() else pause)
                 continue
             if handle is None:
                 break
-            open_now[0] += 1
-            loop.spawn(one(Connection(loop, handle)), f"{name}-last")
+            open_count[0] += 1
+            loop.spawn(run_connection(Connection(loop, handle)), f"{name}-last")
         raise
     finally:
         listener.close()
--- a/cobaltpond/loop/tasks.py
+++ b/cobaltpond/loop/tasks.py
@@ -1,114 +1,87 @@
-"""Generators as coroutines. A task yields what it waits for; the loop resumes it when that has come.
-
-Waits: `Readable(handle)`, `Writable(handle)`, `Sleep(delay)`, an `Event`, a `Task` (until it ends).
-Subroutines are called with `yield from`. A task is cancelled by throwing `TaskCancelledError` into it where
-it waits, so that its `finally` blocks run; a `Deadline` wraps any waits and throws `DeadlineExceededError`
-where they take too long. An exception that a task does not catch goes to whoever waits for it, else to
-`loop.on_death` with the task: never into nothing.
+"""Event loop with generators as coroutines: a task yields what it waits for, and the loop resumes it once
+that has happened.
+
+A task waits for `Readable(handle)`, `Writable(handle)`, `Sleep(delay)`, an `Event`, or a `Task` (until it
+ends). Subroutines are called with `yield from`. A task is cancelled by throwing `TaskCancelledError` into it
+where it waits, so that its `finally` blocks run; a `Deadline` encloses any waits and throws
+`DeadlineExceededError` where they take too long. An exception that a task does not catch is raised in the
+task that joins it, or else passed to `loop.on_task_failure`; it is never lost.
 """
 
-import heapq
 from collections import deque
-from itertools import count
+
+from cobaltpond.loop.timers import Timer, Timers
 
 
 class TaskCancelledError(BaseException):
-    """Thrown into a task that is to end. Not an Exception: no handler should swallow it by chance."""
+    """Thrown into a task that is cancelled. It is not an Exception, so that no general handler swallows
+    it.
+    """
 
 
 class DeadlineExceededError(Exception):
     """A deadline has passed."""
 
 
-class Timer:
-    __slots__ = ("at", "call", "loop")
-
-    def __init__(self, at, call, loop):
-        self.at, self.call, self.loop = at, call, loop
-
-    def cancel(self):
-        if self.call is not None:
-            self.call = None
-            self.loop.timers.timer_cancelled()
-
-
-class Timers:
-    """A heap with lazy removal; when half of it is cancelled it is built anew, so that cost stays log n."""
-
-    def __init__(self):
-        self.heap, self.number, self.cancelled_count = [], count(), 0
-
-    def add(self, timer):
-        heapq.heappush(self.heap, (timer.at, next(self.number), timer))
-
-    def timer_cancelled(self):
-        self.cancelled_count += 1
-        if self.cancelled_count > 64 and self.cancelled_count * 2 > len(self.heap):
-            self.heap = [entry for entry in self.heap if entry[2].call is not None]
-            heapq.heapify(self.heap)
-            self.cancelled_count = 0
-
-    def next_at(self):
-        while self.heap and self.heap[0][2].call is None:
-            heapq.heappop(self.heap)
-            self.cancelled_count -= 1
-        return self.heap[0][0] if self.heap else None
-
-    def pop_due(self, now):
-        """Takes out, in order of time and then of setting, what is due."""
-        while (at := self.next_at()) is not None and at <= now:
-            timer = heapq.heappop(self.heap)[2]
-            call, timer.call = timer.call, None
-            yield call
-
-
 class Readable:
+    """Waits until a handle becomes readable (edge-triggered)."""
+
     __slots__ = ("handle",)
 
     def __init__(self, handle):
         self.handle = handle
 
     def arm(self, task):
+        """Registers the task with the handle. Raises RuntimeError where another task reads it."""
         if self.handle.reader is not None:
             raise RuntimeError("two tasks read one handle")
         self.handle.reader = task
 
     def disarm(self, task):
+        """Withdraws the registration."""
         if self.handle.reader is task:
             self.handle.reader = None
 
 
 class Writable:
+    """Waits until a handle becomes writable (edge-triggered)."""
+
     __slots__ = ("handle",)
 
     def __init__(self, handle):
         self.handle = handle
 
     def arm(self, task):
+        """Registers the task with the handle. Raises RuntimeError where another task writes it."""
         if self.handle.writer is not None:
             raise RuntimeError("two tasks write one handle")
         self.handle.writer = task
 
     def disarm(self, task):
+        """Withdraws the registration."""
         if self.handle.writer is task:
             self.handle.writer = None
 
 
 class Sleep:
+    """Waits for `delay` microseconds; 0 lets the other tasks run first."""
+
     __slots__ = ("delay", "timer")
 
     def __init__(self, delay):
         self.delay, self.timer = delay, None
 
     def arm(self, task):
+        """Starts the timer that wakes the task."""
         self.timer = task.loop.call_in(self.delay, task.wake)
 
     def disarm(self, task):
+        """Cancels the timer."""
         self.timer.cancel()
 
 
 class Event:
-    """Set once or again and again; all that wait are woken with the value."""
+    """Wakes all tasks that wait for it each time that it is set; a wait after that is for the next `set`."""
 
     __slots__ = ("waiting",)
 
@@ -116,38 +89,43 @@
         self.waiting = []
 
     def arm(self, task):
+        """Adds the task to those that wait."""
         self.waiting.append(task)
 
     def disarm(self, task):
+        """Removes the task from those that wait."""
         if task in self.waiting:
             self.waiting.remove(task)
 
     def set(self, value=None):
+        """Wakes the waiting tasks; their `yield` returns the value."""
         waiting, self.waiting = self.waiting, []
         for task in waiting:
             task.wake(value)
 
 
 class Queue:
-    """First in, first out, with a bound: back-pressure on whoever puts."""
+    """A first-in-first-out queue with at most `max_items` items: back-pressure on the producer."""
 
-    def __init__(self, most):
-        self.most, self.items = most, deque()
+    def __init__(self, max_items):
+        self.max_items, self.items = max_items, deque()
         self.item_added, self.item_removed = Event(), Event()
 
     def put_now(self, item) -> bool:
-        """False where it is full; the item is not taken."""
-        if len(self.items) >= self.most:
+        """Adds an item without waiting. Returns False where the queue is full; the item is not added then."""
+        if len(self.items) >= self.max_items:
             return False
         self.items.append(item)
         self.item_added.set()
         return True
 
     def put(self, item):
+        """Adds an item, waiting while the queue is full."""
         while not self.put_now(item):
             yield self.item_removed
 
     def get(self):
+        """Removes and returns the first item, waiting while the queue is empty."""
         while not self.items:
             yield self.item_added
         item = self.items.popleft()
@@ -156,79 +134,101 @@
 
 
 class Deadline:
-    """`with Deadline(loop, delay):` inside a task; at most one DeadlineExceededError is thrown, and only
-    inside it."""
+    """Context manager within a task, `with Deadline(loop, delay):`, with a delay in microseconds. It
+    throws at most one DeadlineExceededError, and only inside its block.
+    """
 
     def __init__(self, loop, delay):
         self.loop, self.delay = loop, delay
         self.passed = False
 
     def __enter__(self):
+        """Starts the timer for the current task."""
         self.task = self.loop.current
         self.timer = self.loop.call_in(self.delay, self.fire)
         return self
 
     def fire(self):
+        """Interrupts the task: its next wait inside the block raises DeadlineExceededError."""
         self.passed = True
         self.task.interrupt(self)
 
-    def __exit__(self, kind, value, trace):
+    def __exit__(self, error_type, value, traceback):
+        """Cancels the timer and withdraws an interruption that is not delivered yet."""
         self.timer.cancel()
         self.task.discard_interrupt(self)
         return False
 
 
 class Task:
+    """A running generator. After its end, `done` is true and `result` or `error` is set; both are None for
+    a cancelled task.
+    """
+
     def __init__(self, loop, generator, name):
         self.loop, self.generator, self.name = loop, generator, name
         self.wait, self.value, self.ready = None, None, False
-        self.interrupts = deque()  # interruptions not yet delivered
+        self.interrupts = deque()  # interruptions that are not delivered yet
         self.woken_normally = False  # woken by what it waited for, not by an interruption
         self.done, self.result, self.error = False, None, None
         self.ended, self.watched = Event(), False
 
     def arm(self, task):
+        """Wakes the other task when this one ends, at once if it has ended."""
         if self.done:
             task.wake()
         else:
             self.ended.arm(task)
 
     def disarm(self, task):
+        """Withdraws the other task's wait."""
         self.ended.disarm(task)
 
     def wake(self, value=None):
+        """Schedules the task for the next turn; its `yield` returns the value. Does nothing if it is
+        scheduled or done.
+        """
         if not self.done and not self.ready:
             self.ready, self.value, self.wait, self.woken_normally = True, value, None, True
             self.loop.run_queue.append(self)
 
-    def interrupt(self, why):
-        """What is thrown is delivered at a wait; a value already on its way is delivered first."""
+    def interrupt(self, reason):
+        """Schedules an interruption, a `Deadline` or TaskCancelledError. It is thrown at a wait; a value
+        that the task was woken with is delivered first.
+        """
         if self.done:
             return
-        self.interrupts.append(why)
+        self.interrupts.append(reason)
         if self.wait is not None:
             self.wait.disarm(self)
             self.wake()
             self.woken_normally = False
 
-    def discard_interrupt(self, why):
-        self.interrupts = deque(x for x in self.interrupts if x is not why)
+    def discard_interrupt(self, reason):
+        """Withdraws an interruption that is not delivered yet."""
+        self.interrupts = deque(entry for entry in self.interrupts if entry is not reason)
 
     def cancel(self):
+        """Throws TaskCancelledError into the task at its current or next wait; does nothing once it is
+        done.
+        """
         if not self.done and TaskCancelledError not in self.interrupts:
             self.interrupt(TaskCancelledError)
 
     def step(self):
+        """Runs the generator until its next wait or its end."""
         self.ready, value, self.value = False, self.value, None
         self.loop.current = self
         try:
             while True:
                 if self.interrupts and not self.woken_normally:
-                    why = self.interrupts.popleft()
+                    reason = self.interrupts.popleft()
                     wait = self.generator.throw(
                         TaskCancelledError()
-                        if why is TaskCancelledError
-                        else DeadlineExceededError(f"{self.name}: nothing came within {why.delay} us")
+                        if reason is TaskCancelledError
+                        else DeadlineExceededError(
+                            f"{self.name}: the deadline of {reason.delay} us has passed"
+                        )
                     )
                 else:
                     wait = self.generator.send(value)
@@ -239,24 +239,27 @@
             self.finish(end.value, None)
         except TaskCancelledError:
             self.finish(None, None)
-        except Exception as trouble:
-            self.finish(None, trouble)
+        except Exception as error:
+            self.finish(None, error)
         else:
             self.wait = wait
             wait.arm(self)
         finally:
             self.loop.current = None
 
-    def finish(self, result, trouble):
-        self.done, self.result, self.error = True, result, trouble
+    def finish(self, result, error):
+        """Records the outcome and wakes the tasks that wait. An error that no task waits for goes to
+        `loop.on_task_failure`.
+        """
+        self.done, self.result, self.error = True, result, error
         self.loop.tasks.pop(self, None)
-        heard = self.watched or self.ended.waiting
+        is_observed = self.watched or self.ended.waiting
         self.ended.set()
-        if trouble is not None and not heard:
-            self.loop.on_task_failure(self, trouble)
+        if error is not None and not is_observed:
+            self.loop.on_task_failure(self, error)
 
     def join(self):
-        """Waits for its end; its exception is raised here too."""
+        """Waits until the task has ended and returns its result. Raises the error of the task."""
         if not self.done:
             yield self
         if self.error is not None:
@@ -265,66 +268,84 @@
 
 
 class Loop:
-    """One thread's tasks and timers over one kernel."""
+    """The tasks and timers of one thread over one kernel. `on_failure(task, error)` receives the errors of
+    tasks that nobody joins; the default raises them.
+    """
 
-    def __init__(self, kernel, on_death=None):
+    def __init__(self, kernel, on_failure=None):
         self.kernel, self.timers, self.run_queue = kernel, Timers(), deque()
         self.tasks, self.current, self.stopping = {}, None, False
         self.turn_at = self.polled_at = self.polled_before = kernel.now()
-        self.after_turn = []  # called at the end of each turn, in order
-        self.on_task_failure = on_death or self.raise_it
-        self.on_timer_lag = None  # called with how late a due timer was, where set
+        self.after_turn = []  # callbacks at the end of each turn, in order
+        self.on_task_failure = on_failure or self.raise_error
+        self.on_timer_lag = None  # None, or a callback that gets the delay of a due timer in microseconds
 
     @staticmethod
-    def raise_it(task, trouble):
-        raise trouble
+    def raise_error(task, error):
+        """Raises the error of a failed task, which ends the loop."""
+        raise error
 
     def now(self):
-        """The time of this turn: all that happens in a turn happens at one time."""
+        """Returns the time of this turn in microseconds; everything that happens in a turn has the same
+        time.
+        """
         return self.turn_at
 
     def spawn(self, generator, name):
+        """Starts a task, which runs from the next turn on. Names of tasks appear in logs and order their
+        cancellation.
+        """
         task = Task(self, generator, name)
-        self.tasks[task] = True  # a map, not a set: what is cancelled first must not hang on addresses
+        self.tasks[task] = (
+            True  # a dict keeps the order of insertion; the order of a set depends on memory addresses
+        )
         task.wake()
         return task
 
-    def call_at(self, at, call):
-        timer = Timer(at, call, self)
+    def call_at(self, due_at, callback):
+        """Calls `callback` at a time in microseconds. Returns the timer."""
+        timer = Timer(due_at, callback, self)
         self.timers.add(timer)
         return timer
 
-    def call_in(self, delay, call):
-        return self.call_at(self.kernel.now() + max(0, delay), call)
+    def call_in(self, delay, callback):
+        """Calls `callback` after a delay in microseconds. Returns the timer."""
+        return self.call_at(self.kernel.now() + max(0, delay), callback)
 
     def next_turn(self):
-        """When there is something to do here whatever comes from outside; None: never."""
+        """Returns the time at which the loop has work even without I/O, or None if it has none."""
         return self.kernel.now() if self.run_queue else self.timers.next_at()
 
     def turn(self):
-        """What is ready, then what is due, then the tasks that these woke, then the end of the turn."""
+        """Runs one iteration: wakes tasks whose handles are ready, calls the timers that are due, steps
+        the woken tasks, then calls the `after_turn` callbacks.
+        """
         ready = self.kernel.poll(self.next_turn())
         self.polled_before, self.polled_at = self.polled_at, self.kernel.now()
         self.turn_at = self.polled_at
-        for handle, read, write in ready:
-            if read and handle.reader is not None:
+        for handle, is_readable, is_writable in ready:
+            if is_readable and handle.reader is not None:
                 task, handle.reader = handle.reader, None
                 task.wake()
-            if write and handle.writer is not None:
+            if is_writable and handle.writer is not None:
                 task, handle.writer = handle.writer, None
                 task.wake()
-        first = self.timers.next_at()
-        if self.on_timer_lag is not None and first is not None and first <= self.turn_at:
-            self.on_timer_lag(self.turn_at - first)
-        for call in self.timers.pop_due(self.turn_at):
-            call()
-        for _ in range(len(self.run_queue)):  # what they wake waits for the next turn: no starving
+        first_due = self.timers.next_at()
+        if self.on_timer_lag is not None and first_due is not None and first_due <= self.turn_at:
+            self.on_timer_lag(self.turn_at - first_due)
+        for callback in self.timers.pop_due(self.turn_at):
+            callback()
+        for _ in range(
+            len(self.run_queue)
+        ):  # tasks woken meanwhile wait for the next turn, so that timers and I/O do not starve
             self.run_queue.popleft().step()
-        for call in self.after_turn:
-            call()
+        for callback in self.after_turn:
+            callback()
 
     def run(self, until=None):
-        """Turns until `until` (a task) has ended, or until `stop`. Raises what that task raised."""
+        """Runs turns until the task `until` has ended or `stop` is called. Returns the result of the task,
+        None without one; raises its error.
+        """
         if until is not None:
             until.watched = True
         while not self.stopping and not (until is not None and until.done):
@@ -334,10 +355,11 @@
         return until.result if until is not None else None
 
     def stop(self):
+        """Makes `run` return after the current turn."""
         self.stopping = True
 
     def close(self, turns=1000):
-        """Cancels every task and lets their `finally` blocks run, within a bound."""
+        """Cancels every task and runs their `finally` blocks, for at most `turns` turns."""
         for _ in range(turns):
             if not self.tasks:
                 return
@@ -345,6 +367,7 @@
             self.turn()
 
     def cancel_all(self):
+        """Cancels every task, ordered by name."""
         for task in sorted(self.tasks, key=lambda t: t.name):
             task.cancel()
-        self.call_in(1000, lambda: None)  # a turn comes in any case
+        self.call_in(1000, lambda: None)  # ensures that `poll` returns and a turn follows
