--- a/cobaltpond/loop/sockets.py
+++ b/cobaltpond/loop/sockets.py
@@ -1,5 +1,5 @@
-"""Non-blocking sockets of the epoll kernel: streams, listeners and datagram sockets. `kernel.py` describes
-the contract.
+"""Non-blocking sockets of the epoll kernel: streams, listeners and datagram sockets. `kernel_interface.py`
+describes the contract.
 """
 
 import os
--- a/cobaltpond/settings/__init__.py
+++ b/cobaltpond/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment: a Starlark file, read into checked, frozen values."""
+"""The settings of a deployment: a Starlark file, read into validated, immutable values."""
 
 from cobaltpond.settings.deployment import DeploymentSettings
 from cobaltpond.settings.reader import SettingsError, read_settings
--- a/cobaltpond/settings/deployment.py
+++ b/cobaltpond/settings/deployment.py
@@ -1,4 +1,6 @@
-"""The whole sheet: all declarations together, its digest, and the plain map the decisions are given."""
+"""The settings of the whole deployment: all sections together, their digest, and the settings of the
+decisions.
+"""
 
 from zlib import crc32
 
@@ -27,7 +29,30 @@
 
 
 class DeploymentSettings(Struct, frozen=True):
-    """All of it. `runsheet(number)` is the plain map that the module gets."""
+    """Everything that a settings file declares; the sections say what the fields mean.
+
+    Attributes:
+        path_groups: at least one.
+        routes: at least one, in the order in which they are tried.
+        customers: may be empty.
+        gateways: at least one, in the order of their numbers.
+        release: the release process.
+        rules: the parameters of the audited rules.
+        allow: what the decisions may do.
+        reports: load reports.
+        prices: costs for the decisions.
+        door: limits towards clients.
+        instances: limits towards instances.
+        listing: source of the list of instances.
+        desk: the release desk.
+        builds: source of builds; None where no agents run.
+        hosts: hosts with agents.
+        members: None: gateways do not know each other.
+        recovery: None: no paced recovery.
+        limits: a tuple of `settings.limits.LimitSettings`.
+        tick: resolution of the clock of the decisions, in microseconds.
+        over_share_benefit: benefit of a hit of a customer that is over its share.
+    """
 
     path_groups: tuple[PathGroupSettings, ...]
     routes: tuple[RouteSettings, ...]
@@ -51,23 +76,29 @@
     over_share_benefit: float = 0.1
 
     def digest(self) -> int:
-        """Of all that the gateways must have alike; where each of them stands does not count."""
-        alike = msgspec.structs.replace(
+        """Returns a CRC-32 of everything that all gateways must have in common. Addresses and files of the
+        single gateways are left out, and the order of the limits does not matter.
+        """
+        comparable = msgspec.structs.replace(
             self,
             gateways=tuple(
                 GatewaySettings(number=g.number, zone=g.zone, door="0.0.0.0:0") for g in self.gateways
             ),
         )
         ordered = msgspec.structs.replace(
-            alike, limits=tuple(sorted(alike.limits, key=lambda limit: limit.name))
+            comparable, limits=tuple(sorted(comparable.limits, key=lambda limit: limit.name))
         )
         return crc32(msgspec.json.encode(ordered))
 
     @property
     def zones(self) -> list[str]:
+        """The zones of the gateways, without repetition, in the order of the file."""
         return list(dict.fromkeys(g.zone for g in self.gateways))
 
     def policy_settings(self, number: int) -> dict:
+        """Returns the settings that the decisions of gateway `number` get, as a plain map. Times are in
+        microseconds.
+        """
         release, rules, allow = self.release, self.rules, self.allow
         groups = [
             {
--- a/cobaltpond/settings/sections.py
+++ b/cobaltpond/settings/sections.py
@@ -1,29 +1,49 @@
-"""What a sheet consists of: one frozen record a call of the Starlark file. Times are whole microseconds."""
+"""The sections of a settings file: one immutable record for each call. Times are whole microseconds,
+shares are fractions between 0 and 1. Field names are the keywords of the file, and their order enters
+the digest of the settings.
+"""
 
 from typing import Annotated, Literal
 
-from msgspec import Meta, Struct
-
-from cobaltpond.wire.address import split_address  # noqa: F401  (known by this name all over)
-
-Name = Annotated[str, Meta(min_length=1, max_length=80)]
-Duration = Annotated[int, Meta(ge=1000, description="a time: ms(...) or s(...), at least 1 ms")]
-NonNegativeDuration = Annotated[int, Meta(ge=0)]
-Share = Annotated[float, Meta(ge=0, le=1)]
-PositiveCount = Annotated[int, Meta(ge=1)]
-NonNegativeCount = Annotated[int, Meta(ge=0)]
-NonNegativeNumber = Annotated[float, Meta(ge=0)]
-Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$", description="host:port")]
-
-
-class Section(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One call; what is wrong beyond a field's own bounds is said by `validation_error`."""
-
-    def validation_error(self, sheet: dict) -> str | None:
-        return None
+from msgspec import Meta
+
+from cobaltpond.settings.release_sections import (  # noqa: F401  (`sections` offers all sections)
+    PermissionSettings,
+    ReleaseSettings,
+    RuleSettings,
+)
+from cobaltpond.settings.values import (
+    Address,
+    Duration,
+    Name,
+    NonNegativeCount,
+    NonNegativeDuration,
+    NonNegativeNumber,
+    PositiveCount,
+    Section,
+    Share,
+)
+from cobaltpond.wire.address import split_address  # noqa: F401  (other packages import it from here)
 
 
 class PathGroupSettings(Section, kw_only=True):
+    """Requests that are treated alike: `path_group(...)`.
+
+    Attributes:
+        name: unique name of the path group.
+        target_latency: latency that a hit should not exceed, in microseconds.
+        client_timeout: time after which a client gives up, in microseconds; not shorter than target_latency.
+        kind: "repeatable" hits may be forwarded again freely, "tagged" ones within repeat_window to instances
+            that drop the repeat, "mutating" ones not after they may have run.
+        scope: which instances drop a repeat of a tagged hit that ran elsewhere: all, those of its zone, or
+            those of its cell.
+        repeat_window: how long instances recognise and drop a repeat, in microseconds; required for tagged
+            groups.
+        benefit: benefit of a hit that is answered in time.
+        late_benefit: share of the benefit that a late answer still has.
+        target_stretch: passed to the decisions unchanged.
+    """
+
     name: Name
     target_latency: Duration
     client_timeout: Duration
@@ -34,102 +54,75 @@
     late_benefit: Share = 0.0
     target_stretch: NonNegativeNumber = 0.0
 
-    def validation_error(self, sheet):
+    def validation_error(self, declared):
+        """Returns what is wrong with this call, or None; see `Section.validation_error`."""
         if self.target_latency > self.client_timeout:
             return "target_latency is longer than client_timeout"
         if self.kind == "tagged" and not self.repeat_window:
             return "a tagged path group needs repeat_window: how long instances drop a repeat"
-        if any(g.name == self.name for g in sheet["path_group"]):
+        if any(g.name == self.name for g in declared["path_group"]):
             return f"two path groups are called {self.name!r}"
 
 
 class RouteSettings(Section, kw_only=True):
-    """`path` as sent, with `*` at its end for all below; the first route that fits holds."""
+    """Assigns requests to a path group: `route(...)`. The first route that matches applies.
+
+    Attributes:
+        path: the path as the client sends it; a `*` at its end matches every longer path.
+        group: name of a path group above this line.
+        method: HTTP method, or "*" for all.
+    """
 
     path: Annotated[str, Meta(pattern=r"^/[^*]*\*?$")]
     group: Name
     method: Literal["*", "GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS"] = "*"
 
-    def validation_error(self, sheet):
-        if not any(g.name == self.group for g in sheet["path_group"]):
+    def validation_error(self, declared):
+        """Returns what is wrong with this call, or None; see `Section.validation_error`."""
+        if not any(g.name == self.group for g in declared["path_group"]):
             return f"no path group {self.group!r} above this line"
 
 
 class CustomerSettings(Section, kw_only=True):
+    """A customer of the service: `customer(...)`.
+
+    Attributes:
+        name: name as it stands in the customer header.
+        share: share of all hits within a sliding window that the customer is entitled to; all shares add up
+            to 1 at most.
+    """
+
     name: Name
     share: Share
 
-    def validation_error(self, sheet):
-        if sum(c.share for c in sheet["customer"]) + self.share > 1.0001:
+    def validation_error(self, declared):
+        """Returns what is wrong with this call, or None; see `Section.validation_error`."""
+        if sum(c.share for c in declared["customer"]) + self.share > 1.0001:
             return "the customers' shares come to more than 1"
 
 
-class ReleaseSettings(Section, kw_only=True):
-    """How a build goes out, and what the desk and the gateways hold each other to."""
-
-    gate: Literal["any", "count", "clock"]
-    layout: Literal["beside", "in place"]
-    shares: list[Share]
-    caps: list[Share]
-    exposure_window: Duration
-    exposure_free: NonNegativeNumber = 2.0
-    exposure_by: Literal["all", "path group"] = "all"
-    shielded_stages: NonNegativeCount = 0
-    keys_stay: bool = False
-    on_votes: NonNegativeCount = 1
-    hold_votes: NonNegativeCount = 1
-    back_votes: PositiveCount = 1
-    vote_life: Duration
-    vote_wait: Duration
-    vote_rate: Annotated[float, Meta(gt=0)] = 50.0
-    dwell: NonNegativeDuration
-    step: NonNegativeDuration = 4_000_000
-    settle: NonNegativeDuration = 1_000_000
-    start_within: Duration = 8_000_000
-    drain_time: Duration = 1_500_000
-    news_period: Duration = 4_000_000
-    tally_period: NonNegativeDuration = 0
-    tally_sample: Share = 0.0
-    wrong_reported: Share = 0.0
-    warm_keys: bool = False
-    delay_price: NonNegativeNumber = 0.0
-    harm_price: NonNegativeNumber = 0.0
-
-    def validation_error(self, sheet):
-        if not self.shares or len(self.shares) != len(self.caps):
-            return "shares and caps need one figure a stage each"
-        if self.shares != sorted(self.shares) or self.caps != sorted(self.caps):
-            return "shares and caps may not fall from stage to stage"
-        if self.shares[-1] != 1.0:
-            return "the last stage's share must be 1.0: it releases the build"
-
-
-class RuleSettings(Section, kw_only=True):
-    """The figures behind the five rules."""
-
-    drain_grace: Duration
-    cold_time: Duration
-    cold_share: Share
-    overload_factor: NonNegativeNumber
-    tip_time: Duration
-    answer_slack: Duration = 20_000
-
-
-class PermissionSettings(Section, kw_only=True):
-    most_forwards: PositiveCount = 3
-    cancel: bool = True
-    probe: bool = False
-    tell: bool = False
-    advise: bool = True
-    most_advice: Duration = 2_000_000
+class ReportSettings(Section, kw_only=True):
+    """How instances report their load: `reports(...)`.
 
+    Attributes:
+        how: with their answers, when probed, or not at all.
+        names: metrics that a report contains.
+    """
 
-class ReportSettings(Section, kw_only=True):
     how: Literal["answers", "probe", "none"] = "answers"
     names: list[Literal["util", "inflight", "queue", "latency_ms", "qps", "eps"]] = []
 
 
 class PriceSettings(Section, kw_only=True):
+    """Costs that the decisions take into account, 0 for none: `prices(...)`.
+
+    Attributes:
+        crossing: price of a forward to another zone.
+        probe: price of a probe.
+        tell: price of a message to another gateway.
+        waste: price of a forward whose answer is not used.
+    """
+
     crossing: NonNegativeNumber = 0.0
     probe: NonNegativeNumber = 0.0
     tell: NonNegativeNumber = 0.0
@@ -137,8 +130,27 @@
 
 
 class FrontendSettings(Section, kw_only=True):
-    """Limits towards clients: bytes, counts, times. `hold` is what of a body is kept to be sent again, and of
-    an answer before its first byte goes out (the point of no return)."""
+    """Limits towards clients: `door(...)`. Sizes are in bytes, times in microseconds.
+
+    Attributes:
+        head_limit: size of a request head.
+        target_limit: size of a request target.
+        field_limit: number of header fields.
+        body_limit: size of a request body.
+        hold: bytes of a request body that are kept for a retry, and of an answer that are collected before
+            its first byte is sent (after which the hit cannot be retried).
+        connections: open client connections.
+        backlog: connections that wait to be accepted.
+        head_time: time to receive a request head.
+        idle_time: time that a connection may stay without a request.
+        write_time: time in which a client has to accept data.
+        hits: hits in progress.
+        customer_field: header with the customer.
+        key_field: header with the key.
+        timeout_field: header with the client's timeout in milliseconds.
+        again_field: header with the number of the try; a value above 0 marks a retry.
+        cost_field: header with the expected cost of the request in milliseconds.
+    """
 
     head_limit: Annotated[int, Meta(ge=512)] = 16 << 10
     target_limit: Annotated[int, Meta(ge=64)] = 4 << 10
@@ -159,8 +171,19 @@
 
 
 class InstanceSettings(Section, kw_only=True):
-    """Limits towards instances. `rest_time`: how long a connection rests after an answer before the next hit
-    goes over it; for instances that may answer a hit twice."""
+    """Limits towards instances: `instances(...)`. Times are in microseconds.
+
+    Attributes:
+        dial_time: time to open a connection.
+        idle_time: time after which an idle connection is closed.
+        rest_time: how long a connection stays idle after an answer before it is reused; for instances that
+            may answer a hit twice.
+        connections: open connections to one instance.
+        answer_limit: size of an answer in bytes.
+        probe_path: path of probes.
+        probe_time: time to answer a probe.
+        refusals: status codes that mean that the instance did not run the request.
+    """
 
     dial_time: Duration = 250_000
     idle_time: Duration = 15_000_000
@@ -173,6 +196,16 @@
 
 
 class InstanceListSettings(Section, kw_only=True):
+    """Where gateways get the list of instances: `listing(...)`. Times are in microseconds.
+
+    Attributes:
+        address: host:port of the list.
+        by: whether changes are pushed, or the list is asked for.
+        ask_within: with "asking": how current the list has to be; a third of it is the longest time between
+            requests.
+        silence: with "push": time without data after which the stream counts as broken.
+    """
+
     address: Address
     by: Literal["push", "asking"] = "push"
     ask_within: Duration = 10_000_000
@@ -180,15 +213,31 @@
 
 
 class DeskSettings(Section, kw_only=True):
+    """The release desk: `desk(...)`.
+
+    Attributes:
+        address: host:port of the desk.
+        platform: host:port of the platform that starts instances; None: agents on hosts start them.
+        journal: folder of the desk's journal; None: its state does not survive a restart.
+    """
+
     address: Address
     platform: Address | None = None
     journal: str | None = None
 
 
 class GatewaySettings(Section, kw_only=True):
-    """`door` for clients, `peers` for datagrams of other gateways (`bind`: where it takes them itself, if
-    they come another way than straight), `memory`: the file of the kept list, `snapshot`: that of what it has
-    learned."""
+    """One gateway: `gateway(...)`.
+
+    Attributes:
+        number: gateways are numbered in order from 0.
+        zone: zone in which it runs.
+        door: host:port for clients.
+        peers: host:port to which other gateways send datagrams; None: it has no membership.
+        bind: host:port where it receives these datagrams itself, if that differs from peers.
+        memory: file in which it keeps the list of instances, or None.
+        snapshot: file in which it keeps what it has learned, or None.
+    """
 
     number: NonNegativeCount
     zone: Name
@@ -198,46 +247,60 @@
     memory: str | None = None
     snapshot: str | None = None
 
-    def validation_error(self, sheet):
-        if self.number != len(sheet["gateway"]):
-            return f"gateways are numbered in order from 0; {len(sheet['gateway'])} comes next"
-        if any(g.door == self.door for g in sheet["gateway"]):
+    def validation_error(self, declared):
+        """Returns what is wrong with this call, or None; see `Section.validation_error`."""
+        if self.number != len(declared["gateway"]):
+            return f"gateways are numbered in order from 0; {len(declared['gateway'])} comes next"
+        if any(g.door == self.door for g in declared["gateway"]):
             return f"two gateways at {self.door}"
 
 
 class MembershipSettings(Section, kw_only=True):
-    """Gateways that know each other (docs/members.md). `period`: one probe so often; `wait`: for its answer,
-    before others are asked to help; `judges`: of a build are chosen among those who are there."""
+    """Failure detection among gateways (docs/members.md): `members(...)`. Times are in microseconds.
+
+    Attributes:
+        period: time between two probes.
+        wait: time for an answer before other gateways are asked for an indirect probe.
+        judges: whether the judges of a build are chosen among the gateways that are present.
+    """
 
     period: Duration = 1_000_000
     wait: Duration = 300_000
     judges: bool = True
 
-    def validation_error(self, sheet):
+    def validation_error(self, declared):
+        """Returns what is wrong with this call, or None; see `Section.validation_error`."""
         if 3 * self.wait > self.period:
             return "wait may be a third of period at most: helpers need as long again, and back"
-        if len(sheet["gateway"]) < 2:
+        if len(declared["gateway"]) < 2:
             return "membership needs two gateways above this line"
-        without = [g.number for g in sheet["gateway"] if g.peers is None]
-        if without:
-            return f'gateway {without[0]} has no address for datagrams: give it peers = "host:port"'
-        doubled = [
+        without_address = [g.number for g in declared["gateway"] if g.peers is None]
+        if without_address:
+            return f'gateway {without_address[0]} has no address for datagrams: give it peers = "host:port"'
+        duplicates = [
             g.peers
-            for n, g in enumerate(sheet["gateway"])
-            if g.peers in [other.peers for other in sheet["gateway"][:n]]
+            for index, g in enumerate(declared["gateway"])
+            if g.peers in [other.peers for other in declared["gateway"][:index]]
         ]
-        if doubled:
-            return f"two gateways take datagrams at {doubled[0]}"
-        if len(sheet["gateway"]) > 65_535:
+        if duplicates:
+            return f"two gateways take datagrams at {duplicates[0]}"
+        if len(declared["gateway"]) > 65_535:
             return "more than 65535 gateways"
 
 
 class RecoverySettings(Section, kw_only=True):
-    """Coming back (docs/recovery.md). `dials`: new connections a second that one instance bears from all
-    gateways together, 0 for no bound; `calls`: first calls a second that the list bears, and the desk, 0 for
-    no bound; `warm`: ask settled gateways; `asks`: answers a second that one of them gives; `hear`,
-    `warming`, `settle`: the longest in each phase; `snapshot_every`: between two snapshots, where a gateway
-    has a place for one."""
+    """Recovery after a restart (docs/recovery.md): `recovery(...)`. Times are in microseconds.
+
+    Attributes:
+        dials: new connections per second that one instance bears from all gateways together; 0: no bound.
+        calls: first calls per second that the instance list and the desk bear; 0: no bound.
+        warm: whether a starting gateway asks settled gateways for what they have learned.
+        asks: such requests per second that one gateway answers.
+        hear: longest time in the phase of hearing from the others.
+        warming: longest time in the phase of the warm start.
+        settle: longest time in the phase of serving before it counts as settled.
+        snapshot_every: time between two snapshots, where a gateway has a file for them.
+    """
 
     dials: NonNegativeNumber = 0.0
     calls: NonNegativeNumber = 0.0
@@ -248,7 +311,8 @@
     settle: Duration = 15_000_000
     snapshot_every: Duration = 2_000_000
 
-    def validation_error(self, sheet):
+    def validation_error(self, declared):
+        """Returns what is wrong with this call, or None; see `Section.validation_error`."""
         if 0 < self.dials < 0.1:
             return "dials below 0.1 a second: ten seconds between two connections of the whole fleet"
         if 0 < self.calls < 0.1:
@@ -256,8 +320,18 @@
 
 
 class BuildSettings(Section, kw_only=True):
-    """Where agents get builds, and what they may cost. `keys`: the file of the first key ring; `rate`: bytes
-    a second, 0 for no bound; `most`: bytes of the store."""
+    """Where agents get builds, and the limits of doing so: `builds(...)`.
+
+    Attributes:
+        sources: host:port of each build server.
+        keys: file of the first key ring.
+        rate: bytes per second; 0: no bound.
+        most: size of the store in bytes.
+        prune_after: age in microseconds after which an unused build is deleted.
+        ready_time: time for a started process to become ready, in microseconds.
+        stop_time: time for a process to end before it is killed, in microseconds.
+        changes: bound on the changes that the desk keeps for the hosts.
+    """
 
     sources: list[Address]
     keys: str
@@ -270,7 +344,16 @@
 
 
 class HostSettings(Section, kw_only=True):
-    """One place of the fleet: `ports` is the first of eight that its instances use in turn."""
+    """One host on which an agent runs instances: `host(...)`.
+
+    Attributes:
+        place: unique name of its place in the fleet.
+        zone: zone of the host.
+        folder: folder of the agent.
+        ports: the first of eight consecutive ports that its instances use in turn.
+        address: IP address of its instances.
+        cell: cell of the host within its zone.
+    """
 
     place: Name
     zone: Name
@@ -279,8 +362,9 @@
     address: Annotated[str, Meta(pattern="^[0-9.]+$")] = "127.0.0.1"
     cell: NonNegativeCount = 0
 
-    def validation_error(self, sheet):
-        if any(h.place == self.place for h in sheet["host"]):
+    def validation_error(self, declared):
+        """Returns what is wrong with this call, or None; see `Section.validation_error`."""
+        if any(h.place == self.place for h in declared["host"]):
             return f"two hosts for place {self.place!r}"
-        if any(abs(h.ports - self.ports) < 8 and h.address == self.address for h in sheet["host"]):
+        if any(abs(h.ports - self.ports) < 8 and h.address == self.address for h in declared["host"]):
             return "ports overlap with another host's"
