--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -1,9 +1,20 @@
-"""One suite over both kernels: what a program can see of sockets, files and children must be the same on
-each."""
+"""Runs the same cases on the epoll kernel and on the virtual kernel: what a program observes of sockets,
+files and child processes must be the same on both.
+"""
 
-import conform_files  # noqa: F401  (its cases)
+import conform_files  # noqa: F401  (registers its cases)
 import pytest
-from conform import CASES, HERE, MS, case, on_epoll, on_virtual, pair, told, within
+from conform import (
+    CASES,
+    LOCAL_ANY_PORT,
+    MS,
+    case,
+    connected_pair,
+    read_within_deadline,
+    run_on_epoll,
+    run_on_virtual,
+    value_or_error,
+)
 
 from cobaltpond.loop import (
     Connection,
@@ -19,117 +30,125 @@
 
 
 @case
-def nothing_to_read_yet(loop, folder):
-    one, other, _ = yield from pair(loop)
-    return one.read_now(), other.read_now()
+def read_without_data(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    return local.read_now(), remote.read_now()
 
 
 @case
-def bytes_come_in_order(loop, folder):
-    one, other, _ = yield from pair(loop)
+def bytes_arrive_in_order(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
     data, got = bytes(range(256)) * 2000, b""
 
     def send():
-        yield from one.write(data)
-        one.handle.finish()
+        yield from local.write(data)
+        local.handle.finish()
 
     loop.spawn(send(), "send")
-    while piece := (yield from other.read(777)):
+    while piece := (yield from remote.read(777)):
         got += piece
     return got == data
 
 
 @case
-def end_of_file_is_read_again_and_again(loop, folder):
-    one, other, _ = yield from pair(loop)
-    one.handle.finish()
-    first = yield from within(loop, other)
-    return first, told(other.read_now), told(lambda: other.write_now(b"still open this way"))
+def end_of_file_is_read_repeatedly(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    local.handle.finish()
+    first = yield from read_within_deadline(loop, remote)
+    return (
+        first,
+        value_or_error(remote.read_now),
+        value_or_error(lambda: remote.write_now(b"still open this way")),
+    )
 
 
 @case
-def the_finished_side_still_reads(loop, folder):
-    one, other, _ = yield from pair(loop)
-    one.handle.finish()
-    yield from other.write(b"late")
-    return (yield from within(loop, one)), told(lambda: one.write_now(b"x"))
+def half_closed_side_still_reads(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    local.handle.finish()
+    yield from remote.write(b"late")
+    return (yield from read_within_deadline(loop, local)), value_or_error(lambda: local.write_now(b"x"))
 
 
 @case
-def closing_without_unread_bytes_is_an_end(loop, folder):
-    one, other, _ = yield from pair(loop)
-    yield from one.write(b"last")
-    one.close()
-    got = yield from within(loop, other)
-    return got, (yield from within(loop, other))
+def close_without_unread_bytes_is_end_of_file(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    yield from local.write(b"last")
+    local.close()
+    got = yield from read_within_deadline(loop, remote)
+    return got, (yield from read_within_deadline(loop, remote))
 
 
 @case
-def closing_with_unread_bytes_is_a_reset(loop, folder):
-    one, other, _ = yield from pair(loop)
-    yield from other.write(b"never read")
+def close_with_unread_bytes_is_a_reset(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    yield from remote.write(b"never read")
     yield Sleep(20 * MS)
-    one.close()
+    local.close()
     yield Sleep(20 * MS)
-    return told(other.read_now)
+    return value_or_error(remote.read_now)
 
 
 @case
-def a_reset_is_told_once_then_the_end(loop, folder):
-    one, other, _ = yield from pair(loop)
-    one.abort()
+def reset_is_reported_once_then_end_of_file(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    local.abort()
     yield Sleep(20 * MS)
-    return told(other.read_now), told(other.read_now), told(lambda: other.write_now(b"x"))
+    return (
+        value_or_error(remote.read_now),
+        value_or_error(remote.read_now),
+        value_or_error(lambda: remote.write_now(b"x")),
+    )
 
 
 @case
-def bytes_before_a_reset_are_still_read(loop, folder):
-    one, other, _ = yield from pair(loop)
-    yield from one.write(b"before")
+def bytes_before_a_reset_are_read(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    yield from local.write(b"before")
     yield Sleep(20 * MS)
-    one.abort()
+    local.abort()
     yield Sleep(20 * MS)
-    return told(other.read_now), told(other.read_now)
+    return value_or_error(remote.read_now), value_or_error(remote.read_now)
 
 
 @case
-def a_write_to_who_has_closed_is_answered_by_a_reset(loop, folder):
-    one, other, _ = yield from pair(loop)
-    one.close()
+def write_to_closed_peer_gets_a_reset(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    local.close()
     yield Sleep(20 * MS)
-    first = told(lambda: other.write_now(b"x"))
+    first = value_or_error(lambda: remote.write_now(b"x"))
     yield Sleep(20 * MS)
-    return first, told(lambda: other.write_now(b"x"))
+    return first, value_or_error(lambda: remote.write_now(b"x"))
 
 
 @case
-def a_closed_handle_says_so(loop, folder):
-    one, other, _ = yield from pair(loop)
-    one.close()
-    one.close()
-    one.abort()
-    return told(one.read_now), told(lambda: one.write_now(b"x")), one.closed
+def closed_handle_reports_connection_lost(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
+    local.close()
+    local.close()
+    local.abort()
+    return value_or_error(local.read_now), value_or_error(lambda: local.write_now(b"x")), local.closed
 
 
 @case
-def who_waits_for_a_closed_handle_is_woken(loop, folder):
-    one, other, _ = yield from pair(loop)
+def close_wakes_a_waiting_reader(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
 
-    def waits():
-        return (yield from one.read())
+    def wait_for_handle():
+        return (yield from local.read())
 
-    task = loop.spawn(waits(), "waits")
+    task = loop.spawn(wait_for_handle(), "wait")
     yield Sleep(5 * MS)
-    one.close()
+    local.close()
     try:
         yield from task.join()
     except ConnectionLostError:
-        return "PeerLost"
+        return "connection lost"
 
 
 @case
-def a_dial_to_nobody_is_refused(loop, folder):
-    listener = loop.kernel.listen(HERE, 1)
+def dial_without_listener_is_refused(loop, folder):
+    listener = loop.kernel.listen(LOCAL_ANY_PORT, 1)
     address = listener.address()
     listener.close()
     try:
@@ -139,173 +158,182 @@
 
 
 @case
-def a_dial_to_a_full_backlog_hangs(loop, folder):
-    listener = loop.kernel.listen(HERE, 0)
-    kept = []
+def dial_to_full_backlog_hangs(loop, folder):
+    listener = loop.kernel.listen(LOCAL_ANY_PORT, 0)
+    connections = []
     try:
         for _ in range(10):
-            kept.append((yield from dial(loop, listener.address(), 60 * MS)))
+            connections.append((yield from dial(loop, listener.address(), 60 * MS)))
     except DeadlineExceededError:
-        return "hangs", len(kept)
+        return "hangs", len(connections)
 
 
 @case
-def who_waits_in_the_backlog_may_send(loop, folder):
-    listener = loop.kernel.listen(HERE, 4)
-    one = yield from dial(loop, listener.address(), 500 * MS)
-    yield from one.write(b"early")
+def client_in_backlog_may_send(loop, folder):
+    listener = loop.kernel.listen(LOCAL_ANY_PORT, 4)
+    local = yield from dial(loop, listener.address(), 500 * MS)
+    yield from local.write(b"early")
     yield Sleep(10 * MS)
-    other = Connection(loop, listener.accept())
-    return (yield from within(loop, other))
+    remote = Connection(loop, listener.accept())
+    return (yield from read_within_deadline(loop, remote))
 
 
 @case
-def who_waits_in_the_backlog_of_a_listener_that_closes_is_reset(loop, folder):
-    listener = loop.kernel.listen(HERE, 4)
-    one = yield from dial(loop, listener.address(), 500 * MS)
+def closing_listener_resets_its_backlog(loop, folder):
+    listener = loop.kernel.listen(LOCAL_ANY_PORT, 4)
+    local = yield from dial(loop, listener.address(), 500 * MS)
     listener.close()
     yield Sleep(20 * MS)
-    return told(one.read_now)
+    return value_or_error(local.read_now)
 
 
 @case
-def accept_after_the_peer_has_left(loop, folder):
-    listener = loop.kernel.listen(HERE, 4)
-    one = yield from dial(loop, listener.address(), 500 * MS)
-    yield from one.write(b"bye")
-    one.close()
+def accept_after_peer_closed(loop, folder):
+    listener = loop.kernel.listen(LOCAL_ANY_PORT, 4)
+    local = yield from dial(loop, listener.address(), 500 * MS)
+    yield from local.write(b"bye")
+    local.close()
     yield Sleep(10 * MS)
-    other = Connection(loop, listener.accept())
-    first = yield from within(loop, other)
-    return first, (yield from within(loop, other)), listener.accept()
+    remote = Connection(loop, listener.accept())
+    first = yield from read_within_deadline(loop, remote)
+    return first, (yield from read_within_deadline(loop, remote)), listener.accept()
 
 
 @case
-def a_port_in_use(loop, folder):
-    listener = loop.kernel.listen(HERE, 4)
-    taken = told(lambda: loop.kernel.listen(listener.address(), 4))
+def listen_on_used_port(loop, folder):
+    listener = loop.kernel.listen(LOCAL_ANY_PORT, 4)
+    second_listen = value_or_error(lambda: loop.kernel.listen(listener.address(), 4))
     address = listener.address()
     listener.close()
-    again = loop.kernel.listen(address, 4)
-    return taken, again.address() == address
+    reopened = loop.kernel.listen(address, 4)
+    return second_listen, reopened.address() == address
     yield
 
 
 @case
-def a_writer_waits_for_a_reader_that_is_late(loop, folder):
-    one, other, _ = yield from pair(loop)
+def writer_waits_for_slow_reader(loop, folder):
+    local, remote, _ = yield from connected_pair(loop)
     sent, blocked = 0, False
     for _ in range(400):
-        took = one.handle.send(bytes(1 << 16))
-        if took is None:
+        accepted = local.handle.send(bytes(1 << 16))
+        if accepted is None:
             blocked = True
             break
-        sent += took
+        sent += accepted
         yield Sleep(100)
 
-    def waits():
-        yield Writable(one.handle)
+    def wait_for_handle():
+        yield Writable(local.handle)
         return "writable"
 
-    task = loop.spawn(waits(), "waits")
+    task = loop.spawn(wait_for_handle(), "wait")
     yield Sleep(20 * MS)
-    still = task.done
+    writer_done = task.done
     got = 0
     while got < sent:
-        got += len((yield from other.read()))
+        got += len((yield from remote.read()))
     yield from task.join()
-    return blocked, still, got == sent
+    return blocked, writer_done, got == sent
 
 
 @case
-def a_new_stream_is_told_as_writable_once(loop, folder):
-    listener = loop.kernel.listen(HERE, 4)
+def new_stream_is_reported_writable_once(loop, folder):
+    listener = loop.kernel.listen(LOCAL_ANY_PORT, 4)
     handle = loop.kernel.dial(listener.address())
     with Deadline(loop, 500 * MS):
         while not handle.connected():
             yield Writable(handle)
 
-    def waits():
+    def wait_for_handle():
         yield Readable(handle)
 
-    task = loop.spawn(waits(), "waits")
+    task = loop.spawn(wait_for_handle(), "wait")
     yield Sleep(20 * MS)
-    quiet = task.done
+    woken = task.done
     task.cancel()
-    return quiet
+    return woken
 
 
 @case
-def an_edge_is_told_once(loop, folder):
-    """Bytes that were told of and not read are not told of again; new ones are."""
-    one, other, _ = yield from pair(loop)
-    yield Readable(other.handle) if other.read_now() is not None else Sleep(0)
-    yield from one.write(b"a")
-    yield Readable(other.handle)
+def readiness_is_edge_triggered(loop, folder):
+    """Bytes that were reported but not read are not reported again; new bytes are."""
+    local, remote, _ = yield from connected_pair(loop)
+    yield Readable(remote.handle) if remote.read_now() is not None else Sleep(0)
+    yield from local.write(b"a")
+    yield Readable(remote.handle)
 
-    def waits():
-        yield Readable(other.handle)
+    def wait_for_handle():
+        yield Readable(remote.handle)
 
-    task = loop.spawn(waits(), "waits")
+    task = loop.spawn(wait_for_handle(), "wait")
     yield Sleep(20 * MS)
-    before = task.done
-    yield from one.write(b"b")
+    woken_early = task.done
+    yield from local.write(b"b")
     with Deadline(loop, 500 * MS):
         yield task
-    return before, other.read_now()
+    return woken_early, remote.read_now()
 
 
 @case
-def datagrams_go_to_whom_they_are_sent(loop, folder):
-    one, other = loop.kernel.open_datagrams(HERE), loop.kernel.open_datagrams(HERE)
-    empty = other.recv(100)
-    sent = one.send(b"hello", other.address())
-    yield Readable(other)
-    data, address = other.recv(100)
-    cut = one.send(b"0123456789", other.address())
+def datagrams_reach_their_address(loop, folder):
+    local, remote = loop.kernel.open_datagrams(LOCAL_ANY_PORT), loop.kernel.open_datagrams(LOCAL_ANY_PORT)
+    nothing_received = remote.recv(100)
+    sent = local.send(b"hello", remote.address())
+    yield Readable(remote)
+    data, address = remote.recv(100)
+    truncated_send = local.send(b"0123456789", remote.address())
     yield Sleep(10 * MS)
-    short = other.recv(4)
-    return empty, sent, data, address == one.address(), cut, short[0], other.recv(4)
+    truncated = remote.recv(4)
+    return (
+        nothing_received,
+        sent,
+        data,
+        address == local.address(),
+        truncated_send,
+        truncated[0],
+        remote.recv(4),
+    )
 
 
 @case
-def a_datagram_to_nobody_is_lost(loop, folder):
-    one = loop.kernel.open_datagrams(HERE)
-    gone = loop.kernel.open_datagrams(HERE)
-    address = gone.address()
-    gone.close()
-    sent = one.send(b"x", address)
+def datagram_without_receiver_is_lost(loop, folder):
+    local = loop.kernel.open_datagrams(LOCAL_ANY_PORT)
+    closed = loop.kernel.open_datagrams(LOCAL_ANY_PORT)
+    address = closed.address()
+    closed.close()
+    sent = local.send(b"x", address)
     yield Sleep(10 * MS)
-    return sent, one.recv(10)
+    return sent, local.recv(10)
 
 
 @case
 def sleeps_end_in_order_and_not_early(loop, folder):
     ended = []
 
-    def one(n):
+    def sleep_for(n):
         began = loop.kernel.now()
         yield Sleep(n * MS)
         ended.append((n, loop.kernel.now() - began >= n * MS))
 
-    tasks = [loop.spawn(one(n), f"{n}") for n in (9, 3, 6)]
+    tasks = [loop.spawn(sleep_for(n), f"{n}") for n in (9, 3, 6)]
     for task in tasks:
         yield from task.join()
     return ended
 
 
 @case
-def time_does_not_go_back(loop, folder):
-    seen = [loop.kernel.now()]
+def clock_is_monotonic(loop, folder):
+    times = [loop.kernel.now()]
     for _ in range(20):
         yield Sleep(0)
-        seen.append(loop.kernel.now())
-    return seen == sorted(seen), loop.kernel.wall_clock() > 1_600_000_000_000_000
+        times.append(loop.kernel.now())
+    return times == sorted(times), loop.kernel.wall_clock() > 1_600_000_000_000_000
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda function: function.__name__)
-def test_both_kernels_show_the_same(case, tmp_path):
+def test_kernels_behave_alike(case, tmp_path):
+    """A difference would let the simulation pass code that fails on a real system, or the reverse."""
     folders = [tmp_path / "epoll", tmp_path / "virtual"]
     folders[0].mkdir()
-    real, virtual = on_epoll(case, str(folders[0])), on_virtual(case, str(folders[1]))
-    assert real == virtual and real is not None
+    epoll_result, virtual_result = run_on_epoll(case, str(folders[0])), run_on_virtual(case, str(folders[1]))
+    assert epoll_result == virtual_result and epoll_result is not None
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,12 +1,14 @@
-"""The layers of the package: who may import whom, and who may call the operating system."""
+"""Layers of the package: which packages may import which, and which may call the operating system."""
 
 import ast
 import pathlib
 
 
-def test_nobody_goes_round_the_kernel():
-    """Above loop/ nothing reads clocks, sockets, chance, processes or files by itself. The command line reads
-    the files that it is given; the decisions and the bench's adapter import only what they always did."""
+def test_only_loop_calls_the_operating_system():
+    """Outside loop/ no module uses clocks, sockets, random numbers, processes or files directly, because
+    the simulated kernel could not replace such a call. Exceptions: the command line opens the files
+    that it is given, and `os.path` and `os.makedirs` are allowed.
+    """
     root = pathlib.Path(__file__).parent.parent / "cobaltpond"
     forbidden = {
         "time",
@@ -24,28 +26,30 @@
         "resource",
         "multiprocessing",
     }
-    bad = []
+    violations = []
     for path in sorted(root.rglob("*.py")):
-        room = path.relative_to(root).parts[0]
+        package = path.relative_to(root).parts[0]
         for node in ast.walk(ast.parse(path.read_text())):
             names = (
                 [a.name for a in node.names]
                 if isinstance(node, ast.Import)
                 else ([node.module or ""] if isinstance(node, ast.ImportFrom) else [])
             )
-            bad += [
-                f"{path.name}: import {n}" for n in names if n.split(".")[0] in forbidden and room != "loop"
+            violations += [
+                f"{path.name}: import {n}"
+                for n in names
+                if n.split(".")[0] in forbidden and package != "loop"
             ]
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "open":
-                bad += [f"{path.name}: open"] if room not in ("loop", "cli") else []
+                violations += [f"{path.name}: open"] if package not in ("loop", "cli") else []
             if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "os":
-                fine = room == "loop" or node.attr in ("path", "makedirs")
-                bad += [] if fine else [f"{path.name}: os.{node.attr}"]
-    assert not bad, bad
+                is_allowed = package == "loop" or node.attr in ("path", "makedirs")
+                violations += [] if is_allowed else [f"{path.name}: os.{node.attr}"]
+    assert not violations, violations
 
 
-def test_rooms_import_only_from_rooms_below():
-    """The order of docs/architecture.md."""
+def test_packages_import_only_lower_layers():
+    """Checks the layers of docs/architecture.md."""
     order = [
         "decisions",
         "benchlink",
@@ -69,7 +73,7 @@
         "sim",
         "cli",
     ]
-    alone = {
+    allowed_imports = {
         "decisions": {"decisions"},
         "benchlink": {"benchlink", "decisions"},
         "loop": {"loop"},
@@ -86,14 +90,18 @@
         "agent": {"agent", "builds", "wal", "loop", "wire", "settings", "rpc"},
         "standins": {"standins", "builds", "loop", "wire", "rpc"},
     }
-    root, bad = pathlib.Path(__file__).parent.parent / "cobaltpond", []
+    root, violations = pathlib.Path(__file__).parent.parent / "cobaltpond", []
     for path in sorted(root.rglob("*.py")):
-        room = path.relative_to(root).parts[0]
-        if room not in order:
+        package = path.relative_to(root).parts[0]
+        if package not in order:
             continue
-        allowed = alone.get(room, set(order[: order.index(room) + 1]))
+        allowed = allowed_imports.get(package, set(order[: order.index(package) + 1]))
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("cobaltpond."):
-                other = node.module.split(".")[1]
-                bad += [f"{path.relative_to(root)} imports {other}"] if other not in allowed else []
-    assert not bad, bad
+                imported_package = node.module.split(".")[1]
+                violations += (
+                    [f"{path.relative_to(root)} imports {imported_package}"]
+                    if imported_package not in allowed
+                    else []
+                )
+    assert not violations, violations
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,6 @@
-"""Tasks, deadlines, cancellation, timers, sockets and children of the loop, on the real kernel."""
+"""Tasks, deadlines, cancellation, timers, sockets and child processes of the event loop, on the epoll
+kernel.
+"""
 
 import resource
 import sys
@@ -25,9 +27,9 @@
 
 @pytest.fixture
 def loop():
-    deaths = []
-    loop = Loop(EpollKernel(), lambda task, trouble: deaths.append((task.name, trouble)))
-    loop.deaths = deaths
+    failures = []
+    loop = Loop(EpollKernel(), lambda task, error: failures.append((task.name, error)))
+    loop.failures = failures
     return loop
 
 
@@ -35,7 +37,11 @@
     return loop.run(loop.spawn(generator, "main"))
 
 
-def test_a_deadline_interrupts_and_composes(loop):
+def test_deadline_interrupts_nested_wait(loop):
+    """An outer deadline interrupts a wait in a subroutine with a longer deadline of its own, and does not
+    interrupt later waits.
+    """
+
     def inner():
         with Deadline(loop, 500 * MS):
             yield Sleep(5_000 * MS)
@@ -46,14 +52,18 @@
             with Deadline(loop, 20 * MS):
                 yield from inner()
         except DeadlineExceededError:
-            yield Sleep(1 * MS)  # and nothing of it is left behind
+            yield Sleep(1 * MS)  # a later wait is not interrupted again
             return loop.now() - began
 
     assert 20 * MS <= run(loop, outer()) < 200 * MS
 
 
-def test_a_deadline_that_passes_as_the_wait_ends_does_no_harm_afterwards(loop):
-    def go():
+def test_expired_deadline_does_not_interrupt_later_waits(loop):
+    """A deadline that expires in the same turn as its wait ends must not interrupt a wait outside its
+    block.
+    """
+
+    def main():
         for _ in range(50):
             try:
                 with Deadline(loop, 1 * MS):
@@ -61,75 +71,80 @@
             except DeadlineExceededError:
                 pass
             yield Sleep(100)
-        return "whole"
+        return "finished"
 
-    assert run(loop, go()) == "whole"
+    assert run(loop, main()) == "finished"
 
 
-def test_cancelling_runs_finally_and_waits_in_it(loop):
-    said = []
+def test_cancelled_task_may_wait_in_finally(loop):
+    """A cancelled task can wait in its `finally` block, and cancellation is no failure."""
+    log = []
 
-    def victim():
+    def cancelled_task():
         try:
             yield Sleep(10_000 * MS)
         finally:
-            said.append("cleaning")
+            log.append("cleaning")
             yield Sleep(1 * MS)
-            said.append("clean")
+            log.append("clean")
 
-    def go():
-        task = loop.spawn(victim(), "victim")
+    def main():
+        task = loop.spawn(cancelled_task(), "cancelled")
         yield Sleep(1 * MS)
         task.cancel()
         yield task
-        return said
+        return log
 
-    assert run(loop, go()) == ["cleaning", "clean"] and not loop.deaths
+    assert run(loop, main()) == ["cleaning", "clean"] and not loop.failures
 
 
-def test_a_task_cancelled_before_its_first_step_still_cleans_up(loop):
-    said = []
+def test_task_cancelled_before_first_step_runs_finally(loop):
+    """A task that is cancelled before it has run at all still runs its `finally` block."""
+    log = []
 
-    def victim():
+    def cancelled_task():
         try:
             yield Sleep(10_000 * MS)
         finally:
-            said.append("clean")
+            log.append("clean")
 
-    def go():
-        task = loop.spawn(victim(), "victim")
+    def main():
+        task = loop.spawn(cancelled_task(), "cancelled")
         task.cancel()
         yield task
 
-    run(loop, go())
-    assert said == ["clean"]
+    run(loop, main())
+    assert log == ["clean"]
 
 
-def test_no_task_dies_in_silence(loop):
-    def bad():
+def test_task_failure_is_reported_or_raised_in_join(loop):
+    """A task's error must not get lost: it goes to `join`, or to the failure callback if nobody joins."""
+
+    def fail():
         yield Sleep(0)
-        raise ValueError("oh")
+        raise ValueError("failed on purpose")
 
-    def alone():
-        loop.spawn(bad(), "bad")
+    def run_unjoined():
+        loop.spawn(fail(), "fail")
         yield Sleep(5 * MS)
 
-    run(loop, alone())
-    ((name, trouble),) = loop.deaths
-    assert name == "bad" and str(trouble) == "oh"
+    run(loop, run_unjoined())
+    ((name, error),) = loop.failures
+    assert name == "fail" and str(error) == "failed on purpose"
 
-    def joined():
-        yield from loop.spawn(bad(), "bad").join()
+    def run_joined():
+        yield from loop.spawn(fail(), "fail").join()
 
     with pytest.raises(ValueError):
-        run(loop, joined())
-    assert len(loop.deaths) == 1
+        run(loop, run_joined())
+    assert len(loop.failures) == 1
 
 
-def test_a_value_on_its_way_is_not_lost_to_an_interruption(loop):
+def test_event_value_is_delivered_before_an_interruption(loop):
+    """An interruption in the same turn as `set` must not drop the value of the event."""
     event, got = Event(), []
 
-    def waits():
+    def wait_for_event():
         try:
             with Deadline(loop, 5 * MS):
                 got.append((yield event))
@@ -137,39 +152,40 @@
         except DeadlineExceededError:
             got.append("late")
 
-    def go():
-        task = loop.spawn(waits(), "waits")
+    def main():
+        task = loop.spawn(wait_for_event(), "wait")
         yield Sleep(1 * MS)
         event.set("value")
         task.interrupt(task)  # in the same turn
         task.discard_interrupt(task)
         yield task
 
-    run(loop, go())
+    run(loop, main())
     assert got == ["value", "late"]
 
 
-def test_a_queue_holds_back_whoever_puts(loop):
-    queue, most = Queue(3), []
+def test_full_queue_blocks_the_producer(loop):
+    """The queue never holds more than its bound, however fast the producer is."""
+    queue, lengths = Queue(3), []
 
-    def puts():
+    def produce():
         for n in range(50):
             yield from queue.put(n)
-            most.append(len(queue.items))
+            lengths.append(len(queue.items))
 
-    def go():
-        loop.spawn(puts(), "puts")
+    def main():
+        loop.spawn(produce(), "produce")
         got = []
         for _ in range(50):
             got.append((yield from queue.get()))
             yield Sleep(10)
         return got
 
-    assert run(loop, go()) == list(range(50)) and max(most) <= 3
+    assert run(loop, main()) == list(range(50)) and max(lengths) <= 3
 
 
-def test_a_hundred_thousand_timers_stay_cheap(loop):
-    """The heap does not fill with cancelled ones, and what is due comes in order."""
+def test_timer_heap_stays_small_with_100000_timers(loop):
+    """Cancelled timers are removed from the heap, and due timers fire in order of time."""
     fired = []
     timers = [loop.call_in(3_600_000 * MS, lambda: None) for _ in range(100_000)]
     for n in (3, 1, 2):
@@ -178,50 +194,52 @@
         timer.cancel()
     assert len(loop.timers.heap) < 25_000
 
-    def go():
+    def main():
         yield Sleep(10 * MS)
 
     began = loop.kernel.now()
-    run(loop, go())
+    run(loop, main())
     assert fired == [1, 2, 3] and loop.kernel.now() - began < 500 * MS
 
 
-def test_dials_that_are_refused_and_that_hang(loop):
+def test_dial_reports_refusal_and_deadline(loop):
+    """A dial without a listener is refused, and a dial to a full backlog ends with its deadline."""
     listener = loop.kernel.listen(("127.0.0.1", 0), 0)
     address = listener.address()
     closed = loop.kernel.listen(("127.0.0.1", 0), 1)
-    nobody = closed.address()
+    closed_address = closed.address()
     closed.close()
 
-    def go():
+    def main():
         with pytest.raises(RefusedError):
-            yield from dial(loop, nobody, 200 * MS)
-        kept, late = [], False
-        for _ in range(20):  # nobody accepts: the backlog fills, and then dials hang
+            yield from dial(loop, closed_address, 200 * MS)
+        connections, timed_out = [], False
+        for _ in range(20):  # no task accepts: the backlog fills up, and further dials hang
             try:
-                kept.append((yield from dial(loop, address, 50 * MS)))
+                connections.append((yield from dial(loop, address, 50 * MS)))
             except DeadlineExceededError:
-                late = True
+                timed_out = True
                 break
-        for connection in kept:
+        for connection in connections:
             connection.close()
-        return late
+        return timed_out
 
-    assert run(loop, go())
+    assert run(loop, main())
 
 
-def test_bytes_both_ways_with_a_peer_that_reads_late_then_resets(loop):
+def test_write_waits_for_slow_reader_and_reports_reset(loop):
+    """A write of 5 MiB waits for a slow reader; a reset then ends reading with ConnectionLostError."""
     listener = loop.kernel.listen(("127.0.0.1", 0), 8)
     got = []
 
-    def answer(connection):
+    def serve_connection(connection):
         yield Sleep(30 * MS)
         while sum(map(len, got)) < 5 << 20:
             got.append((yield from connection.read()))
         connection.abort()
 
-    def go():
-        task = loop.spawn(serve(loop, listener, answer, 4, "serve"), "serve")
+    def main():
+        task = loop.spawn(serve(loop, listener, serve_connection, 4, "serve"), "serve")
         connection = yield from dial(loop, listener.address(), 500 * MS)
         yield from connection.write(b"x" * (5 << 20))
         with pytest.raises(ConnectionLostError):
@@ -233,121 +251,132 @@
         task.cancel()
         yield task
 
-    run(loop, go())
+    run(loop, main())
     assert sum(map(len, got)) == 5 << 20
 
 
-def test_used_up_descriptors_at_accept_and_at_dial(loop):
-    """Accepting waits and goes on; dialling says so; what is open is not touched."""
+def test_descriptor_limit_at_accept_and_dial(loop):
+    """At the file descriptor limit accepting pauses and later goes on, a dial raises
+    HandlesExhaustedError, and open connections keep working.
+    """
     listener = loop.kernel.listen(("127.0.0.1", 0), 64)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
-    def answer(connection):
+    def serve_connection(connection):
         while data := (yield from connection.read()):
             yield from connection.write(data)
 
-    def go():
-        task = loop.spawn(serve(loop, listener, answer, 64, "echo", pause=5 * MS), "echo")
+    def main():
+        task = loop.spawn(serve(loop, listener, serve_connection, 64, "echo", pause=5 * MS), "echo")
         first = yield from dial(loop, listener.address(), 500 * MS)
         yield Sleep(5 * MS)
-        second = loop.kernel.dial(listener.address())  # waits in the backlog
-        hoard = []
+        second = loop.kernel.dial(listener.address())  # stays in the backlog
+        handles = []
         resource.setrlimit(resource.RLIMIT_NOFILE, (200, hard))
         try:
             with pytest.raises(HandlesExhaustedError):
                 while True:
-                    hoard.append(loop.kernel.dial(listener.address()))
+                    handles.append(loop.kernel.dial(listener.address()))
             yield from first.write(b"still here")
             assert (yield from first.read()) == b"still here"
             yield Sleep(20 * MS)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            for handle in hoard:
+            for handle in handles:
                 handle.close()
         from cobaltpond.loop import Connection
 
-        late = Connection(loop, second)
-        yield from late.write(b"late")
+        backlog_connection = Connection(loop, second)
+        yield from backlog_connection.write(b"late")
         with Deadline(loop, 2_000 * MS):
-            assert (yield from late.read()) == b"late"
-        for connection in (first, late):
+            assert (yield from backlog_connection.read()) == b"late"
+        for connection in (first, backlog_connection):
             connection.close()
         task.cancel()
         yield task
 
-    run(loop, go())
-    assert not loop.deaths
+    run(loop, main())
+    assert not loop.failures
 
 
-def test_what_can_be_spared_goes_before_accepting_pauses(loop):
-    """Found by simulation: hits waited in the backlog while idle connections held on to handles."""
+def test_accept_evicts_idle_connections_before_pausing(loop):
+    """A simulation found that new connections waited in the backlog while idle connections kept the file
+    descriptors.
+    """
 
-    class Full:
-        reader, tries, spared = None, 0, 0
+    class ExhaustedListener:
+        reader, attempts, evictions = None, 0, 0
 
         def accept(self):
-            self.tries += 1
-            if not self.spared:
-                raise HandlesExhaustedError("none left")
+            self.attempts += 1
+            if not self.evictions:
+                raise HandlesExhaustedError("no descriptor left")
 
         def evict(self):
-            self.spared += 1
+            self.evictions += 1
             return True
 
         def close(self):
             pass
 
-    full = Full()
+    listener = ExhaustedListener()
 
-    def go():
-        task = loop.spawn(serve(loop, full, None, 4, "door", pause=10_000 * MS, evict=full.evict), "door")
+    def main():
+        task = loop.spawn(
+            serve(loop, listener, None, 4, "door", pause=10_000 * MS, evict=listener.evict), "door"
+        )
         yield Sleep(20 * MS)
         task.cancel()
         yield task
 
-    run(loop, go())
-    assert full.spared == 1 and full.tries >= 2
+    run(loop, main())
+    assert listener.evictions == 1 and listener.attempts >= 2
+
 
+def test_shutdown_drains_backlog_after_descriptor_shortage(loop):
+    """A client in the backlog sees an established connection. It is still accepted when `serve` is
+    cancelled, although no descriptor is free at first.
+    """
 
-def test_who_waits_in_the_backlog_at_the_end_is_taken_though_no_handle_is_left_at_first(loop):
-    class Used:
-        reader, tries, taken, closed = None, 0, 0, False
+    class BusyListener:
+        reader, attempts, accepted, closed = None, 0, 0, False
 
         def accept(self):
-            self.tries += 1
-            if self.tries == 1:
-                return None  # nobody there: it waits
-            if self.tries < 5:
-                raise HandlesExhaustedError("none left")
-            self.taken += 1
-            return self if self.taken == 1 else None
+            self.attempts += 1
+            if self.attempts == 1:
+                return None  # the backlog is empty: `serve` waits for it
+            if self.attempts < 5:
+                raise HandlesExhaustedError("no descriptor left")
+            self.accepted += 1
+            return self if self.accepted == 1 else None
 
         def close(self):
             self.closed = True
 
-    used, answered = Used(), []
+    listener, listener_closed = BusyListener(), []
 
-    def answer(connection):
-        answered.append(used.closed)
+    def serve_connection(connection):
+        listener_closed.append(listener.closed)
         yield Sleep(0)
 
-    def go():
-        task = loop.spawn(serve(loop, used, answer, 4, "door", pause=2 * MS), "door")
+    def main():
+        task = loop.spawn(serve(loop, listener, serve_connection, 4, "door", pause=2 * MS), "door")
         yield Sleep(5 * MS)
         task.cancel()
         yield task
         yield Sleep(5 * MS)
 
-    run(loop, go())
-    assert answered == [True] and used.tries == 6 and not loop.deaths
+    run(loop, main())
+    assert listener_closed == [True] and listener.attempts == 6 and not loop.failures
 
 
-def test_children_end_and_are_told_to(loop, tmp_path):
+def test_child_process_ends_by_signal(loop, tmp_path):
+    """A child process gets a signal, and its exit code is the negative number of the signal."""
     child = loop.kernel.spawn(
         [sys.executable, "-c", "print('up', flush=True); import time; time.sleep(60)"], str(tmp_path / "out")
     )
 
-    def go():
+    def main():
         with Deadline(loop, 5_000 * MS):
             while b"up" not in (loop.kernel.read_file(str(tmp_path / "out")) or b""):
                 yield Sleep(5 * MS)
@@ -356,4 +385,4 @@
                 yield Sleep(2 * MS)
         return child.ended()
 
-    assert run(loop, go()) == -15
+    assert run(loop, main()) == -15
