--- a/cobaltpond/settings/deployment.py
+++ b/cobaltpond/settings/deployment.py
@@ -51,7 +51,7 @@
         recovery: None: no paced recovery.
         limits: a tuple of `settings.limits.LimitSettings`.
         tick: resolution of the clock of the decisions, in microseconds.
-        over_share_benefit: benefit of a hit of a customer that is over its share.
+        over_share_benefit: benefit of hits over their customer's share, passed to the decisions.
     """
 
     path_groups: tuple[PathGroupSettings, ...]
--- a/cobaltpond/settings/limits.py
+++ b/cobaltpond/settings/limits.py
@@ -136,7 +136,7 @@
                     "they may come to 1 at most"
                 )
             if self.by == "key":
-                return "a guarantee by key: nobody knows how many keys there are; give it by customer"
+                return "no guarantee by key: the number of keys is unknown; give it by customer"
             if self.least * parent.rate > self.rate:
                 return f"the guarantee is more than {self.name!r} itself allows: lower least or raise rate"
         return None
@@ -204,6 +204,7 @@
     )
 
 
+# Functions of the settings file beside `limit`; rates are in thousandths of a hit per second.
 LIMIT_FUNCTIONS = {
     "per_second": lambda count: round(count * 1000),
     "per_minute": lambda count: round(count * 1000 / 60),
--- a/cobaltpond/settings/reader.py
+++ b/cobaltpond/settings/reader.py
@@ -8,6 +8,7 @@
 import msgspec
 import starlark
 
+# How often a call may stand in the file.
 ANY_NUMBER, AT_MOST_ONE, EXACTLY_ONE = "many", "one", "needed"
 
 
--- a/cobaltpond/settings/release_sections.py
+++ b/cobaltpond/settings/release_sections.py
@@ -45,7 +45,7 @@
         drain_time: how long a draining instance runs on before it is stopped, in microseconds.
         news_period: longest time between two messages of the desk; after three of them without a message a
             gateway or an agent reconnects. In microseconds.
-        tally_period: time between two tallies of the desk, in microseconds; 0: none.
+        tally_period: time between two tallies, in microseconds; 0: none.
         tally_sample: sampling rate of the tallies.
         wrong_reported: share of the wrong answers that clients report.
         warm_keys: passed to the decisions unchanged.
--- a/cobaltpond/settings/sections.py
+++ b/cobaltpond/settings/sections.py
@@ -120,7 +120,7 @@
         crossing: price of a forward to another zone.
         probe: price of a probe.
         tell: price of a message to another gateway.
-        waste: price of a forward whose answer is not used.
+        waste: price of wasted work.
     """
 
     crossing: NonNegativeNumber = 0.0
@@ -296,7 +296,7 @@
         calls: first calls per second that the instance list and the desk bear; 0: no bound.
         warm: whether a starting gateway asks settled gateways for what they have learned.
         asks: such requests per second that one gateway answers.
-        hear: longest time in the phase of hearing from the others.
+        hear: longest time in each of the first two phases, without any news and while news arrives.
         warming: longest time in the phase of the warm start.
         settle: longest time in the phase of serving before it counts as settled.
         snapshot_every: time between two snapshots, where a gateway has a file for them.
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -49,7 +49,9 @@
 
 
 def test_packages_import_only_lower_layers():
-    """Checks the layers of docs/architecture.md."""
+    """Checks the layers of docs/architecture.md. The decisions and the bench adapter may import nothing
+    beyond their own two packages.
+    """
     order = [
         "decisions",
         "benchlink",
