--- a/bench/limits.py
+++ b/bench/limits.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.leases.protocol import Holder, Owner, owner_of  # noqa: E402
+from cobaltpond.leases.protocol import LeaseHolder, LeaseOwner, owner_of  # noqa: E402
 from cobaltpond.limits.compiled import CompiledLimits  # noqa: E402
 from cobaltpond.limits.rules import HitAttributes, Limit  # noqa: E402
 from cobaltpond.loop.random_source import seeded_random  # noqa: E402
@@ -92,8 +92,8 @@
     }[variant]
     limit = Limit("house", "hits", rate=RATE_PER_S * 1000, burst=RATE_PER_S // 10, fleet=variant != "central")
     evaluators = [CompiledLimits([limit], own_rate) for _ in range(1 if variant == "central" else count)]
-    owners = [Owner(n, count, LEASE_TIME_US, 0) for n in range(count)]
-    holders = [Holder(n, LEASE_TIME_US) for n in range(count)]
+    owners = [LeaseOwner(n, count, LEASE_TIME_US, 0) for n in range(count)]
+    holders = [LeaseHolder(n, LEASE_TIME_US) for n in range(count)]
     pool = RATE_PER_S * 1000 - count * (RATE_PER_S * 1000 // OWN_DIVISOR // count)
     living = list(range(count))
     key = "house"
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -91,9 +91,9 @@
     "a forward goes on after its time is up": (
         "gateway/forwards.py",
         "with Deadline(self.loop, timeout):\n"
-        "                    observation = yield from attempt.run_until_commit()",
+        "                    result_key = yield from attempt.run_until_commit()",
         "with Deadline(self.loop, 60 * timeout):\n"
-        "                    observation = yield from attempt.run_until_commit()",
+        "                    result_key = yield from attempt.run_until_commit()",
     ),
     "cap of the stage before": (
         "decisions/voting.py",
@@ -142,8 +142,8 @@
     ),
     "connection given back with an answer on its way": (
         "gateway/forwards.py",
-        'attempt.close(reuse=observation in ("answer", "refusal", "server error"))\n            self.observations',
-        "attempt.close(reuse=True)\n            self.observations",
+        'attempt.close(reuse=result_key in ("answer", "refusal", "server error"))\n            self.result_counts',
+        "attempt.close(reuse=True)\n            self.result_counts",
     ),
     "a cancelled forward is not reset": (
         "gateway/endpoints.py",
--- a/cobaltpond/cli/sim.py
+++ b/cobaltpond/cli/sim.py
@@ -52,18 +52,14 @@
     from cobaltpond.sim.campaign import Coverage, run_seeds
 
     kernel, coverage, failed, simulated, hits, checked = EpollKernel(), Coverage(), 0, 0, 0, 0
-    weights, seed_range, started_at = (
-        Coverage.load(lean.read()).fault_weights() if lean else None,
-        parse_seeds(seeds),
-        kernel.now(),
-    )
+    weights = Coverage.load(lean.read()).fault_weights() if lean else None
+    seed_range = parse_seeds(seeds)
+    started_at = kernel.now()
     for done, verdict in enumerate(run_seeds(seed_range, size, jobs, weights), 1):
         coverage.add(verdict)
-        simulated, hits, checked = (
-            simulated + verdict.simulated,
-            hits + verdict.hits,
-            checked + verdict.checked,
-        )
+        simulated += verdict.simulated
+        hits += verdict.hits
+        checked += verdict.checked
         if verdict.found:
             failed += 1
             click.echo(f"seed {verdict.seed}: {len(verdict.found)} found, first: {verdict.found[0]}")
--- a/cobaltpond/edge/client_connection.py
+++ b/cobaltpond/edge/client_connection.py
@@ -77,7 +77,7 @@
                 self.writer = self.loop.spawn(self.write_rest(), "door-rest")
         # a client that sends commands and never reads would fill the memory
         if len(self.unsent) > MAX_UNSENT_BYTES:
-            self.frontend.count("unread")
+            self.frontend.increment("unread")
             self.connection.abort()
 
     def write_rest(self):
@@ -111,7 +111,7 @@
 
     def refuse(self, code: str, text: str) -> None:
         """Sends one FATAL error and closes. A hit that is open here gets it as its final response."""
-        self.frontend.count("unfit")
+        self.frontend.increment("unfit")
         self.abandon_open_hit()
         if self.closing_since is None:
             self.send_data(pg.error_response(code, text, fatal=True))
@@ -172,7 +172,7 @@
             return
         time_left = min(statement.time_left, group["client_timeout"], frontend.time_remaining())
         if frontend.host.is_full() or time_left <= 0:
-            frontend.count("turned away")
+            frontend.increment("turned away")
             self.send_data(
                 pg.error_response(
                     "53300", "no room for a further hit" if time_left > 0 else "this gateway ends"
--- a/cobaltpond/edge/main.py
+++ b/cobaltpond/edge/main.py
@@ -186,7 +186,7 @@
                 **self.frontend.counts,
                 given_up=self.host.decisions.given_up,
                 admitted=round(self.host.decisions.admitted_share, 2),
-                endings={k: v for k, v in self.forwards.observations.items() if v},
+                endings={k: v for k, v in self.forwards.result_counts.items() if v},
             )
 
 
--- a/cobaltpond/gateway/client_connection.py
+++ b/cobaltpond/gateway/client_connection.py
@@ -161,7 +161,7 @@
     def break_off(self, reason: str) -> None:
         """Aborts the client's connection in a streamed response, so that the client sees it as truncated."""
         self.outcome, self.streaming = "cut", False
-        self.client.frontend.count("cut")
+        self.client.frontend.increment("cut")
         self.client.frontend.log.warning("answer cut", hit=self.name, why=reason)
         self.client.connection.abort()
         self.answered.set()
--- a/cobaltpond/gateway/decision_host.py
+++ b/cobaltpond/gateway/decision_host.py
@@ -154,26 +154,24 @@
             self.loop.call_in(0, lambda: self.post_event("on_outcome", hit, number, "moot", 0, True, {}))
             return
 
-        def report_result(result, duration, hit_final, load_report):
+        def on_result(result, duration, hit_final, load_report):
             pending_hit.last_result = result
             self.post_event("on_outcome", hit, number, result, duration, hit_final, load_report)
             self.loop.call_in(0, lambda: self.drop_finished(pending_hit))
 
         if endpoint is None or number >= self.max_forwards:
             pending_hit.forwards.append(None)
-            self.forwards.observations["not listed" if endpoint is None else "nothing to send"] += 1
+            self.forwards.result_counts["not listed" if endpoint is None else "nothing to send"] += 1
             self.loop.call_in(
                 0,
-                lambda: report_result(
-                    "unreachable" if endpoint is None else "moot", 0, pending_hit.final, {}
-                ),
+                lambda: on_result("unreachable" if endpoint is None else "moot", 0, pending_hit.final, {}),
             )
             return
         self.counts["forwards"] += 1
         self.endpoints.reserve(endpoint)
         pending_hit.forwards.append(
             self.loop.spawn(
-                self.forwards.run_forward(pending_hit, number, endpoint, timeout, send_within, report_result),
+                self.forwards.run_forward(pending_hit, number, endpoint, timeout, send_within, on_result),
                 f"forward-{pending_hit.name}-{number}",
             )
         )
--- a/cobaltpond/gateway/endpoints.py
+++ b/cobaltpond/gateway/endpoints.py
@@ -14,7 +14,7 @@
 )
 
 MIN_SWEEP_PERIOD_US = 20_000  # between two sweeps, however short the idle time is
-RESERVATION_TIME = 100_000  # microseconds; a forward that has not acquired its connection by then never will
+RESERVATION_TIME_US = 100_000  # a forward that has not acquired its connection by then never will
 
 
 class NoConnectionError(Exception):
@@ -39,15 +39,15 @@
 
     `limits`: the `instances` section of the settings. `handshake(connection)`: a coroutine for what a
     protocol exchanges before the first hit, within the dial time; it raises NoConnectionError.
-    `max_connections()`: the limit of connections to all instances together at this time; None: no limit.
+    `connection_limit()`: the limit of connections to all instances together at this time; None: no limit.
     """
 
-    def __init__(self, loop, limits, handshake=None, max_connections=None):
+    def __init__(self, loop, limits, handshake=None, connection_limit=None):
         self.loop = loop
         self.limits = limits
         self.by_id = {}
         self.handshake = handshake
-        self.max_connections = max_connections
+        self.connection_limit = connection_limit
         self.open_count = 0
         self.dial_limiter = None
 
@@ -66,7 +66,7 @@
 
         Otherwise these connections would stay withheld from other forwards for ever.
         """
-        if self.loop.now() - endpoint.reserved_at > RESERVATION_TIME:
+        if self.loop.now() - endpoint.reserved_at > RESERVATION_TIME_US:
             endpoint.reserved = endpoint.reserved_dials = 0
 
     def idle_count(self, endpoint: InstanceEndpoint) -> int:
@@ -154,8 +154,8 @@
                 pass
             self.close(endpoint, connection)
         if endpoint.open_count >= self.limits.connections or (
-            self.max_connections is not None
-            and self.open_count >= self.max_connections()
+            self.connection_limit is not None
+            and self.open_count >= self.connection_limit()
             and not self.evict()
         ):
             raise NoConnectionError("no connection free")
--- a/cobaltpond/gateway/forwards.py
+++ b/cobaltpond/gateway/forwards.py
@@ -19,13 +19,13 @@
 class Forwards:
     """Runs the forwards and probes of one gateway.
 
-    `sender`: the value of the field `Cobaltpond-From`. `observations`: how often each key of FORWARD_RESULTS
+    `sender`: the value of the field `Cobaltpond-From`. `result_counts`: how often each key of FORWARD_RESULTS
     occurred.
     """
 
     def __init__(self, loop, endpoints: EndpointPool, settings, sender: str):
         self.loop, self.endpoints, self.settings, self.sender = loop, endpoints, settings, sender
-        self.observations = dict.fromkeys(FORWARD_RESULTS, 0)
+        self.result_counts = dict.fromkeys(FORWARD_RESULTS, 0)
 
     def run_forward(
         self,
@@ -34,55 +34,55 @@
         endpoint: InstanceEndpoint,
         timeout: int,
         send_within: int | None,
-        report_result,
+        on_result,
     ):
         """Runs one forward; the body of a task. Times are microseconds.
 
-        `send_within`: nothing is written later than that; None: within `timeout`. `report_result(result,
+        `send_within`: nothing is written later than that; None: within `timeout`. `on_result(result,
         duration, hit_final, load_report)` is called exactly once, also on cancellation.
         """
-        began, observation, load_report, hit_final = self.loop.now(), "called off", {}, False
+        began, result_key, load_report, hit_final = self.loop.now(), "called off", {}, False
         attempt = ForwardAttempt(self, hit, number, endpoint, timeout, send_within)
         try:
             try:
                 with Deadline(self.loop, timeout):
-                    observation = yield from attempt.run_until_commit()
+                    result_key = yield from attempt.run_until_commit()
             except DeadlineExceededError:
-                observation = "too late" if attempt.has_written else "dial too slow"
+                result_key = "too late" if attempt.has_written else "dial too slow"
             duration = self.loop.now() - began
             load_report = orca.parse_load_report(attempt.head.get(orca.HEADER)) if attempt.head else {}
-            if observation == "answer":
+            if result_key == "answer":
                 hit_final = True
                 if attempt.streaming:
-                    observation = yield from attempt.stream()
+                    result_key = yield from attempt.stream()
                 elif not hit.final:
                     hit.deliver(attempt.head, b"".join(attempt.body), endpoint)
         finally:
-            attempt.close(reuse=observation in ("answer", "refusal", "server error"))
-            self.observations[observation] += 1
-            if observation in ("called off", "too late", "dial too slow") or attempt.head is None:
+            attempt.close(reuse=result_key in ("answer", "refusal", "server error"))
+            self.result_counts[result_key] += 1
+            if result_key in ("called off", "too late", "dial too slow") or attempt.head is None:
                 duration = self.loop.now() - began
-            report_result(FORWARD_RESULTS[observation][0], duration, hit_final or hit.final, load_report)
+            on_result(FORWARD_RESULTS[result_key][0], duration, hit_final or hit.final, load_report)
 
-    def run_probe(self, endpoint: InstanceEndpoint, report_result):
+    def run_probe(self, endpoint: InstanceEndpoint, on_result):
         """Sends one request for the probe page; the body of a task.
 
-        `report_result(result, duration, load_report)` is called exactly once; duration in microseconds.
+        `on_result(result, duration, load_report)` is called exactly once; duration in microseconds.
         """
-        began, observation, head = self.loop.now(), "called off", None
+        began, result_key, head = self.loop.now(), "called off", None
         attempt = ForwardAttempt(
             self, Probe(self.settings.instances.probe_path), 0, endpoint, self.settings.instances.probe_time
         )
         try:
             with Deadline(self.loop, self.settings.instances.probe_time):
-                observation = yield from attempt.run_until_commit()
+                result_key = yield from attempt.run_until_commit()
             head = attempt.head
         except DeadlineExceededError:
-            observation = "too late" if attempt.has_written else "dial too slow"
+            result_key = "too late" if attempt.has_written else "dial too slow"
         finally:
-            attempt.close(reuse=observation in ("answer", "refusal", "server error"))
-            report_result(
-                FORWARD_RESULTS[observation][0],
+            attempt.close(reuse=result_key in ("answer", "refusal", "server error"))
+            on_result(
+                FORWARD_RESULTS[result_key][0],
                 self.loop.now() - began,
                 orca.parse_load_report(head.get(orca.HEADER)) if head else {},
             )
@@ -214,12 +214,12 @@
         while not self.response_ended:
             self.apply_events(*(yield from self.read_events()))
             if self.head and not self.response_ended and self.body_size > stream_above:
-                observation = classify_response(self.head, self.forwards.settings.instances.refusals)
-                if observation != "answer" or self.hit.final:
+                result_key = classify_response(self.head, self.forwards.settings.instances.refusals)
+                if result_key != "answer" or self.hit.final:
                     self.connection.abort()  # the rest of this response has no use
-                    return observation
+                    return result_key
                 self.streaming = True
-                return observation
+                return result_key
         return classify_response(self.head, self.forwards.settings.instances.refusals)
 
     def read_events(self):
--- a/cobaltpond/gateway/frontend.py
+++ b/cobaltpond/gateway/frontend.py
@@ -36,13 +36,13 @@
             section.head_limit, section.target_limit, section.field_limit, section.body_limit
         )
 
-    def count(self, name: str) -> None:
+    def increment(self, name: str) -> None:
         """Adds one to a counter of `/-/status`."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def hit_ended(self, hit: HttpHit) -> None:
         """Counts the outcome of a hit that has become final and reports it to the host."""
-        self.count(hit.outcome)
+        self.increment(hit.outcome)
         self.host.hit_ended(hit)
 
     def start_accepting(self, listener):
@@ -77,7 +77,7 @@
             and (client.writer is None or client.writer.done)
         ]
         if idle and self.loop.now() - idle[0].last_active > MIN_EVICTION_IDLE_US:
-            self.count("evicted")
+            self.increment("evicted")
             idle[0].connection.close()  # nothing from it is unread, so it sees an end of file and no reset
             return True
         return self.host.endpoints.evict()
@@ -114,7 +114,7 @@
                 events = parser.feed(data)
                 client.reading_head = parser.in_head and parser.message_begun
         except http1.HttpMessageError as error:
-            self.count("unfit")
+            self.increment("unfit")
             if client.hit is not None and not client.hit.final:
                 # its body is malformed: the error response below is its final answer
                 self.host.abandon_hit(client.hit)
@@ -164,13 +164,13 @@
         route = self.routes.read(head)
         request_body = BodyBuffer(self.settings.door.hold)
         if self.host.is_full():
-            self.count("turned away")
+            self.increment("turned away")
             client.send_data(responses.bounce_response("none", 0, False, False), True)
             return
         if self.admission_limits is not None:
             verdict = self.admission_limits.check(route.group, route.customer, route.key, route.is_retry)
             if verdict.rejected_by is not None:
-                self.count("limited")
+                self.increment("limited")
                 client.hit, keep_alive = None, head.keep_alive and expect is None and not self.draining
                 client.send_data(
                     responses.over_limit_response(verdict.rejected_by, verdict.wait_us, keep_alive),
@@ -209,7 +209,9 @@
         elif page == b"prefer":
             # For load balancers that can choose among gateways. `ready` does not depend on this: if all
             # gateways were isolated, none would stay in service.
-            isolated = self.members is not None and (self.members.is_alone or self.members.is_island)
+            isolated = self.members is not None and (
+                self.members.is_isolated or self.members.is_on_minority_side
+            )
             text = (
                 b"stopping\n" if self.draining else b"cut off from other gateways\n" if isolated else b"ok\n"
             )
--- a/cobaltpond/gateway/main.py
+++ b/cobaltpond/gateway/main.py
@@ -18,7 +18,7 @@
 from cobaltpond.recovery.service import Recovery
 from cobaltpond.settings.sections import split_address
 
-REPLACED = 3  # exit code of a gateway that a newer process with the same number has replaced
+EXIT_CODE_REPLACED = 3  # exit code of a gateway that a newer process with the same number has replaced
 EVIDENCE_COLD_TIMES = (
     3  # the window of the shared trial counts; a little more than the decisions keep their own
 )
@@ -146,7 +146,7 @@
                 "given up": getattr(self.host.decisions, "given_up", {}),
             },
             "host": self.host.counts,
-            "endings": {k: v for k, v in self.forwards.observations.items() if v},
+            "endings": {k: v for k, v in self.forwards.result_counts.items() if v},
             "list": {"revision": self.list_follower.instance_list.revision, **self.list_follower.counts},
             "desk": {
                 **self.desk_client.counts,
@@ -219,7 +219,7 @@
             loop.spawn(self.members.leave(), "leave")
         yield from self.frontend.drain()
         self.log.info("stopped", **self.frontend.counts)
-        return REPLACED if replaced else 0
+        return EXIT_CODE_REPLACED if replaced else 0
 
     def stop(self, name: str = "") -> None:
         """Asks the main task to stop; `name`: the signal, unused."""
--- a/cobaltpond/leases/protocol.py
+++ b/cobaltpond/leases/protocol.py
@@ -59,7 +59,7 @@
 
 
 @dataclass
-class Owner:
+class LeaseOwner:
     """The owner's side of one member.
 
     `declared` is the number of members in the settings, `lease_time` is in microseconds, and `start`
@@ -167,7 +167,7 @@
 
 
 @dataclass
-class Holder:
+class LeaseHolder:
     """The holder's side of one member; `lease_time` is in microseconds."""
 
     number: int
--- a/cobaltpond/leases/service.py
+++ b/cobaltpond/leases/service.py
@@ -2,7 +2,7 @@
 
 from hashlib import blake2b
 
-from cobaltpond.leases.protocol import Holder, Lease, Owner, owner_of
+from cobaltpond.leases.protocol import Lease, LeaseHolder, LeaseOwner, owner_of
 from cobaltpond.loop import Sleep
 from cobaltpond.members import wire
 
@@ -25,8 +25,8 @@
     ):
         self.loop, self.number, self.members, self.limits = loop, number, members, limits
         self.names, self.pools, self.lease_time = names, pools, lease_time
-        self.owner = Owner(number, declared, lease_time, members.view.start & 0xFFFFFFFF)
-        self.holder, self.demand, self.values = Holder(number, lease_time), {}, {}
+        self.owner = LeaseOwner(number, declared, lease_time, members.view.start & 0xFFFFFFFF)
+        self.holder, self.demand, self.values = LeaseHolder(number, lease_time), {}, {}
         self.counts = {"asked": 0, "granted": 0, "taken": 0, "refused": 0, "rows": 0}
         members.view.on_lease_message = self.handle_message
 
@@ -87,7 +87,7 @@
         for owner, requests in rows.items():
             for at in range(0, len(requests), wire.MAX_LEASE_ROWS):
                 payload = wire.encode_leases(requests[at : at + wire.MAX_LEASE_ROWS])
-                self.members.view.send(wire.LEASE_ASK, owner, 0, extra_fields=payload)
+                self.members.view.send(wire.LEASE_REQUEST, owner, 0, extra_fields=payload)
         self.members.flush()
 
     def apply_lease(self, now: int, lease: Lease) -> None:
@@ -105,7 +105,7 @@
                 continue
             key = f"{limit_index}/{digest}"
             self.counts["rows"] += 1
-            if kind == wire.LEASE_ASK:
+            if kind == wire.LEASE_REQUEST:
                 lease = self.owner.grant_lease(now, key, sender, amount, self.pools[self.names[limit_index]])
                 if lease is None:
                     self.counts["refused"] += 1
--- a/cobaltpond/members/receiving.py
+++ b/cobaltpond/members/receiving.py
@@ -10,7 +10,8 @@
 
 
 class Receiving:
-    """The receiving part of `view.View`, which holds the state."""
+    """The receiving part of `view.View`. The attributes that it uses are those of that class; it is never
+    instantiated by itself."""
 
     def receive_datagram(self, now: int, sender: int, data: bytes) -> None:
         """Handles one datagram from the address of member `sender`.
@@ -72,11 +73,11 @@
                 now + int(NACK_SHARE * ack_timeout),
                 now + self.probe_settings.period,
             )
-        elif kind in (wire.TRIAL_ASK, wire.TRIAL_REPLY) and self.on_trial_message is not None:
+        elif kind in (wire.TRIAL_REQUEST, wire.TRIAL_REPLY) and self.on_trial_message is not None:
             self.on_trial_message(kind, sender, sequence, trial)
-        elif kind in (wire.WARM_ASK, wire.WARM_REPLY) and self.on_warm_start_message is not None:
+        elif kind in (wire.WARM_REQUEST, wire.WARM_REPLY) and self.on_warm_start_message is not None:
             self.on_warm_start_message(kind, sender, sequence, warm)
-        elif kind in (wire.LEASE_ASK, wire.LEASE_REPLY) and self.on_lease_message is not None:
+        elif kind in (wire.LEASE_REQUEST, wire.LEASE_REPLY) and self.on_lease_message is not None:
             self.on_lease_message(kind, sender, sequence, leases)
         elif (
             kind == wire.NACK
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -178,7 +178,7 @@
             self.phase_machine.apply_cause(now, WARM_START_DONE)
             return
         for number in self.warm_start.due_requests(now, self.donors()):
-            members.view.send(wire.WARM_ASK, number, 0)
+            members.view.send(wire.WARM_REQUEST, number, 0)
         members.flush()
         if self.warm_start.is_over(now):
             self.phase_machine.apply_cause(now, WARM_START_DONE)
@@ -186,7 +186,7 @@
     def handle_message(self, kind: int, sender: int, sequence: int, rows: list) -> None:
         """Answers a warm-start request, or applies an answer to this gateway's own request."""
         now = self.loop.now()
-        if kind == wire.WARM_ASK:
+        if kind == wire.WARM_REQUEST:
             if self.phase_machine.is_allowed(ANSWER_WARM_START) and self.answer_limiter.try_acquire(
                 now, sender
             ):
--- a/cobaltpond/settings/reader.py
+++ b/cobaltpond/settings/reader.py
@@ -31,11 +31,9 @@
         EXACTLY_ONE); `functions` maps the names of further functions of the file to callables that
         return plain values.
         """
-        self.declarations, self.functions, self.calls = (
-            declarations,
-            functions or {},
-            {name: [] for name in declarations},
-        )
+        self.declarations = declarations
+        self.functions = functions or {}
+        self.calls = {name: [] for name in declarations}
 
     def make_callable(self, name: str):
         """Returns the function behind a call of the file. It validates the keywords and records the
--- a/cobaltpond/sim/transcript.py
+++ b/cobaltpond/sim/transcript.py
@@ -22,11 +22,11 @@
     wire.INDIRECT_PING: "ask for",
     wire.NACK: "nack",
     wire.LEAVE: "leave",
-    wire.TRIAL_ASK: "what of the trial?",
+    wire.TRIAL_REQUEST: "what of the trial?",
     wire.TRIAL_REPLY: "of the trial",
-    wire.WARM_ASK: "what of instances?",
+    wire.WARM_REQUEST: "what of instances?",
     wire.WARM_REPLY: "of instances",
-    wire.LEASE_ASK: "lend me",
+    wire.LEASE_REQUEST: "lend me",
     wire.LEASE_REPLY: "lent",
 }
 LIMITS = http1.MessageLimits(head=64 << 10, body=1 << 30)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -111,16 +111,16 @@
         self.gateway.on_hit(self.host.now, self.hits, group, customer, key, left, None, False)
         return self.hits
 
-    def end(self, forward, ending="ok", report=None):
+    def end(self, forward, result="ok", report=None):
         """An open forward gets its outcome now."""
         self.host.open.remove(forward)
         self.host.ended.append(forward)
         hit, number, sent, _, _ = forward
-        closed = ending == "ok" and not any(
+        hit_final = result == "ok" and not any(
             a[0] == hit for _, _, a in self.host.calls_named("reject_hit", "fail_hit")
         )
-        took = self.host.now - sent
-        self.gateway.on_outcome(self.host.now, hit, number, ending, took, closed, report or {})
+        duration = self.host.now - sent
+        self.gateway.on_outcome(self.host.now, hit, number, result, duration, hit_final, report or {})
 
     def probes(self, loads):
         """Answers the probes sent now; `loads(instance)` is the hits that it reports, None: no reply."""
@@ -140,15 +140,15 @@
                 for forward in [f for f in self.host.open if f[:2] == cancelled and now == self.host.now]:
                     self.end(forward, "cancelled")
 
-    def serve(self, until, took, every=40 * MS, groups=("look",), fails=None):
-        """Steady hits; `took(instance)` is the latency, `fails(instance)` whether it answers an error."""
+    def serve(self, until, duration, every=40 * MS, groups=("look",), fails=None):
+        """Steady hits; `duration(instance)` is the latency, `fails(instance)` whether it answers an error."""
         start = self.host.now
         while self.host.now < until:
             if (self.host.now - start) % every < 20 * MS:
                 for group in groups:
                     self.hit(group)
             for forward in list(self.host.open):
-                if self.host.now - forward[2] >= took(forward[3]):
+                if self.host.now - forward[2] >= duration(forward[3]):
                     self.end(forward, "error" if fails and fails(forward[3]) else "ok")
             self.run(self.host.now + 20 * MS, 20 * MS)
 
@@ -156,7 +156,7 @@
 def broken_rules(host, hits, reported, settings):
     """The reference model: reads the whole record of a run and lists the violations of the rules.
 
-    `hits` is hit -> (time, path group, time left, outcomes as (number, ending, time)); `reported` is a list
+    `hits` is hit -> (time, path group, time left, outcomes as (number, result, time)); `reported` is a list
     of (time, what, value), what the gateway was told of the list and the release."""
     violations = kept_keys_broken(host, hits, reported, settings) if settings.get("keys_stay") else []
     locations, scopes = {}, {g["name"]: g.get("scope") for g in settings["path_groups"]}
@@ -171,17 +171,17 @@
     for id, (at, group, left, outcomes) in hits.items():
         forwards = [(now, a) for now, _, a in host.calls_named("send_forward") if a[0] == id]
         answers = [(now, name) for now, name, a in host.calls_named("reject_hit", "fail_hit") if a[0] == id]
-        answers += [(now, "delivered") for _, ending, now in outcomes if ending == "ok" and not answers]
+        answers += [(now, "delivered") for _, result, now in outcomes if result == "ok" and not answers]
         if len(answers) != 1 or answers[0][0] > at + left + 20 * MS:
             violations.append(("lost", id))
         if any(now > answer for now, _ in forwards for answer, _ in answers):
             violations.append(("sent after the answer", id))
         for index, (now, a) in enumerate(forwards):
-            before = [(ending, end) for number, ending, end in outcomes if number < index and end <= now]
+            before = [(result, end) for number, result, end in outcomes if number < index and end <= now]
             executed = [
                 f
-                for f, (ending, _) in zip(forwards, before, strict=False)
-                if ending not in ("full", "unreachable", "moot")
+                for f, (result, _) in zip(forwards, before, strict=False)
+                if result not in ("full", "unreachable", "moot")
             ]
             if len(before) < index or index >= settings["most_forwards"]:
                 violations.append(("two at once or too many", id))
@@ -259,8 +259,8 @@
     events += [
         (at, 2, "ok", (id, number))
         for id, (_, _, _, outcomes) in hits.items()
-        for number, ending, at in outcomes
-        if ending == "ok"
+        for number, result, at in outcomes
+        if result == "ok"
     ]
     builds_sent_to = {}
     for at, _, what, value in sorted(events, key=lambda e: e[:2]):
@@ -313,13 +313,13 @@
             driver.hit(group["name"], left, random_source.randrange(9))
         for forward in list(driver.host.open):
             if now >= forward[2] + forward[4]:
-                ending = "timeout"
+                result = "timeout"
             elif random_source.random() < 0.12:
-                ending = random_source.choice(["ok"] * 8 + ["error", "full", "reset", "unreachable", "moot"])
+                result = random_source.choice(["ok"] * 8 + ["error", "full", "reset", "unreachable", "moot"])
             else:
                 continue
-            hits[forward[0]][3].append((forward[1], ending, now))
-            driver.end(forward, ending, {"inflight": random_source.randrange(5)})
+            hits[forward[0]][3].append((forward[1], result, now))
+            driver.end(forward, result, {"inflight": random_source.randrange(5)})
         for at, name, arguments in driver.host.calls[-40:]:
             if name == "probe_instance" and at >= now - 10 * MS and random_source.random() < 0.5:
                 report = {"inflight": random_source.randrange(5)}
@@ -345,13 +345,13 @@
 LOW_TRAFFIC = {"gateways": 100, "may_probe": True}
 
 
-def trial(took, fails=None, until=16_000, **changes):
+def trial(duration, fails=None, until=16_000, **changes):
     """Runs a trial with warm instances whose stage has just begun; returns (time, verdict) of the votes, and
     the driver."""
     driver = GatewayDriver(
         OLD_ROWS + NEW_ROWS, news=(2, 0, "trial", 1.0), **{"stage_caps": [1.0, 1.0], **changes}
     )
-    driver.serve(until * MS, took, groups=("look", "hold"), fails=fails)
+    driver.serve(until * MS, duration, groups=("look", "hold"), fails=fails)
     return [(now, verdict) for now, _, (_, _, verdict) in driver.host.calls_named("cast_vote")], driver
 
 
--- a/tests/pgworld.py
+++ b/tests/pgworld.py
@@ -359,4 +359,4 @@
 
     def forward_results(self):
         """How often each result of a forward was counted."""
-        return {k: v for k, v in self.edge.forwards.observations.items() if v}
+        return {k: v for k, v in self.edge.forwards.result_counts.items() if v}
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -324,7 +324,7 @@
         yield from desk.cast_vote(2, 0, "none")
         yield Sleep(5 * MS)
         decisions = world.edge.host.decisions
-        return desk.last_state, decisions.phase, decisions.cap, decisions.last_ballot_answer
+        return desk.last_state, decisions.phase, decisions.cap, decisions.last_vote_answer
 
     assert world.run(go()) == ((2, 0, "going back", 0.0), "going back", 0.0, "ok")
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -342,7 +342,7 @@
     """
     from types import SimpleNamespace
 
-    from cobaltpond.gateway.endpoints import RESERVATION_TIME, EndpointPool, InstanceEndpoint
+    from cobaltpond.gateway.endpoints import RESERVATION_TIME_US, EndpointPool, InstanceEndpoint
 
     loop = SimpleNamespace(clock=S)
     loop.now = lambda: loop.clock
@@ -355,5 +355,5 @@
     assert endpoints.is_reachable(endpoint)
     endpoints.reserve(endpoint)
     assert not endpoints.is_reachable(endpoint)  # the reserved forward uses the idle connection
-    loop.clock += RESERVATION_TIME + 1
+    loop.clock += RESERVATION_TIME_US + 1
     assert endpoints.is_reachable(endpoint)
--- a/tests/world.py
+++ b/tests/world.py
@@ -275,9 +275,9 @@
 def forward_failures(world):
     """How often each key of FORWARD_RESULTS but "answer" occurred."""
     return {
-        observation: n
-        for observation, n in world.process.forwards.observations.items()
-        if n and observation != "answer"
+        result_key: n
+        for result_key, n in world.process.forwards.result_counts.items()
+        if n and result_key != "answer"
     }
 
 
