--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -1,6 +1,6 @@
 """Load balancing: which instance gets a hit, with outlier ejection, slow start, admission and exposure caps.
 
-A mixin of `rules.Gateway`, which holds the state and documents it.
+A mixin of `rules.Gateway`, whose constructor sets and documents the state.
 """
 
 from itertools import islice
@@ -13,23 +13,26 @@
 EJECTION_COLD_TIMES = 0.25  # length of a first ejection, which doubles up to eight times as long
 USEFUL_SHARE = 0.9  # no further forward past this share of the target latency
 COLD_RATE_FACTOR = 0.6  # of what a cold instance could be sent, as its capacity is a rough guess
-# limit in flight: grows by one below this share of the target latency, is multiplied by the second above it
+# An instance's limit of hits in flight grows by one while its smoothed lateness is below `FAST_SHARE` of the
+# target latency, and is multiplied by `LIMIT_DECREASE` above it.
 FAST_SHARE, LIMIT_DECREASE = 0.3, 0.7
 ADMISSION_INCREASE, ADMISSION_DECREASE = 0.1, 0.7  # the same for a low-traffic gateway's admitted share
-# share of dials or probes that fail; share of a customer's hits that fail, which must also be twice the
-# others'
+# `UNREACHABLE_THRESHOLD`: share of dials or probes that fail. `CUSTOMER_ERROR_THRESHOLD`: share of a
+# customer's hits that fail, which must also exceed twice that of the others.
 UNREACHABLE_THRESHOLD, CUSTOMER_ERROR_THRESHOLD = 0.3, 0.4
-# hits by which an instance counts as emptier (bias), or fuller (penalty)
+# Hits by which an instance counts as less loaded (bias), or as more loaded (penalty).
 TRIAL_BIAS, TRUST_BIAS, COLD_BIAS, CONDEMNED_PENALTY = 3, 2, 1, 100
 
 
 class Choosing:
-    """The load-balancing part of `rules.Gateway`."""
+    """The load-balancing part of `rules.Gateway`. The attributes that it uses are those of that class; it is
+    never instantiated by itself."""
 
     def refill_cold_tokens(self, now):
-        """Slow start: each delivered hit gives every cold instance a fraction of a token, and the fractions
-        sum to what the instance can bear. A low-traffic gateway keeps no unused whole tokens, or hundreds of
-        them would spend their savings on one instance at the same time."""
+        """Refills the tokens of cold instances (slow start): each delivered hit gives every cold instance a
+        fraction of a token, and the fractions sum to what the instance can bear. A low-traffic gateway keeps
+        no unused whole tokens, or hundreds of gateways would all send a burst to one instance at the same
+        time (thundering herd)."""
         part = self.settings.get("overload_factor", 1) * COLD_RATE_FACTOR / max(1, len(self.fleet.up))
         for instance in self.fleet.still_cold(now):
             saved = instance.tokens % 1 if self.low_traffic else min(1.0, instance.tokens)
@@ -74,15 +77,16 @@
             self.eject(instance, now)
 
     def cut_admission(self, sent, now):
-        """Reduces the admitted share, as a forward sent at `sent` is late. What was sent before the last cut
-        shows nothing of its effect and is ignored."""
+        """Reduces the admitted share, as a forward sent at `sent` is late. A forward that was sent before the
+        last cut shows nothing of its effect and is ignored."""
         if sent >= self.last_admission_cut:
             self.admitted_share = max(ADMISSION_INCREASE, self.admitted_share * ADMISSION_DECREASE)
             self.last_admission_cut = now
 
     def is_customer_fault(self, customer, result):
-        """Whether an error is due to the customer's request, which fails at every instance, rather than to
-        the instance. It may hide a fault of a build that one customer meets more than others."""
+        """Returns whether an error is due to the customer's request, which fails at every instance, rather
+        than to the instance. This may hide a fault of a build that one customer meets more often than others.
+        """
         rate = 0.2 if self.low_traffic else 0.05
         share = self.customer_error_rates[customer] = self.customer_error_rates.get(customer, 0.0) * (
             1 - rate
@@ -91,15 +95,16 @@
         return result == "error" and bool(others) and share > max(CUSTOMER_ERROR_THRESHOLD, 2 * fmean(others))
 
     def eject(self, instance, now):
-        """Outlier ejection of a silent, cut-off or quickly failing instance: it leaves the rotation for a
-        time that doubles with each ejection, and returns with a limit of one hit in flight."""
+        """Ejects an outlier, a silent, cut-off or quickly failing instance: it leaves the rotation for a time
+        that doubles with each ejection, up to eight times the first, until a hit succeeds again. It returns
+        with a limit of one hit in flight."""
         if now >= instance.ejected_until:
             first = int(EJECTION_COLD_TIMES * self.cold_time) or SECOND
             instance.ejection_time = min(8 * first, instance.ejection_time * 2 or first)
             instance.ejected_until, instance.limit, instance.faults = now + instance.ejection_time, 1, 0.4
 
     def cap_of(self, build):
-        """The exposure cap that binds this build now, a share of hits; None where it is not on trial."""
+        """Returns the exposure cap that binds this build now, a share of hits; None where no cap does."""
         if build is self.blocked_build:
             return 0.0
         if self.newest is None or build.number > self.newest.number:
@@ -107,7 +112,7 @@
         return self.cap if build is self.newest and self.phase != "released" else None
 
     def exposure_allows(self, build, group, now):
-        """Whether the exposure cap of the build leaves room for one more forward of the path group."""
+        """Returns whether the build's exposure cap leaves room for one more forward of the path group."""
         cap = self.cap_of(build)
         if cap is None:
             return True
@@ -128,7 +133,7 @@
         return sent + 1 <= free + cap * accepted
 
     def is_eligible(self, hit, instance, now):
-        """Whether the instance may get the hit now."""
+        """Returns whether the instance may get the hit now."""
         unavailable = now < instance.ejected_until or instance.own_inflight >= instance.limit
         if unavailable or instance.tokens < 1 and instance.warmth(now) < 1:
             return False
@@ -145,16 +150,16 @@
         return not self.settings.get("paced") or self.host.is_reachable(instance.id)
 
     def may_bind_key(self, key, build):
-        """Whether a key that stays with a build may be bound to this one. A build on trial gets as large a
-        share of the keys as its cap, the same keys at all gateways: otherwise all keys would be bound, one by
-        one, to a build that may serve only a part of them."""
+        """Returns whether a key that stays with a build may be bound to this one. A build on trial gets as
+        large a share of the keys as its cap, the same keys at all gateways: otherwise all keys would be
+        bound, one by one, to a build that may serve only a part of them."""
         cap = self.cap_of(build) if self.settings.get("keys_stay") and key is not None else None
         return cap is None or rendezvous_weight(build.number, key) < cap * 2**48
 
     def queue_cost(self, instance, now):
-        """How long a hit would wait at the instance, in hits; an instance of another zone counts as fuller by
-        the price of crossing. A load report older than the shortest target latency is stale, as the hits that
-        it counts have ended: the mean of the zone stands for it."""
+        """Returns how long a hit would wait at the instance, in hits; an instance of another zone counts as
+        fuller by the price of crossing. A load report older than the shortest target latency is stale, as the
+        hits that it counts have ended: the mean of the zone stands for it."""
         bias = self.settings.get("crossing_price", 0) * 25 * (instance.zone != self.settings.get("zone"))
         stale = now - instance.heard_at > self.shortest_target
         load = self.zone_load.get(instance.zone, 0) if stale else instance.other_inflight
@@ -173,7 +178,7 @@
         return (instance.own_inflight + load + 1) * slowness + bias
 
     def on_warm_start(self, now, rows, keys):
-        """Warm start: what settled gateways, or an earlier life of this one, knew of the instances.
+        """Applies what settled gateways, or an earlier start of this one, knew of the instances (warm start).
 
         `rows` are (id, latency ratio, inflight, faults, silent), `keys` are (key, build number). No instance
         looks better by it than an unknown one, and one that was heard from already is left as it is."""
@@ -189,9 +194,9 @@
         self.kept_keys.update({key: self.newest for key, build in keys if build == newest})
 
     def pick_instance(self, hit, now):
-        """The next instance in turn (round robin) of the eligible ones with nearly the least queue cost; None
-        where there is none. A low-traffic gateway whose dials or probes fail keeps to instances that it heard
-        from lately, in case new connections are blocked or slow."""
+        """Returns the next instance in turn (round robin) of the eligible ones with nearly the least queue
+        cost; None where there is none. A low-traffic gateway whose dials or probes fail keeps to instances
+        that it heard from lately, in case new connections are blocked or slow."""
         rotation = list(self.fleet.rotation_after(self.last_chosen_id))
         if self.low_traffic and self.unreachable_share > UNREACHABLE_THRESHOLD:
             rotation = [
--- a/cobaltpond/decisions/interface.py
+++ b/cobaltpond/decisions/interface.py
@@ -1,15 +1,19 @@
-"""The interface between the decisions and their host, the bench adapter or the gateway process.
+"""The interface between the decisions and their host.
 
-A host makes one `rules.Gateway(host, now, seed, settings)` for each start of a gateway and feeds it events
-through `Decisions`. The gateway acts only through the `DecisionHost` it was given, and only while handling an
-event. Types only; times are whole microseconds.
+The host is the program around the decisions, either the bench adapter or the gateway process, and not a
+machine. It makes one `rules.Gateway(host, now, seed, settings)` for each start of a gateway and feeds it
+events through `Decisions`. The gateway acts only through the `DecisionHost` it was given, and only while
+handling an event. The module holds types only; times are whole microseconds.
 """
 
 from typing import Any, Literal, Protocol
 
+# The result "moot" means that a forward was not sent, since its hit cannot be sent again or has its answer.
+# The vote answer "moot" means that the release state for which the vote was cast is no longer current.
 ForwardResult = Literal["ok", "error", "full", "timeout", "unreachable", "reset", "cancelled", "moot"]
 Answer = Literal["ok", "moot", "full", "error", "timeout"]
 Verdict = Literal["none", "on", "hold", "back"]
+# "going back": a rollback is in progress; "withdrawn": the build is rolled back.
 Phase = Literal["trial", "going back", "released", "withdrawn"]
 Report = dict[str, float]
 PolicySettings = dict[str, Any]
@@ -29,7 +33,7 @@
         ...
 
     def reject_hit(self, hit: int, retry_after: int) -> None:
-        """Answers that the hit is rejected and a retry harmless, with the advised delay; 0: no advice."""
+        """Rejects the hit, so that a retry is harmless, with the advised delay; 0: no advice."""
         ...
 
     def fail_hit(self, hit: int) -> None:
@@ -45,7 +49,7 @@
         ...
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Sends a ballot to the release desk; its answer is reported to `on_news`."""
+        """Sends a vote to the release desk; its answer is reported to `on_news`."""
         ...
 
     def fetch_list(self) -> None:
@@ -65,8 +69,8 @@
         ...
 
     def is_reachable(self, instance: str) -> bool:
-        """Whether a forward may go to the instance now: an idle connection is kept, or a new one may be
-        dialled. Asked only where the settings say "paced"."""
+        """Returns whether a forward may go to the instance now: an idle connection is kept, or a new one may
+        be dialled. Called only where the settings say "paced"."""
         ...
 
 
@@ -84,7 +88,7 @@
         cost: int | None,
         is_retry: bool,
     ) -> None:
-        """A hit has arrived, with its path group, `time_left` until its deadline and its cost (None:
+        """Called when a hit arrives, with its path group, `time_left` until its deadline and its cost (None:
         unknown); `is_retry`: the client retries."""
         ...
 
@@ -98,19 +102,19 @@
         closed: bool,
         report: Report,
     ) -> None:
-        """A forward has ended after `duration`; `closed`: the client has its final answer."""
+        """Called when a forward has ended after `duration`; `closed`: the hit has its final answer."""
         ...
 
     def on_gone(self, now: int, hit: int) -> None:
-        """The client has left before its answer."""
+        """Called when a client disconnects before its answer, or no longer needs one from the decisions."""
         ...
 
     def on_list(self, now: int, whole: bool, rows: list[Row]) -> None:
-        """The instance list has come, or changes to it where `whole` is false."""
+        """Called with the instance list, or with changes to it where `whole` is false."""
         ...
 
     def on_list_error(self, now: int) -> None:
-        """A request for the instance list has failed."""
+        """Called when a request for the instance list has failed."""
         ...
 
     def on_news(
@@ -124,48 +128,49 @@
         reply: bool,
         answer: Answer,
     ) -> None:
-        """The desk has told the state of the release, whose stage began `age` ago. `reply`: it answers a
-        ballot. Where `answer` is not "ok" the state is not to be used."""
+        """Called when the desk reports the release state, whose stage began `age` ago. `reply`: it answers a
+        vote. Where `answer` is not "ok" the state is not to be used."""
         ...
 
     def on_platform_counts(
         self, now: int, build: int, group: str, count: int, errored: int, mean: int, age: int
     ) -> None:
-        """The platform has counted hits of a build and path group; `mean` is their mean latency."""
+        """Called with counts of hits of a build and path group, from the platform or from another gateway
+        that was asked for them; `mean` is the mean latency."""
         ...
 
     def on_wrong_answer(self, now: int, instance: str, group: str, age: int) -> None:
-        """An answer that the instance gave `age` ago is reported as wrong."""
+        """Called when an answer that the instance gave `age` ago is reported as wrong."""
         ...
 
     def on_probed(
         self, now: int, instance: str, result: ForwardResult, duration: int, report: Report
     ) -> None:
-        """A probe has ended after `duration`; `report` is empty where the instance gave none."""
+        """Called when a probe has ended after `duration`; `report` is empty where the instance gave none."""
         ...
 
     def on_peer(self, now: int, peer: int, data: bytes) -> None:
-        """Data has come from the gateway with number `peer`."""
+        """Called with data from the gateway with number `peer`."""
         ...
 
     def on_members(self, now: int, living: dict[int, int]) -> None:
-        """The membership has changed: numbers of the live gateways, each with its start."""
+        """Called when the membership changes, with the numbers and the starts of the present gateways."""
         ...
 
     def on_build_blocked(self, now: int, build: int | None) -> None:
-        """Another gateway reports that a build goes back or that its cap falls; None: the own desk has
-        answered since."""
+        """Called when another gateway reports that a build is rolled back or that its cap falls; None: this
+        gateway's own desk connection has reported a state since."""
         ...
 
     def on_warm_start(self, now: int, rows: list[tuple], keys: list[tuple]) -> None:
-        """Earlier state for a warm start: rows (id, latency ratio, hits in flight, faults, silent) and keys
-        (key, build)."""
+        """Called with earlier state for a warm start: rows (id, latency ratio, hits in flight, faults,
+        silent) and keys (key, build)."""
         ...
 
     def on_drains(self, now: int, tags: list[int]) -> None:
-        """Another gateway's newer list has the instances with these tags draining."""
+        """Called when another gateway's newer list shows the instances with these tags as draining."""
         ...
 
     def on_wake(self, now: int, token: int) -> None:
-        """A scheduled wake-up has come."""
+        """Called at the time of a scheduled wake-up."""
         ...
--- a/cobaltpond/decisions/judging.py
+++ b/cobaltpond/decisions/judging.py
@@ -1,8 +1,8 @@
 """Evaluation of a release: rank tests of its latencies and error rates against the earlier build.
 
-A mixin of `rules.Gateway`, which holds the state and documents it. Low-traffic gateways see too little each,
-so they send their samples to a few judges, gateways that evaluate the build for all. Latencies are compared
-within strata of like conditions. docs/design.md gives the method behind the figures.
+A mixin of `rules.Gateway`, whose constructor sets and documents the state. Low-traffic gateways see too
+little each, so they send their samples to a few judges, gateways that evaluate the build for all. Latencies
+are compared within strata of like conditions. docs/design.md gives the method behind the figures.
 """
 
 from collections import Counter, deque
@@ -14,29 +14,35 @@
 from cobaltpond.decisions.sample_message import SampleMessage
 from cobaltpond.decisions.stats import SECOND, hypergeometric_tail, mean_by, rank_test_z, rendezvous_weight
 
-# new median latency over the earlier one; samples that a build and path group need before they are ranked
+# `MEDIAN_RATIO`: new median latency over the earlier one from which latencies are ranked. `MIN_SAMPLES`:
+# samples that a build and path group need before they are ranked.
 MEDIAN_RATIO, MIN_SAMPLES = 1.8, 8
-UNPAIRED_THRESHOLDS = 2.0, 4 * MIN_SAMPLES  # both, once the earlier build is gone
-# no sample of an instance younger than that; z above which a build is suspect, held where the gate is a clock
+# The same two for samples that have no earlier ones of the same time, and once the earlier build is gone.
+UNPAIRED_THRESHOLDS = 2.0, 4 * MIN_SAMPLES
+# `MIN_INSTANCE_AGE_US`: younger instances give no sample. `SUSPECT_Z`: z above which a build is suspect, and
+# held where the gate is a clock.
 MIN_INSTANCE_AGE_US, SUSPECT_Z = 2 * SECOND, 2.0
-# samples kept as reference of a build that is gone, in MIN_SAMPLES; errors that mean anything
+# `REFERENCE_FACTOR`: samples kept as reference of a build that is gone, in multiples of `MIN_SAMPLES`.
+# `MIN_ERRORS`: fewer errors are no evidence.
 REFERENCE_FACTOR, MIN_ERRORS = 15, 3
-# shortest time between two assessments; judges of a build, where gateways may send samples
+# `ASSESS_PERIOD_US`: shortest time between two assessments. `JUDGE_COUNT`: judges of a build, where gateways
+# may send samples.
 ASSESS_PERIOD_US, JUDGE_COUNT = SECOND // 5, 2
-EVIDENCE_COLD_TIMES = 2.5  # how long evidence is kept, in longest warm-ups
+EVIDENCE_COLD_TIMES = 2.5  # how long evidence is kept, in multiples of the longest warm-up
 
 UNANSWERED = ("timeout", "unreachable", "reset", "cancelled")
 
 
 class Judging:
-    """The evaluation part of `rules.Gateway`."""
+    """The evaluation part of `rules.Gateway`. The attributes that it uses are those of that class; it is
+    never instantiated by itself."""
 
     def add_evidence(self, forward, group, result, duration, now):
         """Turns the outcome of a forward into a sample, which the judges get too.
 
-        A full instance gives none; other failures count as timeouts. An instance that was not heard from at
-        all since the forward was sent gives none either: that is a fault of its host or network, and must not
-        fail a good build."""
+        A full instance, a hit that was not sent ("moot") and an instance that has just started give none;
+        other failures count as timeouts. An instance that was not heard from at all since the forward was
+        sent gives none either: that is a fault of its machine or network, and must not fail a good build."""
         instance = forward.instance
         silent = result in UNANSWERED and instance.heard_at < forward.sent
         if silent or result in ("full", "moot") or instance.age(forward.sent) < MIN_INSTANCE_AGE_US:
@@ -71,9 +77,9 @@
                 self.own_samples.append((group, sample, recipients))
 
     def judges(self, build):
-        """The numbers of the gateways that evaluate the build for all. With membership they are chosen among
-        the living by rendezvous hashing: a dead judge is replaced, and gateways whose views differ a little
-        choose nearly the same. Without it they follow from the build number."""
+        """Returns the numbers of the gateways that evaluate the build for all. With membership they are
+        chosen among the present ones by rendezvous hashing: an absent judge is replaced, and gateways whose
+        views differ a little choose nearly the same. Without it they follow from the build number."""
         if self.alive_members is None:
             return [
                 (build.number + n) % self.gateway_count for n in range(min(JUDGE_COUNT, self.gateway_count))
@@ -95,9 +101,9 @@
             )
 
     def on_members(self, now, living):
-        """The membership has changed; `living` maps the numbers of live gateways to their starts. A new judge
-        gets the latest own samples of the trial, a part of all from each gateway, so that evidence is not
-        lost with the judge that had it."""
+        """Handles a change of the membership; `living` maps the numbers of the present gateways to their
+        starts. A new judge gets the latest own samples of the trial, a part of all from each gateway, so that
+        evidence is not lost with the judge that had it."""
         self.alive_members, build = living, self.newest
         if build and self.phase == "trial":
             part = 2 * REFERENCE_FACTOR * MIN_SAMPLES // max(1, len(living)) + 1
@@ -106,13 +112,13 @@
                     self.send_sample(judge, group, sample, recipients, now)
 
     def instances_by_tag(self):
-        """The instances that are up, by their tag in messages."""
+        """Returns the instances that are up, by their tag in messages."""
         self.fleet.by_tag = self.fleet.by_tag or {SampleMessage.tag_of(i): i for i in self.fleet.up}
         return self.fleet.by_tag
 
     def on_peer(self, now, peer, data):
-        """A sample has come from another gateway; data that is none, or of an unknown instance, is
-        ignored."""
+        """Records a sample that another gateway sent. Data that is no sample, or is of an unknown instance,
+        is ignored."""
         tag, index, errored, latency, inflight, age = SampleMessage.unpack(data)
         instance, at = self.instances_by_tag().get(tag), now - age
         sent = at if errored else at - latency  # an error counts as a timeout, but came much sooner
@@ -150,7 +156,7 @@
             self.wake_by(max(now, self.last_assessed + ASSESS_PERIOD_US), now)
 
     def recent_samples(self, build, group, now):
-        """The samples of a build and path group after old ones are dropped; the last ones of a build stay, as
+        """Drops old samples of a build and path group and returns the rest; the last ones of a build stay, as
         the reference for the next."""
         samples, reference = build.samples.get(group.name, deque()), REFERENCE_FACTOR * MIN_SAMPLES
         oldest = now - (EVIDENCE_COLD_TIMES * self.cold_time or 10 * SECOND)
@@ -159,8 +165,8 @@
         return samples
 
     def without_worst_instances(self, samples, most=inf):
-        """The samples without those of the slowest third of the instances (of two, the slower one), but of no
-        more than `most` instances: no single instance or host decides on the build."""
+        """Returns the samples without those of the slowest third of the instances (of two, the slower one),
+        but leaves out no more than `most` instances: no single instance or machine decides on the build."""
         means = mean_by(samples, "instance", "latency")
         left_out = min(len(means) // 3 or len(means) // 2, most)
         worst = sorted(means, key=lambda instance: -means[instance])[:left_out]
@@ -173,7 +179,8 @@
             now - self.stage_started_at >= EVIDENCE_COLD_TIMES * self.cold_time
         )
         cases, verdicts, cells = [], [], Counter((i.zone, i.cell) for i in self.fleet.up if i.build is build)
-        # for errors no more instances than one cell has: few errors may all be in the worst third of many
+        # For errors, no more instances are left out than one cell has: with many instances, the few errors
+        # of a build may all be in the worst third.
         cell_size = max(cells.values(), default=1)
         for group in self.groups.values():
             every = self.recent_samples(build, group, now)
@@ -202,8 +209,8 @@
         return "fail" if "fail" in verdicts else "suspect" if "suspect" in verdicts else "fine"
 
     def assess_latencies(self, build, name, strata, median_ratio, min_samples, threshold):
-        """Verdict on latencies, as pairs (new, earlier) by stratum: they are ranked only where the median of
-        the new ones exceeds the earlier median `median_ratio` times."""
+        """Returns the verdict on latencies, as pairs (new, earlier) by stratum: they are ranked only where
+        the median of the new ones exceeds the earlier median `median_ratio` times."""
         ratios = [x / max(1, median(reference)) for new, reference in strata for x in new]
         if (
             min(len(ratios), sum(len(reference) for _, reference in strata)) < min_samples
@@ -218,17 +225,18 @@
         )
 
     def classify_z(self, z, threshold, text):
-        """The verdict for a z value; a fail is logged with `text`."""
+        """Returns the verdict for a z value; a fail is logged with `text`."""
         if z > threshold:
             self.host.log_note(f"{text}, z {z:.2f}")
         return "fail" if z > threshold else "suspect" if z > SUSPECT_Z else "fine"
 
     def assess_errors(self, build, name, counts, threshold, new=(), old=()):
-        """Verdict on the error rate: the exact rank test of (errored, hits, earlier errored, earlier hits),
-        so that errors are not ranked as quick successes. The earlier counts are that build's whole record. If
-        the earlier build fails too, failing instances are compared first: the cause may be a host or zone."""
+        """Returns the verdict on the error rate: the exact rank test of (errored, hits, earlier errored,
+        earlier hits), so that errors are not ranked as quick successes. The earlier counts are that build's
+        whole record. If the earlier build fails too, failing instances are compared first: the cause may be a
+        machine or zone."""
         errored, hits, old_errored, old_hits = counts
-        # without record: a judge that has restarted since the release
+        # a judge that has restarted since the release has no record of the earlier build
         old_hits = old_hits or (hits if self.release_settled and new else 0)
         if hits < self.min_samples or errored < MIN_ERRORS or errored * old_hits <= 2 * old_errored * hits:
             return "fine"
@@ -249,16 +257,18 @@
         )
 
     def stratify(self, new, old, now):
-        """Pairs (new, earlier) of latencies in strata of time, corrected for cold instances and queueing, so
-        that bursts, shared slowness and a lack of capacity are not taken for a slow build; and, apart from
-        them, pairs of what has no earlier hits of its time. These are of another stratum, or ended when the
-        earlier build got no more hits. Neither these nor anything later than the release counts against a
-        build released beside the earlier one, as it takes over the load of both."""
+        """Returns pairs (new, earlier) of latencies in strata of time, and apart from them pairs of new
+        samples that have no earlier ones of the same time.
+
+        Latencies are corrected for cold instances and queueing, so that bursts, shared slowness and a lack of
+        capacity are not taken for a slow build. Samples without earlier ones of their time are of another
+        stratum, or ended when the earlier build got no more hits. Neither these nor anything later than the
+        release counts against a build released beside the earlier one, as it takes over the load of both."""
         old = [s for s in old if s.warmth >= 1]
         if not old or not new:
             return [], []
-        # both from one moment of ending on: of hits sent long before it only long ones have ended since, and
-        # the samples of the busier build reach less far back
+        # Both sides begin at the same end time: of the hits sent long before it only slow ones have ended
+        # since, and the samples of the busier build reach less far back.
         since = max(old[0].at, new[0].at)
         kept = [s for s in old if s.at >= since], [s for s in new if s.at >= since]
         old, new = kept if min(map(len, kept)) >= MIN_SAMPLES else (old, new)
@@ -286,14 +296,15 @@
         )
 
     def on_platform_counts(self, now, build, group, count, errored, mean, age):
-        """The platform has counted `errored` of `count` hits of a build."""
+        """Adds `errored` of `count` hits of a build to its platform counts. They come from the platform, or
+        from another gateway that this one asked because it started in mid-trial."""
         record, self.evidence_changed = self.fleet.build(build), True
         record.platform_counts = record.platform_counts[0] + errored, record.platform_counts[1] + count
 
     def on_wrong_answer(self, now, id, group, age):
-        """An answer given `age` microseconds ago, taken for a quick success, was wrong: it counts as an error
-        of its build. A report from before the instance's last start is ignored, as that process may have run
-        another build."""
+        """Records that an answer given `age` microseconds ago, taken for a quick success, was wrong: it
+        counts as an error of its build. A report from before the instance's last start is ignored, as that
+        process may have run another build."""
         instance, group = self.fleet.by_id.get(id), self.groups.get(group)
         if instance and group and instance.age(now - age) >= 0:
             self.record_sample(group, Sample(now, group.timeout, True, instance, -1, 0, 0), now)
--- a/cobaltpond/decisions/records.py
+++ b/cobaltpond/decisions/records.py
@@ -18,7 +18,7 @@
         self.state = seed
 
     def randbelow(self, most):
-        """An integer from 0 to `most` - 1, in at most 2**31 steps."""
+        """Returns an integer from 0 to `most` - 1, in at most 2**31 steps."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % 2**64
         return (self.state >> 33) * most >> 31
 
@@ -33,11 +33,12 @@
         """Counts one event; `now` never decreases."""
         times = self.times.setdefault(name, [])
         times.append(now)
-        if times[0] < now - 4 * self.window:  # seldom and by half, so that an entry costs no copy
+        # trimmed seldom and by half, so that not every added entry costs a copy of the list
+        if times[0] < now - 4 * self.window:
             del times[: bisect_left(times, now - 2 * self.window)]
 
     def count_since(self, name, at):
-        """The number of events at `at` or later."""
+        """Returns the number of events at `at` or later."""
         times = self.times.get(name, ())
         return len(times) - bisect_left(times, at)
 
@@ -73,7 +74,7 @@
         self.reference_samples_due = 0  # samples of the earlier build still to be sent to the judges
 
     def benefit_per_work(self):
-        """The benefit of a hit for the work that it makes."""
+        """Returns the benefit of a hit, divided by the mean latency unless the benefit is given by work."""
         return self.benefit / (1 if self.by_work else max(1, self.mean_latency))
 
 
@@ -110,20 +111,20 @@
         # moving averages: latency over the mean of the path group, and over the target latency
         self.latency_ratio, self.lateness = 1.0, 0.0
         self.faults = 0.0  # moving average of the share of its outcomes that failed
-        # last sign of life (0: none), end of the ejection, length of the ejection
+        # time of the last answer (0: none), end of the ejection, length of the ejection
         self.heard_at, self.ejected_until, self.ejection_time = 0, 0, 0
         self.tokens = tokens  # hits that may be sent to it while it is cold
 
     def shares_deduplication(self, other, scope):
-        """Whether the two recognise each other's idempotency keys, in a path group with this scope."""
+        """Returns whether the two recognise each other's idempotency keys in a path group of this scope."""
         return scope == "all" or self.zone == other.zone and (scope != "cell" or self.cell == other.cell)
 
     def age(self, now):
-        """Microseconds since the start; `FOREVER` where the start is not known."""
+        """Returns microseconds since the start; `FOREVER` where the start is not known."""
         return now - self.started if self.started is not None else FOREVER
 
     def warmth(self, now):
-        """The least share of its capacity that it has by now; 1 is warm."""
+        """Returns the least share of its capacity that it has by now; 1 is warm."""
         least, age = self.fleet.cold_share, self.age(now)
         whole = self.fleet.cold_time
         return 1.0 if age >= whole else least + (1 - least) * max(0, age) / whole
@@ -133,16 +134,16 @@
     """The instances in the list, found by id, and the builds that were heard of, by number."""
 
     def __init__(self, settings):
-        # by id; those that are up, in order of id; those that may still be cold; ids of those up; those up by
-        # message tag (empty: to be built); builds by number
+        # All instances by id; those that are up, in order of id; those that may still be cold; ids of those
+        # that are up; those that are up by message tag (empty: to be built); builds by number.
         self.by_id, self.up, self.cold_instances, self.ids, self.by_tag, self.builds = {}, [], [], [], {}, {}
         # share of its capacity that a started instance has, and the longest warm-up in microseconds
         self.cold_share, self.cold_time = settings.get("cold_share", 1.0), settings.get("cold_time", 0)
         self.exposure_window = settings.get("exposure_window", 0)
 
     def build(self, number):
-        """The record of a build, made where there is none; its earlier build is the highest one below it that
-        is not condemned."""
+        """Returns the record of a build, made where there is none; its earlier build is the highest one below
+        it that is not condemned."""
         if number not in self.builds:
             earlier = [b for b in self.builds.values() if b.number < number and not b.condemned]
             made = Build(number, max(earlier, key=lambda b: b.number, default=None), self.exposure_window)
@@ -182,12 +183,12 @@
         self.ids, self.by_tag, self.cold_instances = [i.id for i in self.up], {}, self.up
 
     def still_cold(self, now):
-        """The instances that are not warm yet."""
+        """Returns the instances that are not warm yet."""
         self.cold_instances = [i for i in self.cold_instances if i.warmth(now) < 1]
         return self.cold_instances
 
     def rotation_after(self, last):
-        """All instances that are up, in order of id and beginning after the id `last`."""
+        """Returns all instances that are up, in order of id and beginning after the id `last`."""
         after = bisect_right(self.ids, last)
         return chain(self.up[after:], self.up[:after])
 
@@ -224,7 +225,7 @@
 
     @property
     def ended(self):
-        """Whether the hit has its final answer, or its client has left."""
+        """Whether the hit has its final answer, or its client has disconnected."""
         return HitState.NEXT[self.state] == {self.state}
 
 
--- a/cobaltpond/decisions/rules.py
+++ b/cobaltpond/decisions/rules.py
@@ -24,15 +24,15 @@
 from cobaltpond.decisions.stats import SECOND, max_expected_events
 from cobaltpond.decisions.voting import Voting
 
-# Probability of a false alarm, divided by the number of gateways; share of the votes that one common cause
-# may make err alike.
+# `FALSE_ALARM_RATE`: probability of a false alarm, which is divided by the number of gateways.
+# `CORRELATED_VOTE_SHARE`: share of the votes that one common cause may make err alike.
 FALSE_ALARM_RATE, CORRELATED_VOTE_SHARE = 0.0001, 1 / 3
-# Above this number of gateways each one is a low-traffic gateway, whose own counts show little; first limit
-# of hits in flight at an instance.
+# `LOW_TRAFFIC_GATEWAYS`: above this number of gateways each one is a low-traffic gateway, whose own counts
+# show little. `INITIAL_INFLIGHT_LIMIT`: first limit of hits in flight at an instance.
 LOW_TRAFFIC_GATEWAYS, INITIAL_INFLIGHT_LIMIT = 10, 4
 # Ratios to figures of the settings: longest warm-up (`..._COLD_TIMES`) or target latency (`..._SHARE`)
 STRATUM_COLD_TIMES = 0.5  # length of the time strata in which samples are compared
-TICK_SHARE, HOLD_SHARE = 0.05, 0.15  # interval at which held hits are tried again; longest time they are held
+TICK_SHARE, HOLD_SHARE = 0.05, 0.15  # interval at which held hits are tried again; longest time held
 SILENCE_SHARE = 0.8  # an instance is silent if an answer has been outstanding for so long
 PROBE_SHARE = 0.5  # where probes are allowed: probed after so long, silent if the probe gets no answer either
 LATE_HITS_AVOIDED_SHARE = 1 / 3  # of late hits, a third to a half are avoided by choosing the better of two
@@ -56,11 +56,12 @@
         self.held_hits = {}  # by id
         # arrivals of hits by `PathGroup.counter_name`, of which the exposure caps are a share
         self.accepted_counts = SlidingCounts(settings.get("exposure_window", SECOND))
-        # the release as the desk last told it: build, stage index, phase, cap (share of hits), stage start
+        # the release as the desk last reported it: build, stage index, phase, cap (share of hits), and the
+        # time at which the stage began
         self.newest, self.stage, self.phase, self.cap, self.stage_started_at = None, 0, "released", 1.0, now
-        self.last_ballot = None  # (build, stage, verdict)
-        self.last_ballot_at = 0  # when the last ballot was cast
-        self.last_ballot_answer = "ok"  # the answer to the last ballot; None while outstanding
+        self.last_ballot = None  # the last vote as (build, stage, verdict)
+        self.last_ballot_at = 0  # when the last vote was sent
+        self.last_ballot_answer = "ok"  # the answer to the last vote; None if outstanding
         self.vote_hold_time = 0  # how long this stage has been held
         self.last_assessed = now  # time of the last assessment
         self.started_at = now  # start of this process
@@ -74,8 +75,8 @@
         self.next_wakeup = inf  # time of the next wake-up; infinite: none
         self.kept_keys = {}  # idempotency key -> build
         self.alive_members = None  # number -> start; None without membership
-        self.own_samples = deque(maxlen=REFERENCE_FACTOR * MIN_SAMPLES)  # to tell a new judge
-        # a build that another gateway reports as taken back or reduced; None: no such report
+        self.own_samples = deque(maxlen=REFERENCE_FACTOR * MIN_SAMPLES)  # sent to a new judge
+        # a build that another gateway reports as rolled back or with a lower cap; None: no such report
         self.blocked_build = None
         self.admitted_share = 1.0  # share of hits that admission control lets in
         self.unreachable_share = 0.0  # smoothed share of dials or probes without an answer
@@ -89,13 +90,12 @@
         self.shortest_target = min(g.target for g in self.groups.values())  # shortest target of a path group
         # interval at which held hits are tried again
         self.tick = max(int(TICK_SHARE * self.shortest_target), settings.get("tick", 1))
-        votes = max(1, settings.get("back_votes") or 1)  # votes needed to take a build back, at least one
+        votes = max(1, settings.get("back_votes") or 1)  # votes needed to roll a build back, at least one
         self.gateway_count = max(1, settings.get("gateways", 1))  # number of gateways
         # whether there are so many gateways that each sees few hits
         self.low_traffic = self.gateway_count > LOW_TRAFFIC_GATEWAYS
-        self.probing_enabled = self.low_traffic and settings.get(
-            "may_probe"
-        )  # whether it may probe instances
+        # whether it may probe instances
+        self.probing_enabled = self.low_traffic and settings.get("may_probe")
         # share of the target latency after which an unanswered forward is looked into
         self.silence_share = PROBE_SHARE if self.probing_enabled else SILENCE_SHARE
         # low-traffic gateways get few hits and need longer strata
@@ -138,8 +138,8 @@
         self.wake_by(heard + wait, now)
 
     def on_list_error(self, now):
-        """Doubles the retry delay (exponential backoff with jitter), up to a third of the required
-        interval."""
+        """Doubles the retry delay (exponential backoff), up to a third of the required interval, and adds
+        jitter of up to a quarter of a second."""
         longest = self.settings.get("ask_within", 10 * SECOND) // 3
         self.list_retry_delay = min(
             max(SECOND // 2, self.list_retry_delay * 2), longest
@@ -161,8 +161,8 @@
         self.dispatch_held(now)
 
     def on_drains(self, now, tags):
-        """Another gateway's newer list has the instances with these message tags draining: they get no
-        hits until the own list has them. Unknown tags are ignored."""
+        """Stops sending hits to the instances with these message tags, which drain according to another
+        gateway's newer list, until this gateway's own list has them. Unknown tags are ignored."""
         self.fleet.drain([self.instances_by_tag()[tag] for tag in tags if tag in self.instances_by_tag()])
 
     # --- hits ----------------------------------------------------------------------------------------------
@@ -178,7 +178,8 @@
             del self.hits[hit.id]
 
     def on_hit(self, now, id, group, customer, key, time_left, cost, is_retry):
-        """A hit has arrived. `time_left` is its time to the deadline; `is_retry` marks a client's retry."""
+        """Accepts a hit that has arrived. `time_left` is its time to the deadline, and `is_retry` marks a
+        client's retry."""
         hit = self.hits[id] = Hit(
             id, self.groups[group], customer, key, is_retry, now, time_left, HitState.TAKEN
         )
@@ -186,13 +187,14 @@
         self.dispatch(hit, now)
 
     def waits_for_probes(self, hit, now):
-        """Probes one or two instances for a first forward, and says whether the hit waits for their replies.
+        """Probes one or two instances for a first forward, and returns whether the hit waits for their
+        replies.
 
         Power of two choices: a low-traffic gateway knows little of the load and probes the next two of the
         rotation. The hit goes to the one that replies, or to the less loaded one, which avoids silent,
         overloaded and slow instances. Instances that misreport their load attract hits, and probes have a
-        price: none is sent where it costs more than the hits it may save, which are the unanswered ones and
-        a part of the late ones."""
+        price: none is sent where it costs more than the hits it may save, which are the unanswered ones and a
+        part of the late ones."""
         if hit.forwards or not self.probing_enabled:
             return False
         price = self.settings.get("probe_price", 0)
@@ -216,7 +218,8 @@
         return waits
 
     def on_probed(self, now, id, result, duration, report):
-        """A probe has ended after `duration`; `report` is its load report, empty where there is none."""
+        """Handles the end of a probe after `duration`; `report`: the load report, empty where there
+        is none."""
         instance, late = self.fleet.by_id.get(id), result != "ok" or duration > 2 * self.tick
         self.unreachable_share += (late - self.unreachable_share) * 0.1
         if instance is None or result != "ok":
@@ -232,8 +235,8 @@
             self.dispatch(hit, now)
 
     def refusal_reason(self, hit, now):
-        """Why no further forward may be sent for the hit; None where one may."""
-        # two ticks early: a hit held past that could not be answered before its client has left
+        """Returns why no further forward may be sent for the hit; None where one may."""
+        # two ticks early: a hit held past that could not be answered before its client disconnects
         if len(hit.forwards) >= self.settings.get("most_forwards", 1) or now + 2 * self.tick >= hit.deadline:
             return "no time" if now + 2 * self.tick >= hit.deadline else "forwards used up"
         if now - hit.arrived > (USEFUL_SHARE if hit.forwards else HOLD_SHARE) * hit.group.target:
@@ -246,15 +249,16 @@
         return None if retryable else "may not be repeated"
 
     def repeat_time_left(self, hit, now):
-        """How long the instances still remember the hit's idempotency key: a retry has to be sent by then,
-        dialling included. None where there is no bound."""
+        """Returns how long the instances still remember the hit's idempotency key: a retry has to be sent by
+        then, dialling included. None where there is no bound."""
         bounded = hit.first_executed and hit.group.kind == "tagged"
         return hit.first_executed.sent + hit.group.repeat_window - self.tick - now if bounded else None
 
     def is_admitted(self, hit):
-        """Admission control of a low-traffic gateway: while answers are late, a share of its hits is rejected
-        at once (load shedding), clients' retries and the path group of least benefit first. It prevents
-        congestion that hundreds of gateways would keep up together, each with few hits."""
+        """Returns whether admission control lets the hit in. While answers are late, a low-traffic gateway
+        rejects a share of its hits at once (load shedding), clients' retries and the path group of least
+        benefit first. It prevents congestion that hundreds of gateways would keep up together, each with few
+        hits."""
         power = (
             1.5
             if hit.is_repeat or hit.group is min(self.groups.values(), key=PathGroup.benefit_per_work)
@@ -263,7 +267,7 @@
         return not self.low_traffic or self.random_source.randbelow(1000) < 1000 * self.admitted_share**power
 
     def dispatch(self, hit, now):
-        """Sends a forward for the hit, holds it, or gives it up."""
+        """Sends a forward for the hit, holds it in the gateway, or gives it its final answer."""
         reason = self.refusal_reason(hit, now)
         if reason is None and hit.state == HitState.TAKEN and not self.is_admitted(hit):
             reason = "not let in"
@@ -287,8 +291,8 @@
         self.host.send_forward(hit.id, instance.id, hit.deadline - now, self.repeat_time_left(hit, now))
 
     def dispatch_held(self, now):
-        """Tries all held hits: first tries before retries, then by benefit for the work, then the newest,
-        which are the least late."""
+        """Dispatches all held hits: first tries before retries, then by benefit for the work, then the
+        newest, which are the least late."""
         for hit in sorted(
             self.held_hits.values(), key=lambda h: (h.is_repeat, -h.group.benefit_per_work(), -h.arrived)
         ):
@@ -312,8 +316,8 @@
             self.host.fail_hit(hit.id)
 
     def on_outcome(self, now, id, number, result, duration, closed, report):
-        """Forward `number` of the hit has ended after `duration`; `closed`: the client has its final answer.
-        An unknown or repeated outcome is ignored."""
+        """Handles the end of forward `number` of the hit after `duration`; `closed`: the hit has its final
+        answer. An unknown or repeated outcome is ignored."""
         hit = self.hits.get(id)
         if hit is None or number >= len(hit.forwards) or hit.forwards[number].has_outcome:
             return
@@ -345,13 +349,13 @@
         self.dispatch_held(now)
 
     def on_gone(self, now, id):
-        """The client has left; its open forwards still report their outcome."""
+        """Ends a hit whose client has disconnected; its open forwards still report their outcome."""
         if id in self.hits and not self.hits[id].ended:
             self.change_state(self.hits[id], HitState.GONE)
 
     def check_overdue_forwards(self, now):
-        """Ejects silent instances and cancels their forwards where these may be retried, against instances
-        that vanished or are cut off. To a low-traffic gateway a busy instance looks silent: it probes first,
+        """Ejects silent instances and cancels their forwards where these may be retried, in case an instance
+        has vanished or is cut off. To a low-traffic gateway a busy instance looks silent: it probes first,
         and retries nothing while answers are late, which would become a retry storm."""
         for hit in [h for h in self.hits.values() if h.state == HitState.FORWARDED]:
             last, instance = hit.forwards[-1], hit.forwards[-1].instance
@@ -377,7 +381,7 @@
                     self.host.cancel_forward(hit.id, len(hit.forwards) - 1)
 
     def on_wake(self, now, token):
-        """A wake-up has come; one that an earlier one has replaced is ignored."""
+        """Handles a wake-up; one that an earlier one has replaced is ignored."""
         if now < self.next_wakeup:
             return
         stalled, self.next_wakeup = now - self.next_wakeup > self.tick, inf
--- a/cobaltpond/decisions/sample_message.py
+++ b/cobaltpond/decisions/sample_message.py
@@ -12,18 +12,19 @@
 
     @staticmethod
     def tag_of(instance):
-        """The tag of an instance record."""
+        """Returns the tag of an instance record."""
         return SampleMessage.instance_tag(instance.id, instance.build.number)
 
     @staticmethod
     def instance_tag(id, build):
-        """The tag of an instance id and build number; it stays the same over a restart of the instance."""
+        """Returns the tag of an instance id and build number; it stays the same over a restart of the
+        instance."""
         return crc32(f"{id} {build}".encode())
 
     @classmethod
     def pack(cls, sample, group, age=0):
-        """The bytes of a sample; `group` is the index of its path group, `age` is in microseconds. Latency,
-        hits in flight and age are capped at the largest value that fits."""
+        """Encodes a sample; `group` is the index of its path group, `age` is in microseconds. Latency, hits
+        in flight and age are capped at the largest value that fits."""
         fields = (
             cls.tag_of(sample.instance),
             group << 1 | sample.errored,
@@ -36,8 +37,8 @@
 
     @classmethod
     def unpack(cls, data):
-        """(tag, index of the path group, errored, latency, hits in flight, age), times in microseconds; the
-        tag is None where the length is not that of a sample."""
+        """Decodes a sample. Returns (tag, index of the path group, errored, latency, hits in flight, age),
+        times in microseconds; the tag is None where the length is not that of a sample."""
         if len(data) not in (calcsize(cls.FORM), calcsize(cls.OLDER)):
             return None, 0, False, 0, 0, 0
         older = len(data) == calcsize(cls.OLDER)
--- a/cobaltpond/decisions/stats.py
+++ b/cobaltpond/decisions/stats.py
@@ -9,8 +9,8 @@
 
 
 def rank_test_z(strata):
-    """The z value of a stratified rank test (van Elteren) over pairs (new, old sorted) of latencies, with
-    midranks for ties; positive where the new ones are slower. On one pair it equals the rank-sum z of
+    """Returns the z value of a stratified rank test (van Elteren) over pairs (new, old sorted) of latencies,
+    with midranks for ties; positive where the new ones are slower. On one pair it equals the rank-sum z of
     docs/design.md exactly."""
     excess = variance = 0.0
     for new, old in strata:
@@ -22,21 +22,22 @@
 
 
 def hypergeometric_tail(marked, n, other_marked, m):
-    """The exact rank test where all ranks but two are tied: the probability that of all marked items, dealt
-    at random to groups of n and m, `marked` or more fall to the group of n."""
+    """Returns the p-value of the exact rank test where all ranks but two are tied: the probability that of
+    all marked items, distributed at random over groups of n and m, `marked` or more fall to the group of n.
+    """
     all_marked = marked + other_marked
     ways = sum(comb(n, k) * comb(m, all_marked - k) for k in range(marked, min(n, all_marked) + 1))
     return ways / comb(n + m, all_marked)
 
 
 def poisson_tail(least, expected):
-    """The probability of `least` or more rare events where `expected` are expected (Poisson)."""
+    """Returns the probability of `least` or more rare events where `expected` are expected (Poisson)."""
     return 1 - exp(-expected) * sum(expected**n / factorial(n) for n in range(least))
 
 
 def max_expected_events(least, probability):
-    """How many rare events may be expected for `least` or more of them to come with no more than this
-    probability; found in steps of a tenth."""
+    """Returns how many rare events may be expected for `least` or more of them to come with no more than this
+    probability; it is found in steps of a tenth."""
     expected = probability
     while poisson_tail(least, 1.1 * expected) < probability:
         expected *= 1.1
@@ -44,7 +45,7 @@
 
 
 def mean_by(items, key, value):
-    """The mean of one attribute for each value of another, in order of first appearance."""
+    """Returns the mean of one attribute for each value of another, in order of first appearance."""
     rows = {}
     for item in items:
         rows.setdefault(getattr(item, key), []).append(getattr(item, value))
@@ -52,7 +53,7 @@
 
 
 def rendezvous_weight(name, number):
-    """Rendezvous hashing (Thaler, Ravishankar, 1998): the weight, below 2**48, of a number for a name. The
-    removal of one number changes nothing among the others. The multiplication carries, which breaks the
-    linearity of the checksum."""
+    """Returns the weight, below 2**48, of a number for a name (rendezvous hashing: Thaler, Ravishankar,
+    1998). The removal of one number changes nothing among the others. The multiplication carries, which
+    breaks the linearity of the checksum."""
     return crc32(f"{number} {name}".encode()) * 0x9E3779B97F4A7C15 % 2**64 >> 16
--- a/cobaltpond/decisions/voting.py
+++ b/cobaltpond/decisions/voting.py
@@ -1,21 +1,23 @@
 """Votes on a release, and the state of the release as the desk and other gateways report it.
 
-A mixin of `rules.Gateway`, which holds the state and documents it.
+A mixin of `rules.Gateway`, whose constructor sets and documents the state.
 """
 
 from cobaltpond.decisions.judging import ASSESS_PERIOD_US, MIN_SAMPLES
 from cobaltpond.decisions.stats import SECOND
 
-# "on" is voted so long after a stage's instances have started; the longest time a stage is held
+# `READY_DELAY_US`: "on" is voted this long after a stage's instances have started. `MAX_HOLD_US`: longest
+# time for which a suspect build's stage is held or waits.
 READY_DELAY_US, MAX_HOLD_US = 16 * SECOND // 5, 3 * SECOND
 
 
 class Voting:
-    """The voting part of `rules.Gateway`."""
+    """The voting part of `rules.Gateway`. The attributes that it uses are those of that class; it is never
+    instantiated by itself."""
 
     def on_news(self, now, build, stage, phase, cap, age, reply, answer):
-        """The desk has told the state of the release, whose stage began `age` microseconds ago. `reply` marks
-        the answer to a ballot; where `answer` is not "ok" it carries no state."""
+        """Applies the release state that the desk reports, whose stage began `age` microseconds ago. `reply`
+        marks the answer to a vote; where `answer` is not "ok" it carries no state."""
         self.last_ballot_answer = answer if reply else self.last_ballot_answer
         if answer != "ok":
             return
@@ -35,14 +37,15 @@
         self.dispatch_held(now)
 
     def on_build_blocked(self, now, build):
-        """Another gateway reports that this build goes back or that its cap falls: it gets no hits until the
-        own desk answers, which the host reports as None. Such a report never lifts a restriction."""
+        """Blocks a build that another gateway reports as rolled back or with a lower cap: it gets no hits
+        until this gateway's own desk connection reports a state, which the host signals by None. Such a
+        report never lifts a restriction."""
         self.blocked_build = None if build is None else self.fleet.build(build)
         self.dispatch_held(now)
 
     def is_ready_to_advance(self, now):
-        """Whether the stage has had its delay since the last listed start of its instances, or since the
-        latest time at which they can have started."""
+        """Returns whether the stage has had its delay since the last listed start of its instances, or since
+        the latest time at which they can have started."""
         starts = [i.started or 0 for i in self.fleet.up if i.build is self.newest]
         expected = int(
             self.newest.listed_instances * (self.settings.get("stage_shares") or [1.0])[self.stage] + 0.5
@@ -53,8 +56,9 @@
         return now - max(since, self.stage_started_at) >= READY_DELAY_US
 
     def vote(self, now):
-        """Assesses the newest build and votes: "back" on any fail, else "on" after the delay. A suspect build
-        waits, or is held where the gate is a clock."""
+        """Assesses the newest build and votes: "back" if it has ever failed, else "on" after the delay. For a
+        suspect build it waits, for `MAX_HOLD_US` in a stage at most. Where the gate is a clock, it votes
+        "hold" meanwhile and never "on"."""
         build = self.newest
         passed = now - self.last_assessed
         self.last_assessed = now
@@ -79,8 +83,8 @@
         self.cast_ballot(build, verdict, now)
 
     def cast_ballot(self, build, verdict, now):
-        """Casts a ballot once, and again well before it expires or when a lost answer cannot come any more.
-        "none" is cast only to withdraw a "hold"."""
+        """Sends a vote once, and again well before it expires or when a lost answer cannot come any more.
+        "none" is sent only to withdraw a "hold"."""
         ballot = (build, self.stage if verdict in ("on", "hold") else 0, verdict)
         if verdict == "none" and (
             not self.last_ballot or self.last_ballot[0] is not build or self.last_ballot[2] != "hold"
