--- a/cobaltpond/members/compare.py
+++ b/cobaltpond/members/compare.py
@@ -1,4 +1,4 @@
-"""Compares the membership tables of several gateways, and formats the differences. Free of I/O."""
+"""Compares the membership tables of several gateways, and formats the differences. Does no I/O."""
 
 from collections import Counter
 
@@ -60,7 +60,7 @@
 
 
 def summarize_member(number: int, views: dict) -> dict:
-    """One member as most gateways see it, and which ones see it otherwise since when.
+    """Returns how most gateways see one member, and which ones see it otherwise and since when.
 
     `views`: number of a gateway -> its row on the member. A gateway's row on itself does not count if others
     have one."""
@@ -97,7 +97,7 @@
 
 
 def format_ranges(numbers) -> str:
-    """Numbers as ranges, in ascending order, such as "0-3, 7, 9-12"."""
+    """Formats numbers as ranges in ascending order, such as "0-3, 7, 9-12"."""
     runs = []
     for number in sorted(numbers):
         if runs and number == runs[-1][1] + 1:
@@ -108,9 +108,9 @@
 
 
 def format_comparison(comparison: dict) -> list[str]:
-    """Lines for a terminal: zones on whose members all agree first, then each difference.
+    """Formats the result of `compare_tables` as lines for a terminal.
 
-    `comparison`: the result of `compare_tables`."""
+    The zones on whose members all gateways agree come first, then each difference."""
     lines = []
     if comparison["silent"]:
         lines.append(f"no answer from: {format_ranges(comparison['silent'])}")
--- a/cobaltpond/members/gossip.py
+++ b/cobaltpond/members/gossip.py
@@ -1,40 +1,41 @@
-"""Gossips the release state and draining instances, and judges what others gossip. Free of I/O.
+"""Gossips the release state and draining instances, and judges what others gossip. Does no I/O.
 
-Gossip may only restrict traffic. That a build goes back, is withdrawn or has a lower cap is acted upon
-until this gateway's own link to the desk speaks again; that an instance drains, until its own instance list
-knows it. Gossip never opens a cap, a build or an instance, so that a wrong or late message costs capacity
-but breaks no rule.
+Gossip may only restrict traffic. A gateway acts on the report that a build is rolled back (phase `going back`
+while the rollback is in progress, `withdrawn` afterwards) or has a lower cap until it receives a release
+state over its own desk connection, and on the report that an instance drains until its own instance list
+shows it. Gossip never raises a cap and never reopens a build or an instance, so that a wrong or late message
+costs capacity but breaks no rule.
 """
 
 from cobaltpond.members.states import LEFT
 
-PHASES = ("trial", "released", "going back", "withdrawn")  # in the order in which a build goes through them
-FIRST_CLOSED_PHASE = 2  # index in PHASES: from this phase on a build gets no more hits
+PHASES = ("trial", "released", "going back", "withdrawn")  # the index is sent to other members
+FIRST_CLOSED_PHASE = 2  # index in PHASES; from this phase on a build gets no more hits
 RECENT_DRAIN_US = 5_000_000  # instances that began to drain within this time are gossiped
 
 
 class Gossip:
-    """Release state and drains as this gateway's own links and other members report them.
+    """Release state and drains as this gateway's own connections and other members report them.
 
     `post`: called with the name and the arguments of an event for the decisions, as
     `GatewayDecisionHost.post_event`. Times are in microseconds."""
 
     def __init__(self, post):
         self.post_event = post
-        # (build, stage, phase, cap) that our own desk link reported last, and since when it holds
+        # (build, stage, phase, cap) that our own desk connection reported last, and when its stage began
         self.own_release, self.own_since = None, 0
         # the same from another member, while it overrides ours, and that member's number
         self.gossiped_release, self.gossiped_since, self.gossiped_by = None, 0, None
-        self.overruled = {}  # gossiped releases that our own link has contradicted since, oldest first
+        self.overruled = {}  # gossiped releases that our own desk connection contradicted, oldest first
         # revision of our instance list; tag of a draining instance -> when it began to drain
         self.revision, self.draining = 0, {}
         self.counts = {"news taken": 0, "drains taken": 0, "overruled": 0}
 
-    # --- reports of our own links ---------------------------------------------------------------------------
+    # --- reports of our own connections ---------------------------------------------------------------------
 
     def update_release(self, now: int, build: int, stage: int, phase: str, cap: float, age: int) -> None:
-        """Takes the desk's release state, `age` microseconds old. It always holds, and ends what gossip had
-        closed."""
+        """Takes the desk's release state, whose stage began `age` microseconds ago. It overrides gossip and
+        lifts every restriction on a build that gossip imposed."""
         self.own_release, self.own_since = (build, stage, phase, cap), now - age
         if self.gossiped_release is not None:
             if self.gossiped_release[:3] != self.own_release[:3]:
@@ -46,15 +47,15 @@
             self.post_event("on_build_blocked", None)
 
     def set_draining(self, now: int, revision: int, tags: list[int]) -> None:
-        """Takes the tags of the instances that drain by our own instance list of this revision."""
+        """Takes the tags of the instances that drain by this gateway's own instance list of this revision."""
         self.revision = revision
         self.draining = {tag: self.draining.get(tag, now) for tag in tags}
 
     # --- what is sent ---------------------------------------------------------------------------------------
 
     def outgoing(self, now: int) -> tuple[tuple | None, list[int]]:
-        """(release state as `wire.encode_news` takes it or None, tags of instances that began to drain
-        lately, the newest first)."""
+        """Returns the release state as `wire.encode_news` takes it, or None, and the tags of the instances
+        that began to drain lately, the newest first."""
         release, since = (
             (self.gossiped_release, self.gossiped_since)
             if self.gossiped_release is not None
@@ -86,7 +87,7 @@
         self.post_event("on_build_blocked", release[0])
 
     def is_restriction(self, release: tuple, since: int) -> bool:
-        """Whether a reported release closes its build to more hits than what is known.
+        """Returns whether a reported release state admits fewer hits to its build than the known one.
 
         An older stage or build does not: the member that reports it is behind."""
         build, stage, phase, cap = release
--- a/cobaltpond/members/probing.py
+++ b/cobaltpond/members/probing.py
@@ -1,6 +1,6 @@
 """SWIM's failure detector: picks the member to probe, asks helpers and evaluates the result (SWIM, 4.3).
 
-Mixed into `view.View`, which holds the state.
+A mixin of `view.View`, whose constructor sets and documents the state.
 """
 
 from cobaltpond.members import wire
@@ -13,8 +13,10 @@
 
 
 class Probe:
-    """The probe under way. `indirect_sent_at`: when the ack timeout ended and helpers were due, None before;
-    `result`: DIRECT or INDIRECT, None while nobody has answered. Times are in microseconds."""
+    """The probe under way. Times are in microseconds.
+
+    `indirect_sent_at`: when the ack timeout ended, at which helpers are asked unless the member has answered;
+    None before. `result`: DIRECT or INDIRECT, None while nobody has answered."""
 
     def __init__(self, member: Member, sequence: int, began: int, ack_timeout: int, period: int):
         self.member, self.sequence, self.indirect_sent_at, self.start = member, sequence, None, member.start
@@ -26,7 +28,8 @@
 
 
 class Probing:
-    """The probing part of `view.View`."""
+    """The probing part of `view.View`. The attributes that it uses are those of that class; it is never
+    instantiated by itself."""
 
     def send_nacks(self, now: int) -> None:
         """Sends a nack for each relayed ping whose time is up without an answer; drops ended relays."""
@@ -39,7 +42,7 @@
                     self.send(wire.NACK, asker, asker_sequence, about)
 
     def begin_probe(self, now: int) -> None:
-        """Starts the protocol period: pings the next member, if there is one, and an absent one."""
+        """Starts the protocol period: pings the next present member, if there is one, and absent members."""
         self.probe_absent(now)
         member = self.next_in_round()
         if member is None:
@@ -51,7 +54,7 @@
         self.probe.sequence = self.ping(member.number)
 
     def next_in_round(self) -> Member | None:
-        """The next present member of the round, None if nobody is present.
+        """Returns the next present member of the round, None if nobody is present.
 
         A round holds each present member once, shuffled anew for each round, so that a failed member is
         probed within two rounds (SWIM, 4.3)."""
@@ -87,7 +90,8 @@
     def request_indirect(self, probe: Probe) -> None:
         """Asks helpers for indirect pings, one from each other zone first.
 
-        Who reaches the member and who does not tells a zone's failure from a network partition."""
+        Which helpers reach the member and which do not distinguishes the failure of a zone from a network
+        partition."""
         numbers = self.shuffle(
             [n for n, m in self.members.items() if m.state == ALIVE and m is not probe.member]
         )
--- a/cobaltpond/members/reachability.py
+++ b/cobaltpond/members/reachability.py
@@ -1,4 +1,4 @@
-"""Judges whether silence is due to a member, a zone, a link or our own network. Free of I/O.
+"""Judges whether silence is due to a member, a zone, a link or our own network. Does no I/O.
 
 A probe ends in one of four ways: DIRECT (the member answered us), INDIRECT (it answered a helper only, so our
 link to it or back is broken), NACKED (a helper reports that the member does not answer it either) or NO_REPLY
@@ -25,22 +25,24 @@
         self.view = view
 
     def is_alone(self, now: int) -> bool:
-        """Whether no datagram has come for ALONE_AFTER_PERIODS, though other members are or were running."""
+        """Returns whether no datagram has come for ALONE_AFTER_PERIODS, though other members are or were
+        running."""
         heard = [m.heard_at for m in self.view.members.values() if m.heard_at is not None]
         known = any(m.state not in (UNHEARD, LEFT) for m in self.view.members.values())
         wait = ALONE_AFTER_PERIODS * self.view.probe_settings.period
         return known and now - max(heard, default=self.view.began) > wait
 
     def broken_links(self) -> list[int]:
-        """Members that helpers reach and this gateway does not: the link is broken, in either direction."""
+        """Returns the members that helpers reach and this gateway does not: the link is broken, in either
+        direction."""
         return sorted(
             n for n, m in self.view.members.items() if m.state == ALIVE and m.probe_result == INDIRECT
         )
 
     def zones(self, now: int) -> dict[str, str]:
-        """The state of each zone as seen from here, by zone.
+        """Returns the state of each zone as seen from here, by zone.
 
-        GONE: none of the zone's members is there, while most members are. CUT_OFF: none of them is there, and
+        GONE: none of the zone's members answers, while most members do. CUT_OFF: none of them answers, and
         more than half of all members are silent too, so this gateway is more likely on the smaller side of a
         network partition."""
         view, own_zone = self.view, self.view.zones[self.view.number]
@@ -64,11 +66,12 @@
         return states
 
     def is_island(self, now: int) -> bool:
-        """Whether this gateway is on the smaller side of a network partition."""
+        """Returns whether this gateway is on the smaller side of a network partition."""
         return any(state in (CUT_OFF, ALONE) for state in self.zones(now).values())
 
     def summary(self, now: int) -> dict:
-        """Members by state (this gateway counts as alive), zones and links, as the status pages show them."""
+        """Returns the members by state (this gateway counts as alive), zones and links, as the status pages
+        show them."""
         states = [m.state for m in self.view.members.values()]
         return {
             "alive": 1 + states.count(ALIVE),
--- a/cobaltpond/members/receiving.py
+++ b/cobaltpond/members/receiving.py
@@ -10,7 +10,8 @@
 
 
 class Receiving:
-    """The receiving part of `view.View`, which holds the state."""
+    """The receiving part of `view.View`. The attributes that it uses are those of that class; it is never
+    instantiated by itself."""
 
     def receive_datagram(self, now: int, sender: int, data: bytes) -> None:
         """Handles one datagram from the address of member `sender`.
--- a/cobaltpond/members/sending.py
+++ b/cobaltpond/members/sending.py
@@ -11,10 +11,11 @@
 
 
 class Sending:
-    """The sending part of `view.View`, which holds the state."""
+    """The sending part of `view.View`. The attributes that it uses are those of that class; it is never
+    instantiated by itself."""
 
     def encode_table_row(self, number: int) -> bytes:
-        """The row of a member, or of this gateway, for a datagram.
+        """Encodes the row of a member, or of this gateway, for a datagram.
 
         A suspect's row names one of the members that suspect it, each in turn, so that receivers can count
         the independent confirmations."""
@@ -30,7 +31,7 @@
         return wire.encode_row(number, *member.start_and_incarnation, member.state, reporter)
 
     def choose_rows(self, receiver: int, room: int, differs: bool) -> bytes:
-        """The encoded rows for a datagram that has `room` bytes left.
+        """Returns the encoded rows for a datagram that has `room` bytes left.
 
         First comes the receiver's own row if it is suspect, failed or left (Lifeguard's buddy system: a
         suspect learns of it by the next datagram), then the updates sent least often, then, where the table
--- a/cobaltpond/members/service.py
+++ b/cobaltpond/members/service.py
@@ -7,7 +7,7 @@
 from cobaltpond.members.trial_evidence import TrialEvidence
 from cobaltpond.members.view import ProbeSettings, View
 
-PROGRAM_VERSION = 2  # as members tell each other
+PROGRAM_VERSION = 2  # sent to the other members
 # How often a stopping gateway announces that it leaves, and the microseconds between two announcements.
 LEAVE_ROUNDS, LEAVE_INTERVAL_US = 3, 50_000
 
@@ -15,13 +15,17 @@
 class Members:
     """Membership of one gateway.
 
-    `zones`: zone name of each gateway by number; `peers`: a `gateway.peers.Peers`, which passes datagrams
-    of membership to `receive_datagram`; `post`: takes events for the decisions; `describe_self`: returns
-    what this gateway tells of itself (revision, out, admitted, flags) as a map; `digest`: of the settings;
-    `view`: the class of the view, which measurements replace by a baseline; `trial_counts`: returns our
-    counts of a trial as `wire.encode_trial` takes them, None where trial messages are not served; `groups`:
-    names of the path groups by index; `max_evidence_age`: the greatest age of trial evidence, in
-    microseconds."""
+    `zones`: the zone name of each gateway, by number.
+    `peers`: a `gateway.peers.Peers`, which passes membership datagrams to `receive_datagram`.
+    `post`: posts an event to the decisions.
+    `describe_self`: returns the facts that this gateway sends about itself (revision, out, admitted, flags).
+    `chance`: a `RandomSource` of the decisions.
+    `digest`: the digest of the settings.
+    `view`: the class of the view, which measurements replace by a baseline.
+    `trial_counts`: returns our counts of a trial as `wire.encode_trial` takes them; None: trial messages are
+    ignored.
+    `groups`: the names of the path groups, by index.
+    `max_evidence_age`: the greatest age of trial evidence, in microseconds."""
 
     def __init__(
         self,
@@ -73,7 +77,7 @@
         self.changed.set()
 
     def update_self_description(self) -> None:
-        """Updates what our datagrams tell of this gateway, the release and draining instances."""
+        """Updates what our datagrams report of this gateway, the release and draining instances."""
         now, description = self.loop.now(), self.describe_self()
         news, self.view.drains = self.gossip.outgoing(now)
         self.view.news = news
@@ -124,7 +128,7 @@
             )
 
     def handle_trial_message(self, kind: int, sender: int, sequence: int, rows: list) -> None:
-        """Answers a request for our trial counts, or applies the answer to one of ours.
+        """Answers a request for our trial counts, or applies the reply to one of our own requests.
 
         Rows on path groups that our settings lack are dropped."""
         if kind == wire.TRIAL_ASK:
@@ -145,14 +149,15 @@
             )
 
     def on_release_state(self, build: int, stage: int, phase: str, cap: float, age: int) -> None:
-        """Takes the release state of our own desk link, `age` microseconds old."""
+        """Takes the release state of this gateway's own desk connection, whose stage began `age` microseconds
+        ago."""
         self.gossip.update_release(self.loop.now(), build, stage, phase, cap, age)
         self.evidence.update_release(self.loop.now(), build, phase, age)
 
     # --- time -----------------------------------------------------------------------------------------------
 
     def run(self):
-        """Task that drives the view's clock. Never ends."""
+        """Runs the view's clock until cancelled; the body of a task."""
         self.flush()
         while True:
             wait = max(1_000, self.view.next_at() - self.loop.now())
@@ -185,7 +190,7 @@
             )
 
     def leave(self):
-        """Task that announces an orderly shutdown to some members, which disseminate it."""
+        """Announces an orderly shutdown to some members, which disseminate it; the body of a task."""
         for _ in range(LEAVE_ROUNDS):
             self.update_self_description()
             self.view.leave()
@@ -195,7 +200,7 @@
     # --- status pages ---------------------------------------------------------------------------------------
 
     def status(self) -> dict:
-        """Membership's part of the status page."""
+        """Returns membership's part of the status page."""
         now, view = self.loop.now(), self.view
         return {
             **view.reachability.summary(now),
@@ -213,7 +218,8 @@
         }
 
     def table(self) -> dict:
-        """The body of `/-/members`: the status and all members as this gateway sees them, itself first."""
+        """Returns the body of `/-/members`: the status and all members as this gateway sees them, itself
+        first."""
         now, view = self.loop.now(), self.view
         own = {
             **view.self_description,
--- a/cobaltpond/members/states.py
+++ b/cobaltpond/members/states.py
@@ -1,4 +1,4 @@
-"""The membership states of one gateway and the table of their transitions. Free of I/O."""
+"""The membership states of one gateway and the table of their transitions. Does no I/O."""
 
 UNHEARD, ALIVE, SUSPECT, FAILED, LEFT = "unheard", "alive", "suspect", "failed", "left"
 # Of two reports on one start and incarnation the higher rank wins (SWIM, 4.2). Unlike in SWIM, leaving ends a
@@ -12,7 +12,7 @@
 SUSPICION_EXPIRED = "ran out"
 REPORTED_FAILED = "told failed"
 REPORTED_LEFT = "told left"
-# The cause that a reported state stands for.
+# Maps a reported state to the cause of the transition.
 CAUSE_OF_STATE = {ALIVE: HEARD, SUSPECT: SUSPECTED, FAILED: REPORTED_FAILED, LEFT: REPORTED_LEFT}
 NEXT_STATE = {
     UNHEARD: {HEARD: ALIVE, SUSPECTED: SUSPECT, REPORTED_FAILED: FAILED, REPORTED_LEFT: LEFT},
@@ -68,7 +68,8 @@
 
     @property
     def start_and_incarnation(self) -> tuple[int, int]:
-        """(start, incarnation): a greater pair describes a later life of the member."""
+        """(start, incarnation): a greater pair is a later start of the member, or its later word on the same
+        one."""
         return self.start, self.incarnation
 
     @property
@@ -77,7 +78,7 @@
         return self.state in (ALIVE, SUSPECT)
 
     def supersedes(self, state: str, start: int, incarnation: int) -> bool:
-        """Whether a report with these values overrides what is known of the member."""
+        """Returns whether a report with these values overrides what is known of the member."""
         if self.state == UNHEARD:
             return True
         return (start, incarnation, STATE_RANK[state]) > (
--- a/cobaltpond/members/trial_evidence.py
+++ b/cobaltpond/members/trial_evidence.py
@@ -1,9 +1,8 @@
-"""Lets a gateway that starts in mid-trial ask other members for their counts of the trial. Free of I/O.
+"""Lets a gateway that starts in mid-trial ask other members for their counts of the trial. Does no I/O.
 
-Two present members are asked, chosen at random. An answer is weighted by its age and posted as a tally,
-which the decisions never take for hits of their own. Both members may have counted the same hits, since a
-judge also counts what others report to it: of two answers the larger count is used, and they are not added
-up.
+Two present members are asked, chosen at random. An answer is weighted by its age and posted as a tally, which
+the decisions never take for hits of their own. Both members may have counted the same hits, since a judge
+also counts what others report to it: of two answers the larger count is used, and they are not added up.
 """
 
 # Members asked; requests to each of them; microseconds between two requests to one that has not answered.
@@ -24,8 +23,9 @@
         self.counts = {"asked": 0, "answers": 0, "tallies": 0}
 
     def update_release(self, now: int, build: int, phase: str, age: int) -> None:
-        """Takes the desk's release state, `age` microseconds old. Requests start if the trial began before
-        this gateway did, which then has missed its first part."""
+        """Takes the desk's release state, whose stage began `age` microseconds ago. Requests start if the
+        stage in which a trial is first seen began before this gateway did, which then has missed a part of
+        the trial."""
         if phase != "trial":
             self.build, self.requests, self.next_at = None, {}, None
         elif build != self.build:
@@ -34,7 +34,8 @@
             self.next_at = now if missed else None
 
     def due_requests(self, now: int, living) -> list[int]:
-        """Numbers of the members to ask now. One that is no longer among the `living` is replaced."""
+        """Returns the numbers of the members to ask now. One that is no longer among the `living` is
+        replaced."""
         if self.next_at is None or now < self.next_at:
             return []
         self.next_at = now + RETRY_INTERVAL_US
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -1,7 +1,7 @@
 """Failure detection and dissemination: one gateway's view of all gateways.
 
 The protocol is SWIM (Das, Gupta, Motivala, 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey,
-2018). Free of I/O: time, datagrams and randomness come in, datagrams to send come out.
+2018). The module does no I/O: time, datagrams and randomness come in, datagrams to send come out.
 
 A probe pings one member. If no ack comes in time, helpers ping it too. A member that answers nobody becomes
 suspect; the suspicion is disseminated, and the member may refute it with a higher incarnation. A suspect
@@ -31,7 +31,8 @@
     change_state,
 )
 
-# Lifeguard, IV: factors of the minimum and the maximum suspicion time, and the number of confirmations (K).
+# Lifeguard, IV: `ALPHA` and `BETA` are the factors of the minimum and the maximum suspicion time, and
+# `MAX_CONFIRMATIONS` is the number of confirmations (K).
 ALPHA, BETA, MAX_CONFIRMATIONS = 5, 6, 3
 MAX_HEALTH = 8  # saturation limit of the local health multiplier (Lifeguard's S)
 TRANSMIT_MULTIPLIER = 4  # times the logarithm of the number of members: how often an update is sent
@@ -56,7 +57,7 @@
     """The membership table of one gateway and the protocol that keeps it.
 
     `zones`: zone name of each gateway by number, ours included; `chance`: a `RandomSource` of the decisions;
-    `start`: start time of this process in microseconds since 1970, which tells its starts apart; `now`: loop
+    `start`: start time of this process in microseconds since 1970, which identifies this start; `now`: loop
     time in microseconds. The caller collects datagrams to send from `outbox` as (number, datagram) and state
     changes from `changes` as (member, previous state), calls `tick` at `next_at`, and ends the process once
     `replaced` is set."""
@@ -82,7 +83,7 @@
             "flags": 0,
         }
         self.news, self.drains = None, ()  # piggybacked on each datagram, see gossip.py
-        self.on_gossip = None  # called with (member, news or None, drains) of each datagram
+        self.on_gossip = None  # called with (member, release state or None, drains) of a new datagram
         self.on_trial_message = None  # called with (kind, sender, sequence, rows) of trial messages
         self.on_warm_start_message = self.on_lease_message = None  # likewise, for warm start and leases
         self.probe, self.next_probe = None, now + chance.randbelow(settings.period) + 1
@@ -114,15 +115,16 @@
         )
 
     def member_count(self) -> int:
-        """The number of present members, this gateway included."""
+        """Returns the number of present members, this gateway included."""
         return 1 + sum(m.is_present for m in self.members.values())
 
     def scale_by_health(self, time: int) -> int:
-        """The time scaled by Lifeguard's local health multiplier: a slow gateway suspects others later."""
+        """Returns the time scaled by Lifeguard's local health multiplier: a slow gateway suspects others
+        later."""
         return time * (1 + self.health)
 
     def suspicion_time(self, suspecting: int) -> int:
-        """The duration of a suspicion that this many members share, in microseconds."""
+        """Returns the duration of a suspicion that this many members share, in microseconds."""
         size = self.member_count()
         minimum = int(ALPHA * max(1.0, log10(max(1, size))) * self.probe_settings.period)
         maximum, confirmations = self.probe_settings.beta * minimum, min(MAX_CONFIRMATIONS, size - 2)
@@ -131,7 +133,7 @@
         return max(minimum, int(maximum - (maximum - minimum) * log(suspecting) / log(confirmations + 1)))
 
     def max_transmissions(self) -> int:
-        """How often an update is sent before it is dropped."""
+        """Returns how often an update is sent before it is dropped."""
         return TRANSMIT_MULTIPLIER * ceil(log10(self.member_count() + 1))
 
     def adjust_health(self, step: int) -> None:
@@ -140,7 +142,8 @@
             self.health = min(MAX_HEALTH, max(0, self.health + step))
 
     def row_digest(self, number: int) -> int:
-        """The digest of one table row, 0 for an unheard member. The exclusive or of all is `table_digest`."""
+        """Returns the digest of one table row, 0 for an unheard member. The exclusive or of all is
+        `table_digest`."""
         if number == self.number:
             row = number, self.start, self.incarnation, STATE_CODES[self.state]
         else:
@@ -230,7 +233,7 @@
     # --- time -----------------------------------------------------------------------------------------------
 
     def next_at(self) -> int:
-        """The time of the next `tick`, in microseconds."""
+        """Returns the time of the next `tick`, in microseconds."""
         times = [self.next_probe]
         if self.probe is not None:
             times.append(self.probe.indirect_at if self.probe.indirect_sent_at is None else self.probe.end_at)
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -1,12 +1,15 @@
-"""The datagrams between gateways: at most 256 bytes, of which `gateway/peers.py` takes six. Free of I/O.
+"""The datagrams between gateways: at most 256 bytes, six of them the header of `gateway/peers.py`.
 
 version (major << 4 | minor)   1 byte     another major version is rejected, another minor one is read
 kind                           1          PING, ACK, ... below
-checksum                       4          crc32 of sender, receiver and all that follows
+checksum                       4          crc32 of the sender's number, version, kind and all that follows
 receiver                       2          rejects datagrams to an address that another gateway had before
 sequence                       4          a reply repeats the number of its request
 stamp                          4          rises within a start: older facts never replace newer ones
-fields: tag 1, length 1, value            an unknown tag is skipped, of a longer value the known part is read
+fields: tag 1, length 1, value            an unknown tag is skipped; of a value that is longer than known
+                                          and holds no rows, the known part is read
+
+The module does no I/O.
 """
 
 from struct import calcsize, pack, unpack, unpack_from
@@ -25,12 +28,12 @@
 WARM_ASK = 8
 WARM_REPLY = 9
 LEASE_ASK, LEASE_REPLY = 10, 11
-MAX_BYTES = 250  # of a datagram's 256, without the header of gateway/peers.py
+MAX_BYTES = 250  # of the 256 of a datagram, without the header of gateway/peers.py
 HEADER_FORMAT = ">BBIHII"
 HEADER_SIZE = calcsize(HEADER_FORMAT)
 SELF, ROWS, SUBJECT, NEWS, DRAINS, DIGEST, TRIAL, WARM, LEASES = 1, 2, 3, 4, 5, 6, 7, 8, 9
 # start (microseconds since 1970), incarnation, state, zone digest, program version, settings digest,
-# revision of the instance list, build, stage, phase, hits in flight, share of hits admitted (of 255), flags
+# revision of the instance list, build, stage, phase, hits in flight, share of hits admitted in 1/255, flags
 FACTS_FORMAT = ">QIBIHIIIBBHBB"
 FACT_NAMES = (
     "start",
@@ -50,31 +53,31 @@
 READY, DRAINING, ALONE, SETTLED = 1, 2, 4, 8  # SETTLED: other gateways may request warm start rows
 ROW_FORMAT = ">HQIBH"  # number, start, incarnation, state, reporter
 ROW_SIZE = calcsize(ROW_FORMAT)
-NEWS_FORMAT = ">IBBHI"  # build, stage, phase, cap of 65535, age in milliseconds
+NEWS_FORMAT = ">IBBHI"  # build, stage, phase, cap in units of 1/65535, age in milliseconds
 MAX_DRAINS = 6
 TRIAL_FORMAT, MAX_TRIAL_ROWS = ">IBIIH", 10  # build, index of the path group, hits, errored, age in 10 ms
-# digest of an instance's start, latency ratio in twentieths, load, faults of 255, flags, age in 100 ms
+# digest of an instance's start, latency ratio in 1/20, load, faults in 1/255, flags, age in units of 100 ms
 WARM_FORMAT, MAX_WARM_ROWS, LATENCY_RATIO_UNITS = ">IBBBBB", 15, 20
 # index of the limit, digest of the value, amount, request time in ms, fencing token
 LEASES_FORMAT, MAX_LEASE_ROWS = ">BQIII", 7
 
 
 class DatagramError(Exception):
-    """A datagram that cannot be read. Its text is one of a few words, by which such datagrams are counted."""
+    """A datagram that cannot be read. The text is a counter key."""
 
 
 def zone_digest(zone: str) -> int:
-    """The crc32 of the zone's name."""
+    """Returns the crc32 of the zone's name."""
     return crc32(zone.encode())
 
 
 def encode_field(tag: int, value: bytes) -> bytes:
-    """One field with its tag and length. The value is at most 255 bytes."""
+    """Encodes one field with its tag and length. The value is at most 255 bytes."""
     return pack(">BB", tag, len(value)) + value
 
 
 def encode_datagram(kind: int, sender: int, receiver: int, sequence: int, stamp: int, fields: bytes) -> bytes:
-    """A whole datagram. Raises ValueError if it is longer than MAX_BYTES."""
+    """Encodes a whole datagram. Raises ValueError if it is longer than MAX_BYTES."""
     if HEADER_SIZE + len(fields) > MAX_BYTES:
         raise ValueError(f"{HEADER_SIZE + len(fields)} bytes")
     body = pack(">HII", receiver, sequence, stamp) + fields
@@ -83,7 +86,7 @@
 
 
 def decode_datagram(sender: int, receiver: int, data: bytes) -> tuple[int, int, int, dict]:
-    """(kind, sequence, stamp, {tag: value}). Raises DatagramError.
+    """Decodes a datagram. Returns (kind, sequence, stamp, {tag: value}). Raises DatagramError.
 
     Of a repeated tag the first value counts."""
     if len(data) < HEADER_SIZE or len(data) > MAX_BYTES:
@@ -105,12 +108,14 @@
 
 
 def encode_facts(facts: dict) -> bytes:
-    """The sender's description of itself; `facts` has the keys of FACT_NAMES."""
+    """Encodes the sender's description of itself; `facts` has the keys of FACT_NAMES."""
     return encode_field(SELF, pack(FACTS_FORMAT, *(facts[name] for name in FACT_NAMES)))
 
 
 def decode_facts(fields: dict) -> dict:
-    """The sender's facts by FACT_NAMES. Raises DatagramError, also where the field is missing."""
+    """Decodes the sender's facts. Returns them by FACT_NAMES.
+
+    Raises DatagramError, also where the field is missing or its state is unknown."""
     value = fields.get(SELF, b"")
     if len(value) < calcsize(FACTS_FORMAT):
         raise DatagramError("field")
@@ -121,12 +126,12 @@
 
 
 def encode_row(number: int, start: int, incarnation: int, state: str, reporter: int) -> bytes:
-    """One row of the membership table."""
+    """Encodes one row of the membership table."""
     return pack(ROW_FORMAT, number, start, incarnation, STATE_CODES[state], reporter)
 
 
 def decode_rows(fields: dict) -> list[tuple]:
-    """Rows of (number, start, incarnation, state, reporter). Raises DatagramError."""
+    """Decodes table rows. Returns [(number, start, incarnation, state, reporter)]. Raises DatagramError."""
     value = fields.get(ROWS, b"")
     if len(value) % ROW_SIZE:
         raise DatagramError("field")
@@ -137,7 +142,9 @@
 
 
 def decode_number(fields: dict, tag: int, form: str) -> int | None:
-    """The number in a field of the struct format `form`, None if there is none. Raises DatagramError."""
+    """Decodes the number in a field of the struct format `form`.
+
+    Returns None if there is no such field. Raises DatagramError."""
     value = fields.get(tag)
     if value is None:
         return None
@@ -147,7 +154,7 @@
 
 
 def encode_news(build: int, stage: int, phase: int, cap: float, age: int) -> bytes:
-    """The state of a release.
+    """Encodes a release state.
 
     `cap` is a share of 1; `age`: microseconds since the desk began this phase and stage."""
     return encode_field(
@@ -156,7 +163,9 @@
 
 
 def decode_news(fields: dict) -> tuple | None:
-    """(build, stage, phase, cap, age in microseconds), None if the field is missing. Raises DatagramError."""
+    """Decodes a release state. Returns (build, stage, phase, cap, age in microseconds).
+
+    Returns None if the field is missing. Raises DatagramError."""
     value = fields.get(NEWS)
     if value is None:
         return None
@@ -167,7 +176,7 @@
 
 
 def decode_drains(fields: dict) -> list[int]:
-    """Tags of draining instances (`decisions/sample_message.py`). Raises DatagramError."""
+    """Decodes the tags of draining instances (`decisions/sample_message.py`). Raises DatagramError."""
     value = fields.get(DRAINS, b"")
     if len(value) % 4 or len(value) > 4 * MAX_DRAINS:
         raise DatagramError("field")
@@ -175,7 +184,9 @@
 
 
 def encode_trial(rows) -> bytes:
-    """Counts of a trial. `rows`: (build, index of the path group, hits, errored, age in microseconds)."""
+    """Encodes counts of a trial.
+
+    `rows`: (build, index of the path group, hits, errored, age in microseconds)."""
     return encode_field(
         TRIAL,
         b"".join(
@@ -193,7 +204,7 @@
 
 
 def decode_trial(fields: dict) -> list[tuple]:
-    """Rows as `encode_trial` takes them. Raises DatagramError."""
+    """Decodes rows as `encode_trial` takes them. Raises DatagramError."""
     value, size = fields.get(TRIAL, b""), calcsize(TRIAL_FORMAT)
     if len(value) % size or len(value) > size * MAX_TRIAL_ROWS:
         raise DatagramError("field")
@@ -202,7 +213,7 @@
 
 
 def encode_warm(rows) -> bytes:
-    """What is known of instances, for a gateway that warms up.
+    """Encodes what is known of instances, for a gateway that warms up.
 
     `rows`: (digest of the instance's start, latency ratio, load, share of faults, flags, age in
     microseconds); those beyond MAX_WARM_ROWS are left out."""
@@ -224,7 +235,7 @@
 
 
 def decode_warm(fields: dict) -> list[tuple]:
-    """Rows as `encode_warm` takes them. Raises DatagramError."""
+    """Decodes rows as `encode_warm` takes them. Raises DatagramError."""
     value, size = fields.get(WARM, b""), calcsize(WARM_FORMAT)
     if len(value) % size or len(value) > size * MAX_WARM_ROWS:
         raise DatagramError("field")
@@ -236,7 +247,7 @@
 
 
 def encode_leases(rows) -> bytes:
-    """Lease requests or replies.
+    """Encodes lease requests or replies.
 
     `rows`: (index of the limit, digest of the value, amount, request time in milliseconds, fencing token);
     those beyond MAX_LEASE_ROWS are left out."""
@@ -250,7 +261,7 @@
 
 
 def decode_leases(fields: dict) -> list[tuple]:
-    """Rows as `encode_leases` takes them. Raises DatagramError."""
+    """Decodes rows as `encode_leases` takes them. Raises DatagramError."""
     value, size = fields.get(LEASES, b""), calcsize(LEASES_FORMAT)
     if len(value) % size or len(value) > size * MAX_LEASE_ROWS:
         raise DatagramError("field")
@@ -258,5 +269,5 @@
 
 
 def encode_drains(tags) -> bytes:
-    """Tags of draining instances, at most MAX_DRAINS."""
+    """Encodes the tags of draining instances, at most MAX_DRAINS."""
     return encode_field(DRAINS, pack(f">{len(tags)}I", *tags))
