--- a/cobaltpond/leases/protocol.py
+++ b/cobaltpond/leases/protocol.py
@@ -1,8 +1,8 @@
-"""Lease protocol for an allowance that all gateways share without a central component. Free of I/O.
+"""Lease protocol for an allowance that all gateways share without a central component. Does no I/O.
 
 An allowance is an amount per period for one key (a limit's name and the value that it counts by). A part of
-it belongs to all members in equal shares, which an isolated member can use too. The rest is a pool, handed
-out in leases by one owner: the member with the highest rendezvous weight for the key among those present.
+it belongs to all members in equal shares, which an isolated member can use too. The rest is a pool, which one
+owner hands out in leases: the member with the highest rendezvous weight for the key among those present.
 Three rules keep the sum of all sides within the allowance:
 
 1. An owner lends at most the fraction of the pool that the members it sees, itself included, are of all
@@ -26,7 +26,7 @@
 
 
 def owner_of(key: str, living) -> int | None:
-    """The member with the highest rendezvous weight; None without members.
+    """Returns the member with the highest rendezvous weight; None without members.
 
     Members whose views differ a little choose the same owner for nearly all keys.
     """
@@ -34,10 +34,10 @@
 
 
 def overshoot(pool: int, owners: int) -> int:
-    """The most that can be lent beyond the allowance at one moment, in units a period.
+    """Returns the most that can be lent beyond the allowance at one moment, in units a period.
 
-    `owners` counts the members that consider themselves the owner of a key: with one of them it is 0. It
-    lasts for as long as their views differ.
+    `owners` counts the members that consider themselves the owner of a key: with one of them the result is 0.
+    The overshoot lasts for as long as their views differ.
     """
     return pool * max(0, owners - 1)
 
@@ -46,9 +46,9 @@
 class Lease:
     """A part of the pool of one key that a holder may use for a limited time.
 
-    `amount` is in units a period, `until` the moment of expiry in microseconds of the holder's clock.
-    `fencing_token` is (start of the owner, number) and grows with each lease that this start of the owner
-    grants.
+    `amount` is in units a period, `until` the moment of expiry in microseconds of the clock of the member
+    that keeps this record. `fencing_token` is (start of the owner, number) and grows with each lease that
+    this start of the owner grants.
     """
 
     key: str
@@ -63,8 +63,8 @@
     """The owner's side of one member.
 
     `declared` is the number of members in the settings, `lease_time` is in microseconds, and `start`
-    identifies this process and is part of each fencing token. Since `known_since` there is no gap in what
-    this member knows.
+    identifies this process and is part of each fencing token. Since `known_since` this member has observed
+    the members without a gap.
     """
 
     number: int
@@ -82,8 +82,8 @@
     def observe_members(self, now: int, living) -> None:
         """Records which members this one sees as present.
 
-        Must be called at each change, and at least every half lease time: a longer gap counts as a pause of
-        the process.
+        It must be called at least every half lease time: a longer gap counts as a pause of the process. A
+        change takes effect with the call that reports it.
         """
         if self.last_observed is None or now - self.last_observed > self.lease_time // 2:
             self.known_since, self.views = now, []  # rule 2: other owners may have lent meanwhile
@@ -95,7 +95,9 @@
             del self.views[0]
 
     def is_owner(self, now: int, key: str) -> bool:
-        """Whether this member owned the key in every view of the last lease time."""
+        """Returns whether this member owned the key in every view of the last lease time, without a gap in
+        them.
+        """
         return (
             bool(self.views)
             and now - self.known_since >= self.lease_time
@@ -137,7 +139,9 @@
 
     @staticmethod
     def fair_share(requests: dict, pool: int, holder: int) -> int:
-        """The max-min fair share of the pool: small requests are met in full, others share the rest."""
+        """Returns the holder's max-min fair share of the pool: small requests are met in full, others share
+        the rest.
+        """
         for n, (wanted, _, member) in enumerate(
             sorted((*entry, member) for member, entry in requests.items())
         ):
@@ -149,7 +153,7 @@
 
     @staticmethod
     def usable_amount(leases: list) -> int:
-        """The most that one holder can use of its leases.
+        """Returns the most that one holder can use of its leases.
 
         It uses one of them, perhaps an older one, since it may not have received the last.
         """
@@ -175,11 +179,11 @@
     leases: dict = field(default_factory=dict)  # key -> Lease
 
     def accept_lease(self, now: int, lease: Lease, living, asked_at: int) -> bool:
-        """Stores a lease that answers a request of time `asked_at`; False if it is refused.
+        """Stores a lease that answers a request of time `asked_at`; returns False if it is refused.
 
         The lease time counts from the request, so that a delayed answer gives a shorter lease. A lease is
-        refused if its sender is not the owner in the present view, if another owner's lease is still valid,
-        or if its fencing token is not newer than that of the valid lease.
+        refused if its sender is not the owner in the present view, if it has expired already, if another
+        owner's lease is still valid, or if its fencing token is not newer than that of the valid lease.
         """
         if owner_of(lease.key, living) != lease.owner:
             return False
@@ -197,7 +201,7 @@
         return True
 
     def amount(self, now: int, key: str) -> int:
-        """The units a period that the key's lease gives now; 0 without a valid one."""
+        """Returns the units a period that the key's lease gives now; 0 without a valid one."""
         lease = self.leases.get(key)
         return lease.amount if lease is not None and lease.until > now else 0
 
--- a/cobaltpond/leases/service.py
+++ b/cobaltpond/leases/service.py
@@ -8,14 +8,15 @@
 
 ROUNDS_PER_LEASE = 4  # rounds of requests in a lease time
 MAX_REQUESTS_PER_ROUND = 64  # values requested in a round: those with the highest demand
-# The weight of the latest demand in the smoothed one; the factor between the demand and the request.
+# `SMOOTHING`: weight of the latest demand in the smoothed one. `HEADROOM`: factor between the smoothed demand
+# and the rate that is requested.
 SMOOTHING, HEADROOM = 0.5, 1.25
 
 
 class Leases:
     """The lease service of one gateway.
 
-    `limits` is a `limits.compiled.CompiledLimits`, `names` are the limits of the whole fleet in the order of
+    `limits` is a `limits.compiled.CompiledLimits`, `names` are the fleet-wide limits in the order of
     the settings, which is the same at all gateways, and `pools` maps each to the part that is lent, in
     thousandths a second. `members` is a `members.service.Members`, `lease_time` is in microseconds.
     """
@@ -31,19 +32,21 @@
         members.view.on_lease_message = self.handle_message
 
     def key(self, name: str, value) -> tuple[int, int]:
-        """(index of the limit, digest of the value): short enough for a datagram and the same at all
+        """Returns (index of the limit, digest of the value), which fits a datagram and is the same at all
         gateways.
+
+        It remembers the value of the digest.
         """
         digest = int.from_bytes(blake2b(repr(value).encode(), digest_size=8).digest(), "big")
         self.values[self.names.index(name), digest] = value
         return self.names.index(name), digest
 
     def living(self) -> list[int]:
-        """The numbers of the present members, sorted."""
+        """Returns the numbers of the present members, sorted."""
         return sorted(self.members.view.living())
 
     def run(self):
-        """Requests and expires leases for ever, `ROUNDS_PER_LEASE` times in a lease time."""
+        """Requests and expires leases, `ROUNDS_PER_LEASE` times in a lease time. Runs until cancelled."""
         while True:
             yield Sleep(self.lease_time // ROUNDS_PER_LEASE)
             now = self.loop.now()
@@ -91,7 +94,10 @@
         self.members.flush()
 
     def apply_lease(self, now: int, lease: Lease) -> None:
-        """Adds the amount of an accepted lease to the limit's own rate."""
+        """Adds the amount of an accepted lease to this gateway's own rate of the limit.
+
+        It replaces the amount of an earlier lease.
+        """
         limit_index, _, digest = lease.key.partition("/")
         value = self.values.get((int(limit_index), int(digest)))
         self.counts["taken"] += 1
@@ -140,7 +146,7 @@
         self.holder.drop_expired(now)
 
     def status(self) -> dict:
-        """The fields of the status page; `lent` in thousandths a second."""
+        """Returns the fields of the status page; `lent` in thousandths a second."""
         now = self.loop.now()
         return {
             **self.counts,
--- a/cobaltpond/limits/compiled.py
+++ b/cobaltpond/limits/compiled.py
@@ -1,9 +1,8 @@
-"""Rate limits on the hit path: token buckets, with the limits that apply to a hit cached. Free of I/O.
+"""Rate limits on the hit path: token buckets, with the limits that apply to a hit cached. Does no I/O.
 
 `reference.py` is the definition; `tests/test_limits.py` compares the two on generated limits and hits. Memory
 is bounded: a limit has buckets for at most `keys` values. Beyond them, values with a full bucket are dropped
-first, which changes nothing; if there is none, unknown values share one bucket, which errs on the strict
-side.
+first, which changes nothing; if there is none, new values share one bucket, which errs on the strict side.
 """
 
 from cobaltpond.limits.rules import MAX_ADVICE_US, UNIT, HitAttributes, Limit, LimitVerdict, wait_for_token
@@ -24,7 +23,9 @@
         self.lent_rates, self.misses = {}, keys  # lent_rates: value -> (rate, capacity)
 
     def bucket(self, now: int, value) -> list:
-        """The value's bucket, refilled up to now; the shared one if there is no room for a new value."""
+        """Returns the value's bucket, refilled up to now; the shared one if there is no room for a
+        new value.
+        """
         bucket = self.buckets.get(value)
         if bucket is None:
             if len(self.buckets) >= self.keys and value != OVERFLOW_VALUE:
@@ -44,7 +45,7 @@
         return bucket
 
     def current_rate(self, value) -> int:
-        """The value's rate in thousandths a second, with what it was lent."""
+        """Returns the value's rate in thousandths a second, including what it was lent."""
         return self.lent_rates[value][0] if value in self.lent_rates else self.rate
 
     def drop_full(self, now: int) -> None:
@@ -77,7 +78,7 @@
         self.demand = {}  # (limit's name, value) -> hits, for limits of the fleet
 
     def matching_limits(self, hit: HitAttributes) -> tuple:
-        """(limits that the hit refills, limits that it consumes), cached for all hits with the same
+        """Returns (limits that the hit refills, limits that it consumes), cached for all hits with the same
         attributes.
         """
         hit_shape = hit.group, hit.kind, hit.customer, hit.is_retry, hit.key is None
@@ -93,7 +94,7 @@
     def check(self, now: int, hit: HitAttributes) -> LimitVerdict:
         """Counts a hit and returns the verdict; `now` is in microseconds and must not decrease.
 
-        A rejected hit consumes nothing.
+        A rejected hit consumes nothing, but may refill limits that are a share of its kind.
         """
         refilling, consuming = self.matching_limits(hit)
         if not refilling and not consuming:
@@ -133,7 +134,7 @@
         return LimitVerdict(tuple(limit.name for limit in over)) if over else NO_LIMIT_APPLIES
 
     def guaranteed(self, now: int, hit: HitAttributes, consuming, over) -> dict:
-        """Parent's name -> the limit whose guarantee lets this hit through."""
+        """Returns parent's name -> the limit whose guarantee lets this hit through."""
         return {
             limit.within: limit
             for limit in consuming
@@ -159,7 +160,9 @@
 
     @staticmethod
     def burst(limit: Limit, rate: int) -> int:
-        """The bucket capacity for this part of the rate, in units of `UNIT`; at least one hit."""
+        """Returns the bucket capacity for this part of the rate, in units of `UNIT`; at least one hit for a
+        limit of the fleet.
+        """
         return max(UNIT, limit.burst * UNIT * rate // limit.rate) if limit.fleet else limit.burst * UNIT
 
     def take_demand(self) -> dict:
--- a/cobaltpond/limits/reference.py
+++ b/cobaltpond/limits/reference.py
@@ -16,10 +16,10 @@
         self.events = {}  # (limit's name, "level" or "least", value) -> [(when, units)]
 
     def level(self, now: int, limit: Limit, kind: str, value) -> int:
-        """The level now, in units of `UNIT`.
+        """Returns the level now, in units of `UNIT`.
 
-        It is full at first, grows with time up to the burst, and is changed by each event. `kind` is "level",
-        or "least" for the level of the guarantee.
+        The level is full at first, grows with time up to the burst, and is changed by each event. `kind` is
+        "level", or "least" for the level of the guarantee.
         """
         rate = limit.rate if kind == "level" else limit.least
         capacity = limit.burst * UNIT if kind == "level" else UNIT
--- a/cobaltpond/limits/rules.py
+++ b/cobaltpond/limits/rules.py
@@ -1,12 +1,13 @@
-"""What a rate limit means, as plain numbers; shared by both implementations. Free of I/O.
+"""What a rate limit means, as plain numbers; shared by both implementations. Does no I/O.
 
 A limit counts hits (`hits`: all; `tries`: first ones; `repeats`: those that a client marks as retries) where
-it applies, separately for each value of what it counts `by`. It is a token bucket that holds at most `burst`
-units, at first and after a rest. The bucket grows by `rate` a second, or, with `share_of`, by `share` for
-each hit of the other kind. Each counted hit consumes a unit. With no unit left the limit is over: the hit is
-rejected, or only counted if the limit is on trial or counts only. A limit `within` another one (its parent)
-is checked beside it; what the limit has as `least` of the parent's rate is a guarantee and passes even if the
-parent is over. A rejected hit is told the longest wait of all limits that reject it.
+it applies, separately for each value of what it counts `by`. It is a token bucket that holds at most
+`burst` units, at first and after a rest. The bucket grows by `rate` a second, or, with `share_of`, by `share`
+for each hit of the other kind. Each counted hit consumes a unit. With no unit left the limit is over: the hit
+is rejected, or only counted if the limit is a dry run (setting `trial`) or counts only. A limit `within`
+another one (its parent) is checked beside it; what the limit has as `least` of the parent's rate is a
+guarantee and passes even if the parent is over. A rejected hit is told the longest wait of all limits that
+reject it.
 
 All numbers are integers: rates in thousandths a second, levels in units of `UNIT`, so that both
 implementations agree exactly.
@@ -52,7 +53,7 @@
         return self.over == "bounce" and not self.trial
 
     def applies_to(self, hit: "HitAttributes") -> bool:
-        """Whether the hit is in the limit's scope and has the value that the limit counts by."""
+        """Returns whether the hit is in the limit's scope and has the value that the limit counts by."""
         return (
             self.group in (None, hit.group)
             and self.kind in (None, hit.kind)
@@ -61,15 +62,15 @@
         )
 
     def consumes(self, hit: "HitAttributes") -> bool:
-        """Whether the hit, which the limit applies to, takes a unit from the bucket."""
+        """Returns whether the hit, which the limit applies to, takes a unit from the bucket."""
         return self.counts == "hits" or self.counts == ("repeats" if hit.is_retry else "tries")
 
     def refills(self, hit: "HitAttributes") -> bool:
-        """Whether the hit adds to the bucket of a limit that is a share of another kind."""
+        """Returns whether the hit adds to the bucket of a limit that is a share of another kind."""
         return self.share_of in ("hits", "repeats" if hit.is_retry else "tries")
 
     def value(self, hit: "HitAttributes"):
-        """The value of the hit that selects the bucket; None if all hits share one."""
+        """Returns the value of the hit that selects the bucket; None if all hits share one."""
         return None if self.by == "nothing" else getattr(hit, self.by)
 
 
@@ -98,5 +99,5 @@
 
 
 def wait_for_token(level: int, rate: int) -> int:
-    """Microseconds until a whole unit is available; 0 if time adds none."""
+    """Returns the microseconds until a whole unit is available; 0 if time adds none."""
     return -(-(UNIT - level) // rate) if rate else 0
--- a/cobaltpond/recovery/desk_state.py
+++ b/cobaltpond/recovery/desk_state.py
@@ -1,14 +1,15 @@
-"""Detects state loss of a restarted release desk and chooses the state to resume from. Free of I/O.
+"""Detects state loss of a restarted release desk and chooses the state to resume from. Does no I/O.
 
 Each gateway and agent keeps the newest mark (epoch, turn) of the desk state that it acted on, and reports it
-when it reaches the desk again. The desk's journal holds the mark that the desk published last. A reported
-mark that is later than the journal's, or that belongs to an epoch the journal does not know, shows that the
-journal was lost, truncated or restored from a copy.
-
-Until enough members have reported, the desk publishes no news, accepts no vote and gives no order. Then it
-does one of three things: it carries on from the journal; or, where the journal is older, it resumes from the
-safest state that is consistent with all reports; or, where reports contradict each other, it waits for the
-operator.
+when it reaches the desk again. A mark is the position of a state in the desk's history: it rises with each
+published state. The desk's journal holds the mark that the desk published last. A reported mark that is later
+than the journal's, or that belongs to an epoch the journal does not know, shows that the journal was lost,
+truncated or restored from a copy.
+
+Until enough members have reported, the desk publishes no release state, accepts no vote and gives no order.
+Then it does one of three things: it carries on from the journal; or, where the journal is older, it resumes
+from the safest state that is consistent with all reports; or, where reports contradict each other, it waits
+for the operator.
 """
 
 from dataclasses import dataclass, field
@@ -120,15 +121,15 @@
             self.states[reporter] = seen
 
     def missing(self) -> list:
-        """The expected members that have not reported yet."""
+        """Returns the expected members that have not reported yet."""
         return [reporter for reporter in self.expected if reporter not in self.states]
 
     def is_due(self, now: int) -> bool:
-        """Whether collecting can end: all members have reported, or the deadline has passed."""
+        """Returns whether collecting can end: all members have reported, or the deadline has passed."""
         return self.state == COLLECTING and (now >= self.collect_deadline or not self.missing())
 
     def newer_states(self) -> dict:
-        """The reports, by member, with a later mark than the journal published last."""
+        """Returns the reports, by member, with a later mark than the journal published last."""
         journal_last = self.journal_mark or NO_MARK
         return {
             reporter: seen
@@ -137,7 +138,9 @@
         }
 
     def highest_epoch(self) -> int:
-        """The highest epoch in any report, 0 without one. It and all lower epochs must never be reused."""
+        """Returns the highest epoch in any report, 0 without one. It and all lower epochs must never be
+        reused.
+        """
         return max([seen.mark[0] for seen in self.states.values() if seen is not None], default=0)
 
     # --- concluding -----------------------------------------------------------------------------------------
@@ -220,7 +223,7 @@
     def safest_plan(
         self, newest_state: SeenState, stable: int | None, rolled_back_builds: list, newer_reports: dict
     ) -> ResumePlan:
-        """The plan with no cap above the lowest reported one for that build.
+        """Returns the plan with no cap above the lowest reported one for that build.
 
         Its stage is not above what this cap allows. A build that any member saw being rolled back is rolled
         back.
@@ -246,7 +249,7 @@
         )
 
     def contested_plan(self, newer_reports: dict) -> ResumePlan:
-        """What is published while the desk waits for the operator: the newest build on trial.
+        """Returns what is published while the desk waits for the operator: the newest build on trial.
 
         Its cap is the lowest that was reported for any build, or 0 if a report is of a rollback or saw this
         build being rolled back.
@@ -274,7 +277,7 @@
         return state
 
     def describe(self, reports: dict) -> str:
-        """At most eight reports as one line of text for the operator."""
+        """Formats at most eight reports as one line of text for the operator."""
         rows = [
             f"{reporter}: build {w.build} stage {w.stage} {w.phase}"
             for reporter, w in sorted(reports.items(), key=str)
--- a/cobaltpond/recovery/list_reconciliation.py
+++ b/cobaltpond/recovery/list_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciles a restarted instance list with the list that the gateway knows. Free of I/O.
+"""Reconciles a restarted instance list with the list that the gateway knows. Does no I/O.
 
 Within one epoch the list is authoritative, whatever it says. A full list of another epoch comes from a list
 service that has restarted, perhaps without state or from an old copy (a stale read). Such a list must not
@@ -7,8 +7,8 @@
 """
 
 STATES = ("up", "draining", "gone")
-MIN_MISSING_SHARE = 0.5  # of the instances known as up; a smaller loss is believed
-DOUBT_TIME_US = 30_000_000  # instances that are still missing afterwards are dropped
+MIN_MISSING_SHARE = 0.5  # of the instances known as up; the list is believed where fewer are missing
+DOUBT_TIME_US = 30_000_000  # an instance that is still missing after this time is dropped
 MAX_ENDED_STARTS = 4096  # remembered starts that were draining or gone, over all epochs
 
 
@@ -65,7 +65,9 @@
             self.missing.pop(row["id"], None)
 
     def due_rows(self, now: int) -> list[dict]:
-        """Rows that mark missing instances as gone whose time has run out or that have stopped answering."""
+        """Returns rows that mark as gone the missing instances whose time has run out or that stopped
+        answering.
+        """
         if self.doubt_deadline is None:
             return []
         expired = {
--- a/cobaltpond/recovery/phases.py
+++ b/cobaltpond/recovery/phases.py
@@ -1,9 +1,10 @@
-"""The phases of a starting gateway and what each one permits: one transition table, one function. Free of
+"""The phases of a starting gateway and what each one permits: one transition table, one function. Does no
 I/O.
 
-Hits are refused only in the first phase: missing knowledge never makes a gateway refuse traffic. The table
-holds back what others rely on: votes to advance a release, samples for the judges, warm-start answers for
-gateways that start later, and snapshots.
+Missing knowledge never makes a gateway refuse traffic: hits are permitted from the second phase on.
+`ADMIT_HITS` and `DIAL_INSTANCES` are shown on the status page and not enforced here. The other permissions
+are enforced, since others rely on what they cover: votes to advance a release, samples for the judges,
+warm-start answers for gateways that start later, and snapshots.
 """
 
 BLANK, HEARING, WARMING, SERVING, SETTLED = "blank", "hearing", "warming", "serving", "settled"
@@ -15,9 +16,10 @@
 TIMED_OUT = "its time is up"
 PROCESS_STALLED = "stood still"
 
-# A blank gateway knows its settings and perhaps a stored list. A hearing one has either the list or the
-# desk's news, or received neither in time. A warming one has both and asks others what they know. A serving
-# one relies on what it observes itself. A settled one has observed enough for others to rely on.
+# A blank gateway knows its settings and perhaps a stored list. A hearing (receiving) one has either the list
+# or the desk's release state, or received neither in time. A warming one has both, or did not get them in
+# time, and asks other gateways what they know. A serving one relies on what it observes itself. A settled one
+# has observed enough for others to rely on.
 TRANSITIONS = {
     BLANK: {SOURCE_KNOWN: HEARING, ALL_SOURCES_KNOWN: WARMING, TIMED_OUT: HEARING},
     HEARING: {ALL_SOURCES_KNOWN: WARMING, TIMED_OUT: WARMING},
@@ -84,11 +86,11 @@
             self.apply_cause(self.since + self.max_durations[self.phase], TIMED_OUT)
 
     def is_allowed(self, permission: str) -> bool:
-        """Whether the current phase grants this permission."""
+        """Returns whether the current phase grants this permission."""
         return permission in PERMISSIONS[self.phase]
 
     def status(self, now: int) -> dict:
-        """The fields of the status page; times in microseconds, transitions relative to the start."""
+        """Returns the fields of the status page; times in microseconds, transitions relative to the start."""
         return {
             "phase": self.phase,
             "since_us": now - self.since,
@@ -116,7 +118,9 @@
             del self.samples[0]
 
     def is_caught_up(self) -> bool:
-        """Whether the window is complete and its share of delivered hits is high enough. Needs one sample."""
+        """Returns whether the window is complete and its share of delivered hits is high enough. Needs one
+        sample.
+        """
         (first, answered, delivered), (last, all_answered, all_delivered) = self.samples[0], self.samples[-1]
         window_hits = all_answered - answered
         return last - first >= self.WINDOW_US and (
--- a/cobaltpond/recovery/rate_limiter.py
+++ b/cobaltpond/recovery/rate_limiter.py
@@ -1,8 +1,8 @@
-"""Rate limits for what all starting gateways together ask of one target. Free of I/O.
+"""Rate limits for what all starting gateways together ask of one target. Does no I/O.
 
 Both kinds prevent a thundering herd. A call that each gateway makes once, at its start, waits for a random
 delay (`StartJitter`). Repeated calls use turns (`DialRateLimiter`): each gateway has one turn in a period, at
-a random offset, and a turn that is not used at once is lost. Saved turns would be spent by hundreds of
+a random offset, and a turn that is not used while it lasts is lost. Saved turns would be spent by hundreds of
 gateways together, in the moment in which a zone returns.
 """
 
@@ -26,7 +26,7 @@
         self.starts = starts
 
     def member_count(self) -> int:
-        """The number of gateways present, at least half of those declared.
+        """Returns the number of gateways present, at least half of those declared.
 
         With the lower bound, the sides of a split membership view do not together double what the fleet asks
         for.
@@ -34,7 +34,8 @@
         return self.declared if not self.starts else max(len(self.starts), -(-self.declared // 2))
 
     def count(self, wall_time: int) -> int:
-        """How many of the declared gateways have just started, at `wall_time` in calendar microseconds.
+        """Returns how many of the declared gateways have just started, at `wall_time` in calendar
+        microseconds.
 
         Gateways that were never heard are assumed to have the same share of recent starts as those heard,
         this one included; if none was heard, all count as recent.
@@ -54,7 +55,9 @@
         self.rate, self.random_source = rate, random_source
 
     def draw_delay(self, recent_count: int) -> int:
-        """Microseconds, drawn from the time that the target needs to serve all recently started gateways."""
+        """Returns a random delay in microseconds, within the time that the target needs to serve all recently
+        started gateways.
+        """
         return self.random_source.randbelow(max(1, int(recent_count * 1_000_000 / self.rate)))
 
 
@@ -76,20 +79,20 @@
         return max(1, int(self.members() * 1_000_000 / self.rate))
 
     def turn_start(self, name: str, now: int) -> int:
-        """When this gateway's latest turn at this target began, in microseconds."""
+        """Returns when this gateway's latest turn at this target began, in microseconds."""
         period = self.period
         if name not in self.offsets:
             self.offsets[name] = self.random_source.randbelow(1 << 30)
         return now - (now + self.offsets[name]) % period
 
     def is_due(self, name: str, now: int) -> bool:
-        """Whether a turn has just begun and is not used yet."""
+        """Returns whether a turn is in progress and not used yet."""
         turn_began, period = self.turn_start(name, now), self.period
         width = min(period, max(MIN_TURN_WIDTH_US, int(TURN_WIDTH_SHARE * period)))
         return now - turn_began < width and self.last_used.get(name, -1) < turn_began
 
     def try_acquire(self, name: str, now: int) -> bool:
-        """Uses the turn; False if there is none."""
+        """Uses the turn; returns False if there is none."""
         if not self.is_due(name, now):
             self.counts["refused"] += 1
             return False
@@ -118,7 +121,7 @@
         self.total = 0
 
     def try_acquire(self, now: int, sender: int) -> bool:
-        """Counts an answer to this sender; False if a limit of the current second is reached."""
+        """Counts an answer to this sender; returns False if a limit of the current second is reached."""
         if now // 1_000_000 != self.second:
             self.second, self.counts, self.total = now // 1_000_000, {}, 0
         if self.total >= self.max_total or self.counts.get(sender, 0) >= self.max_per_sender:
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -26,7 +26,7 @@
 from cobaltpond.recovery.rate_limiter import AnswerRateLimiter, DialRateLimiter, RecentStarts, StartJitter
 from cobaltpond.recovery.warm_start import SILENT, WarmStart, notable_rows, start_mark
 
-TICK_US, SETTLED_TICK_US = 20_000, 100_000  # the interval between checks; the one once settled
+TICK_US, SETTLED_TICK_US = 20_000, 100_000  # the interval between checks, before and after settling
 VALIDITY_COLD_TIMES = 3  # observations and snapshots older than this many cold times are useless
 LISTEN_US = 100_000  # time to hear of other members before the first calls
 
@@ -85,9 +85,10 @@
         )
 
     def is_allowed(self, action: str, verdict: str = "") -> bool:
-        """Whether the phase permits a "vote" with this verdict, or else a sample; counts what is held back.
+        """Returns whether the phase permits an action, and counts what it denies.
 
-        The decision host asks before it casts a vote or sends a sample.
+        `action` is "vote", for a vote with this `verdict`, or "tell", for a sample to other gateways. The
+        decision host asks before it sends either.
         """
         if action == "vote":
             is_held = not self.phase_machine.is_allowed(VOTE_ON if verdict in ("on", "hold") else VOTE_BACK)
@@ -100,7 +101,7 @@
     # --- start jitter ---------------------------------------------------------------------------------------
 
     def jittered(self, generator):
-        """Runs `generator`, which calls the list or the desk, after a random delay; retries have none."""
+        """Runs `generator`, which calls the list or the desk, after a random delay; its retries have none."""
         if self.start_jitter is not None:
             if self.gateway.members is not None:
                 yield Sleep(LISTEN_US)
@@ -110,7 +111,7 @@
     # --- main loop ------------------------------------------------------------------------------------------
 
     def run(self):
-        """Runs for ever; must be started before the gateway accepts connections."""
+        """Runs until cancelled; must be started before the gateway accepts connections."""
         self.read_snapshot()
         last_sampled_at = 0
         while True:
@@ -135,7 +136,9 @@
             yield from self.write_snapshot(now)
 
     def observe(self, now: int) -> None:
-        """Updates the phase by what has been heard, and detects a process that was paused meanwhile."""
+        """Updates the phase by which sources have answered, and detects a process that was paused
+        meanwhile.
+        """
         gateway = self.gateway
         if gateway.members is not None:
             self.recent_starts.update(
@@ -156,7 +159,7 @@
     # --- warm start -----------------------------------------------------------------------------------------
 
     def donors(self) -> list[int]:
-        """The numbers of the present members that report themselves as settled."""
+        """Returns the numbers of the present members that report themselves as settled."""
         view = self.gateway.members.view
         return [
             n
@@ -211,9 +214,9 @@
             self.restore(self.warm_start.accepted_rows(marks), [])
 
     def instance_rows(self, now: int) -> list[tuple]:
-        """What this gateway itself has observed of each instance.
+        """Returns what this gateway itself has observed of each instance.
 
-        Each row is (id, build, the list's mark of its start, latency ratio, load, faults, flags, age in
+        Each row is (id, build, the list's value of its start, latency ratio, load, faults, flags, age in
         microseconds).
         """
         fleet, listed_rows = self.gateway.host.decisions.fleet, self.gateway.list_follower.instance_list.rows
@@ -274,7 +277,7 @@
         self.log.info("snapshot refused", why=str(why))
 
     def apply_snapshot(self) -> None:
-        """Applies the loaded snapshot; only once the list is known, since its epoch must match."""
+        """Applies the loaded snapshot. The list must be known by then, since its epoch must match."""
         content, instance_list = self.loaded_snapshot, self.gateway.list_follower.instance_list
         if content is None:
             return
@@ -294,7 +297,7 @@
     def write_snapshot(self, now: int):
         """Writes the snapshot when it is due, line by line with a turn of the event loop after each.
 
-        It does not sync: a reader finds out by the last line whether the file is complete. A full or failing
+        The file is not synced: a reader finds out by the last line whether it is complete. A full or failing
         disk costs the snapshot, nothing else.
         """
         path, kernel = self.gateway.gateway_settings.snapshot, self.loop.kernel
@@ -341,7 +344,7 @@
     # --- status ---------------------------------------------------------------------------------------------
 
     def status(self) -> dict:
-        """The fields of the status page."""
+        """Returns the fields of the status page."""
         now, turns = self.loop.now(), self.gateway.endpoints.dial_limiter
         return {
             **self.phase_machine.status(now),
--- a/cobaltpond/recovery/snapshot.py
+++ b/cobaltpond/recovery/snapshot.py
@@ -1,4 +1,4 @@
-"""Format of the snapshot in which a gateway keeps what it learned across a restart. Free of I/O.
+"""Format of the snapshot in which a gateway keeps what it learned across a restart. Does no I/O.
 
 A snapshot is written in pieces and read in bounded time. Its lines have the framing of `wal/journal.py`, with
 a checksum each: a head, rows, and an end that counts the lines. A file without its end is truncated, and
@@ -88,10 +88,10 @@
 
 
 def accepted_rows(content: dict, listed: dict) -> list[tuple]:
-    """Rows (id, latency ratio, load, faults, silent) of instances that still run the same start.
+    """Returns rows (id, latency ratio, load, faults, silent) of instances that still run the same start.
 
-    As in `warm_start.WarmStart.accepted_rows`, values are weighed by age. `listed` maps an instance id to
-    (build, the list's mark of its start).
+    As in `warm_start.WarmStart.accepted_rows`, values are weighted by age. `listed` maps an instance id to
+    (build, the list's value of its start).
     """
     weight, accepted = content["weight"], []
     for id, build, start, latency_ratio, load, faults, silent, _ in content["rows"]:
--- a/cobaltpond/recovery/warm_start.py
+++ b/cobaltpond/recovery/warm_start.py
@@ -1,15 +1,16 @@
-"""Warm start: which donors a starting gateway asks about instances, and which answers it accepts. Free of
+"""Warm start: which donors a starting gateway asks about instances, and which answers it accepts. Does no
 I/O.
 
-Only evidence against an instance is requested, sent and accepted: that it is slow, full, failing or silent. A
-report that makes an instance look better than an unknown one would send the traffic of every starting gateway
-there. A row names instance, build and start by one mark, so that a report about an earlier start matches
-nothing. The weight of a row falls with its age.
+A donor is a settled gateway. Only evidence against an instance is requested, sent and accepted: that it is
+slow, failing or silent, and its load. A report that makes an instance look better than an unknown one would
+send the traffic of every starting gateway there. A row identifies instance, build and start by one digest, so
+that a report about an earlier start matches nothing. The weight of a row falls with its age.
 """
 
 from zlib import crc32
 
-# The number of donors asked; requests to each; the time between them until one answers.
+# `DONORS_ASKED`: number of donors asked. `MAX_ATTEMPTS`: requests to each. `ASK_INTERVAL_US`: time between
+# two requests to one that has not answered.
 DONORS_ASKED, MAX_ATTEMPTS, ASK_INTERVAL_US = 2, 3, 100_000
 MAX_ROWS = 48  # rows of one answer; the least notable ones are left out
 NOTABLE_LATENCY_RATIO, NOTABLE_FAULT_SHARE = 1.5, 0.2  # an instance is reported from these on
@@ -17,14 +18,16 @@
 
 
 def start_mark(id: str, build: int, start) -> int:
-    """Identifies one start of one instance, equally at all gateways; `start` is the list's own mark."""
+    """Returns a digest that identifies one start of one instance, equally at all gateways; `start` is the
+    list's own value for it.
+    """
     return crc32(f"{id} {build} {start}".encode())
 
 
 def notable_rows(rows) -> list[tuple]:
-    """The rows that are worth sending, the worst first and at most `MAX_ROWS`.
+    """Returns the rows that are worth sending, the worst first and at most `MAX_ROWS`.
 
-    Each row is (mark, latency ratio, load, faults, flags, age in microseconds).
+    Each row is (digest of the start, latency ratio, load, faults, flags, age in microseconds).
     """
     notable = [
         row
@@ -49,9 +52,9 @@
         self.counts = {"asked": 0, "answers": 0, "rows": 0, "stale": 0}
 
     def due_requests(self, now: int, donors: list[int]) -> list[int]:
-        """The donors to ask now, out of `donors`, which report themselves as settled.
+        """Returns the donors to ask now, out of `donors`, which report themselves as settled.
 
-        Empty if there is no donor: a starting gateway does not wait for one.
+        The result is empty if there is no donor: a starting gateway does not wait for one.
         """
         if now < self.next_at or self.is_over(now):
             return []
@@ -72,11 +75,12 @@
         return sum(attempts is None for attempts in self.asked.values())
 
     def is_over(self, now: int) -> bool:
-        """Whether enough donors have answered or the time has run out."""
+        """Returns whether enough donors have answered or the time has run out."""
         return self.answers >= DONORS_ASKED or now >= self.deadline
 
     def apply_response(self, sender: int, rows: list[tuple]) -> None:
-        """Adds one datagram of an answer, which may have several; `rows` as `notable_rows` returns them.
+        """Adds one datagram of an answer, which may consist of several; `rows` as `notable_rows` returns
+        them.
 
         Rows of a sender that was not asked are ignored.
         """
@@ -96,9 +100,9 @@
     def accepted_rows(self, marks: dict[int, str]) -> list[tuple]:
         """Returns rows (instance id, latency ratio, load, faults, silent) and clears them.
 
-        No value is better than that of an unknown instance. `marks` maps the mark of each listed start to its
-        instance id. Of several reports the worst value counts, but an instance is silent only if all donors
-        that report on it say so.
+        No value is better than that of an unknown instance. `marks` maps the digest of each listed start to
+        its instance id. Of several reports the worst value counts, but an instance is silent only if all
+        donors that report on it say so.
         """
         accepted = []
         for mark in sorted(self.rows):
