--- a/cobaltpond/decisions/rules.py
+++ b/cobaltpond/decisions/rules.py
@@ -61,7 +61,7 @@
         self.newest, self.stage, self.phase, self.cap, self.stage_started_at = None, 0, "released", 1.0, now
         self.last_vote = None  # the last vote as (build, stage, verdict)
         self.last_vote_at = 0  # when the last vote was sent
-        self.last_vote_answer = "ok"  # the answer to the last vote; None while outstanding
+        self.last_vote_answer = "ok"  # the answer to the last vote; None if outstanding
         self.vote_hold_time = 0  # how long this stage has been held
         self.last_assessed = now  # time of the last assessment
         self.started_at = now  # start of this process
@@ -218,7 +218,8 @@
         return waits
 
     def on_probed(self, now, id, result, duration, report):
-        """Handles the end of a probe: `report` is its load report, empty where there is none."""
+        """Handles the end of a probe after `duration`; `report`: the load report, empty where there
+        is none."""
         instance, late = self.fleet.by_id.get(id), result != "ok" or duration > 2 * self.tick
         self.unreachable_share += (late - self.unreachable_share) * 0.1
         if instance is None or result != "ok":
--- a/cobaltpond/members/service.py
+++ b/cobaltpond/members/service.py
@@ -18,13 +18,12 @@
     `zones`: the zone name of each gateway, by number.
     `peers`: a `gateway.peers.Peers`, which passes membership datagrams to `receive_datagram`.
     `post`: posts an event to the decisions.
-    `describe_self`: returns the facts that this gateway sends about itself (revision, out, admitted,
-    flags) as a map.
+    `describe_self`: returns the facts that this gateway sends about itself (revision, out, admitted, flags).
     `chance`: a `RandomSource` of the decisions.
     `digest`: the digest of the settings.
     `view`: the class of the view, which measurements replace by a baseline.
-    `trial_counts`: returns our counts of a trial as `wire.encode_trial` takes them; None: trial messages
-    are ignored.
+    `trial_counts`: returns our counts of a trial as `wire.encode_trial` takes them; None: trial messages are
+    ignored.
     `groups`: the names of the path groups, by index.
     `max_evidence_age`: the greatest age of trial evidence, in microseconds."""
 
--- a/cobaltpond/members/wire.py
+++ b/cobaltpond/members/wire.py
@@ -55,7 +55,7 @@
 ROW_SIZE = calcsize(ROW_FORMAT)
 NEWS_FORMAT = ">IBBHI"  # build, stage, phase, cap in units of 1/65535, age in milliseconds
 MAX_DRAINS = 6
-TRIAL_FORMAT, MAX_TRIAL_ROWS = ">IBIIH", 10  # build, index of the path group, hits, errored, age (10 ms)
+TRIAL_FORMAT, MAX_TRIAL_ROWS = ">IBIIH", 10  # build, index of the path group, hits, errored, age in 10 ms
 # digest of an instance's start, latency ratio in 1/20, load, faults in 1/255, flags, age in units of 100 ms
 WARM_FORMAT, MAX_WARM_ROWS, LATENCY_RATIO_UNITS = ">IBBBBB", 15, 20
 # index of the limit, digest of the value, amount, request time in ms, fencing token
