--- a/cobaltpond/desk/__init__.py
+++ b/cobaltpond/desk/__init__.py
@@ -1,1 +1,1 @@
-"""The release desk: builds, stages, votes; orders to whoever starts and stops instances."""
+"""The release desk: rolls builds out in stages by votes, and has instances started and stopped."""
--- a/cobaltpond/desk/service.py
+++ b/cobaltpond/desk/service.py
@@ -1,8 +1,8 @@
-"""The running release desk: calls from gateways and operators, the platform's instances, news to all."""
+"""The desk process: serves requests, follows instances, persists the release, sends news and orders."""
 
 import json
 
-from cobaltpond.desk.handlers import TICK, Handlers
+from cobaltpond.desk.handlers import TICK_US, Handlers
 from cobaltpond.desk.hosts import HostOrders
 from cobaltpond.desk.stages import NO_BUILD, ReleaseStages
 from cobaltpond.desk.state_recovery import StateRecovery
@@ -11,99 +11,107 @@
 from cobaltpond.settings.sections import split_address
 from cobaltpond.wal import Journal
 
-CALL_TIME = 1_000_000
+CALL_TIME = 1_000_000  # microseconds
 
 
 class Desk(Handlers):
-    def __init__(self, loop, sheet, log):
-        self.loop, self.settings, self.log = loop, sheet, log
-        self.platform = split_address(sheet.desk.platform) if sheet.desk.platform else None
-        self.hosts, self.epoch = None, self.wall()
-        self.order_streams, self.sent, self.history, self.rings = {}, {}, [], []
-        self.stages, self.streams, self.last, self.told_at = None, {}, None, 0
-        self.stop_asked, self.kept, self.journal, self.state_recovery = False, None, None, None
-        if sheet.desk.journal:
-            self.journal = Journal(loop.kernel, sheet.desk.journal)
+    """The release desk as a running service.
+
+    Where the settings name hosts, host agents start and stop instances by the desk's orders; else a platform
+    of instances is called. With a journal in the settings, the release survives a restart.
+    """
+
+    def __init__(self, loop, settings, log):
+        self.loop, self.settings, self.log = loop, settings, log
+        self.platform = split_address(settings.desk.platform) if settings.desk.platform else None
+        self.hosts, self.epoch = None, self.wall_clock_seconds()
+        self.order_streams, self.sent_orders, self.history, self.rings = {}, {}, [], []
+        self.stages, self.streams, self.last_news, self.news_sent_at = None, {}, None, 0
+        self.stop_asked, self.persisted, self.journal, self.state_recovery = False, None, None, None
+        if settings.desk.journal:
+            self.journal = Journal(loop.kernel, settings.desk.journal)
             if self.journal.truncation:
                 log.warning("journal cut", where=list(self.journal.truncation))
 
     def run(self):
+        """The main task: recovers the state, then ticks until `stop` is called."""
         listener = self.loop.kernel.listen(split_address(self.settings.desk.address))
         if self.settings.hosts:
             self.stages = ReleaseStages(
                 self.settings.release, [h.place for h in self.settings.hosts], NO_BUILD, self.loop.now()
             )
-            self.carry_on()
+            self.restore_from_journal()
             self.hosts = HostOrders(
                 [h.place for h in self.settings.hosts], self.settings.builds.changes, self.epoch
             )
-            self.state_recovery = StateRecovery(self, self.recalled())
+            self.state_recovery = StateRecovery(self, self.last_record())
             self.loop.spawn(serve_rpc(self.loop, listener, self.handle, "desk", log=self.log), "desk")
-            yield from self.state_recovery.collect(self.running)
+            yield from self.state_recovery.collect(self.running_builds)
             self.hosts.start_epoch(self.epoch)
             for place in self.hosts.hosts:
                 self.hosts.adopt_running(place)
         else:
-            yield from self.first_look()
-            self.state_recovery = StateRecovery(self, self.recalled())
+            yield from self.wait_for_platform()
+            self.state_recovery = StateRecovery(self, self.last_record())
             self.loop.spawn(serve_rpc(self.loop, listener, self.handle, "desk", log=self.log), "desk")
             yield from self.state_recovery.collect(lambda: ())
-            self.loop.spawn(self.watch_platform(), "platform")
+            self.loop.spawn(self.poll_platform(), "platform")
         self.persist()
         self.log.info("desk open", build=self.stages.build, places=len(self.stages.places))
         while not self.stop_asked:
-            yield Sleep(TICK)
+            yield Sleep(TICK_US)
             self.tick()
 
     def stop(self, name=""):
+        """Asks `run` to return. `name`: the signal received."""
         self.stop_asked = True
 
-    def running(self) -> list:
-        """Builds that the hosts say they run."""
+    def running_builds(self) -> list:
+        """Builds that the hosts report as running, one entry for each instance."""
         return [m.build for m in self.stages.instances.values()]
 
-    def send_orders(self, again=False):
-        """To each host its present wishes, when they have changed and when it has come back."""
+    def send_orders(self, resend=False):
+        """Sends each host its order where it has changed, the host has reconnected, or `resend` is set."""
         stages = self.stages
-        keep = {b for b in (stages.stable, stages.build, *stages.offered) if b}
+        keep_builds = {b for b in (stages.stable, stages.build, *stages.offered) if b}
         seen = self.current_state()
         for place, streams in self.order_streams.items():
-            order = self.hosts.order_for(place, keep)
-            if order["wishes"] != self.sent.get(place, {}).get("wishes") and place in self.sent:
+            order = self.hosts.order_for(place, keep_builds)
+            if order["wishes"] != self.sent_orders.get(place, {}).get("wishes") and place in self.sent_orders:
                 self.hosts.hosts[place].generation = max(
-                    order["generation"], self.sent[place]["generation"] + 1
+                    order["generation"], self.sent_orders[place]["generation"] + 1
                 )
-                order = self.hosts.order_for(place, keep)
+                order = self.hosts.order_for(place, keep_builds)
             order["seen"] = seen
-            if again or self.sent.get(place) != order:
-                self.sent[place] = order
+            if resend or self.sent_orders.get(place) != order:
+                self.sent_orders[place] = order
                 for stream in [s for s in streams if not s.ended]:
                     stream.send_object({"order": order})
                 self.order_streams[place] = [s for s in streams if not s.ended]
 
-    def first_look(self):
-        """The platform's instances at the start: their build is the released one."""
+    def wait_for_platform(self):
+        """Waits until the platform lists instances; their newest build counts as the released one."""
         while self.stages is None:
             try:
-                machines = yield from self.call_platform("GET", "/v1/machines")
-                up = [m for m in machines["machines"] if m["state"] in ("up", "starting")]
-                if up:
-                    places = sorted({m["place"] for m in machines["machines"]})
+                reply = yield from self.call_platform("GET", "/v1/machines")
+                active = [m for m in reply["machines"] if m["state"] in ("up", "starting")]
+                if active:
+                    places = sorted({m["place"] for m in reply["machines"]})
                     self.stages = ReleaseStages(
-                        self.settings.release, places, max(m["build"] for m in up), self.loop.now()
+                        self.settings.release, places, max(m["build"] for m in active), self.loop.now()
                     )
-                    self.update(machines)
-                    self.carry_on()
+                    self.apply_instance_list(reply)
+                    self.restore_from_journal()
                     return
-            except (*CALL_ERRORS, DeadlineExceededError, KeyError, ValueError) as trouble:
-                self.log.warning("platform silent", why=f"{type(trouble).__name__}: {trouble}")
+            except (*CALL_ERRORS, DeadlineExceededError, KeyError, ValueError) as error:
+                self.log.warning("platform silent", why=f"{type(error).__name__}: {error}")
             yield Sleep(100_000)
 
-    def carry_on(self):
-        """The release goes on where the journal left it; without one, what runs counts as released."""
+    def restore_from_journal(self):
+        """Restores the release from the journal; without a record, the running build counts as released."""
         if self.journal is None:
             return
-        kept = self.recalled()
+        kept = self.last_record()
         if kept is not None:
             self.stages.load(kept, self.loop.now())
             self.epoch = max(self.epoch, kept.get("epoch", 0) + 1)
@@ -113,14 +121,17 @@
                 "carried on", build=self.stages.build, stage=self.stages.stage, phase=self.stages.phase
             )
 
-    def recalled(self) -> dict | None:
-        """The journal's last record."""
+    def last_record(self) -> dict | None:
+        """The last state in the journal; None where there is no journal or it is empty."""
         if self.journal is None:
             return None
         return self.journal.records[-1] if self.journal.records else self.journal.snapshot_state
 
     def current_state(self) -> dict:
-        """The state that others may act by, with its mark: what they say they have seen."""
+        """The release state that gateways and hosts act on and report back, identified by its `mark`.
+
+        The mark is [epoch, number of the state change], and increases.
+        """
         news = self.state_recovery.limit_news(self.stages.news(self.loop.now()))
         return {
             "mark": [self.epoch, self.stages.turns],
@@ -133,15 +144,22 @@
         }
 
     def current_news(self) -> dict:
-        word = self.current_state()
+        """The current state with its age, as gateways receive it."""
+        seen_state = self.current_state()
         return {
-            **{name: word[name] for name in ("build", "stage", "phase", "cap", "mark", "stable", "gone")},
+            **{
+                name: seen_state[name]
+                for name in ("build", "stage", "phase", "cap", "mark", "stable", "gone")
+            },
             "age_us": self.stages.news(self.loop.now())["age_us"],
         }
 
     def persist(self):
-        """What has changed is on disk before anybody is told of it, or ordered by it. A journal that fails
-        ends the desk: guards against telling what a restart would forget."""
+        """Writes the state to the journal where it has changed; call it before the state is sent or acted on.
+
+        A failed write ends the desk, so that nothing is published that a restart would forget. Raises
+        JournalError.
+        """
         if self.journal is None or self.state_recovery is None or self.state_recovery.is_collecting:
             return
         state = {
@@ -150,18 +168,22 @@
             "history": self.history,
             "rings": self.rings,
             "told": [self.epoch, self.stages.turns],
-            "known": self.state_recovery.known,
+            "known": self.state_recovery.known_gateways,
         }
-        mark = {name: value for name, value in state.items() if name not in ("at", "held")}
-        if mark != self.kept:
+        comparable = {name: value for name, value in state.items() if name not in ("at", "held")}
+        if comparable != self.persisted:
             if self.journal.needs_snapshot:
                 self.journal.snapshot(state)
             else:
                 self.journal.append(state)
                 self.journal.sync()
-            self.kept = mark
+            self.persisted = comparable
 
     def call_platform(self, method, target, body=None):
+        """Calls the platform; gives the decoded JSON response. `body`: a JSON value, or None.
+
+        Raises ValueError on an error status, what CALL_ERRORS names, or DeadlineExceededError.
+        """
         with Deadline(self.loop, CALL_TIME):
             status, text = yield from call(
                 self.loop,
@@ -175,24 +197,27 @@
             raise ValueError(f"{method} {target}: status {status}")
         return json.loads(text)
 
-    def update(self, machines):
-        now, listed = self.loop.now(), {m["id"] for m in machines["machines"]}
+    def apply_instance_list(self, reply):
+        """Applies the platform's list of instances, and passes its response tallies on to the gateways."""
+        now, listed = self.loop.now(), {m["id"] for m in reply["machines"]}
         for id in [id for id in self.stages.instances if id not in listed]:
             self.stages.update_instance(now, id, "", 0, "gone")
-        for m in machines["machines"]:
+        for m in reply["machines"]:
             self.stages.update_instance(now, m["id"], m["place"], m["build"], m["state"])
-        for tally in machines.get("tallies", []):
+        for tally in reply.get("tallies", []):
             self.send_to_all({"tally": tally})
 
-    def watch_platform(self):
+    def poll_platform(self):
+        """A task: polls the platform's list of instances for ever."""
         while True:
             try:
-                self.update((yield from self.call_platform("GET", "/v1/machines")))
-            except (*CALL_ERRORS, DeadlineExceededError, KeyError, ValueError) as trouble:
-                self.log.warning("platform silent", why=f"{type(trouble).__name__}: {trouble}")
+                self.apply_instance_list((yield from self.call_platform("GET", "/v1/machines")))
+            except (*CALL_ERRORS, DeadlineExceededError, KeyError, ValueError) as error:
+                self.log.warning("platform silent", why=f"{type(error).__name__}: {error}")
             yield Sleep(100_000)
 
     def tick(self):
+        """Advances the release; then persists it, gives orders and sends news, in this order."""
         now, stages = self.loop.now(), self.stages
         if not self.state_recovery.is_blocked:
             stages.tick(now)
@@ -219,34 +244,41 @@
                 },
             ]
         state = self.current_news()
-        mark = {k: v for k, v in state.items() if k != "age_us"}
-        due = now - self.told_at >= self.settings.release.news_period
-        if mark != self.last or due:
-            self.last, self.told_at = mark, now
+        comparable = {k: v for k, v in state.items() if k != "age_us"}
+        is_due = now - self.news_sent_at >= self.settings.release.news_period
+        if comparable != self.last_news or is_due:
+            self.last_news, self.news_sent_at = comparable, now
             self.send_to_all({"news": state})
-            if due and self.hosts and not self.state_recovery.is_blocked:
-                self.send_orders(again=True)
+            if is_due and self.hosts and not self.state_recovery.is_blocked:
+                self.send_orders(resend=True)
 
     def execute_order(self, order):
-        what, *rest = order
+        """Has the platform carry out an order. A failure is logged; the order is given again later."""
+        action, *arguments = order
         try:
-            if what == "start":
-                yield from self.call_platform("POST", "/v1/machines", {"place": rest[0], "build": rest[1]})
+            if action == "start":
+                yield from self.call_platform(
+                    "POST", "/v1/machines", {"place": arguments[0], "build": arguments[1]}
+                )
             else:
-                yield from self.call_platform("POST", f"/v1/machines/{rest[0]}/{what}", {})
-        except (*CALL_ERRORS, DeadlineExceededError, ValueError) as trouble:
-            self.log.warning("order not carried out", order=list(order), why=str(trouble))
+                yield from self.call_platform("POST", f"/v1/machines/{arguments[0]}/{action}", {})
+        except (*CALL_ERRORS, DeadlineExceededError, ValueError) as error:
+            self.log.warning(
+                "platform did not carry out an order; retrying later", order=list(order), why=str(error)
+            )
 
-    def send_to_all(self, one):
+    def send_to_all(self, message):
+        """Sends a JSON object to all connected gateways."""
         for number in list(self.streams):
-            self.send_to_gateway(number, one)
+            self.send_to_gateway(number, message)
 
-    def send_to_gateway(self, number, one):
+    def send_to_gateway(self, number, message):
+        """Sends a JSON object on all streams of a gateway and drops the streams that have ended."""
         for stream in list(self.streams.get(number, [])):
-            if stream.ended or not stream.send_object(one):
+            if stream.ended or not stream.send_object(message):
                 self.streams[number].remove(stream)
 
 
-def run_desk(kernel, sheet, log) -> None:
-    """Until a signal to stop."""
-    run_component(kernel, lambda loop: Desk(loop, sheet, log), log, "desk")
+def run_desk(kernel, settings, log) -> None:
+    """Runs the desk until a signal to stop arrives."""
+    run_component(kernel, lambda loop: Desk(loop, settings, log), log, "desk")
--- a/cobaltpond/desk/stages.py
+++ b/cobaltpond/desk/stages.py
@@ -1,40 +1,43 @@
-"""How a build goes out and comes back: the release desk's decisions, free of I/O.
+"""State machine of a staged release: rollout, votes and rollback, free of I/O.
 
-Level-triggered: what is to run follows from the state (`wanted`), and orders are the difference to what the
-platform says is running. An order that is lost, late or carried out twice therefore puts itself right. All
-changes of phase go through `change_phase`. Times are microseconds.
+The control loop is level-triggered: the builds that should run follow from the state (`wanted`), and orders
+are the difference to the instances that the platform reports. An order that is lost, late or executed twice
+is therefore corrected by itself. All changes of phase go through `change_phase`, except `resume`. Times are
+microseconds.
 """
 
 from dataclasses import dataclass, field
 
 TRIAL, GOING_BACK, RELEASED, WITHDRAWN = "trial", "going back", "released", "withdrawn"
-NEXT = {
+ALLOWED_TRANSITIONS = {
     TRIAL: {TRIAL, GOING_BACK, RELEASED},
     GOING_BACK: {WITHDRAWN},
     RELEASED: {RELEASED, TRIAL, GOING_BACK},
     WITHDRAWN: {TRIAL},
 }
 NO_BUILD = 0  # the build of an empty fleet
-ORDER_AGAIN = 2_000_000  # an order not seen carried out is given again
+ORDER_RETRY_US = 2_000_000  # an order without a visible effect is given again after this time
 
 
 class ReleaseRefusedError(Exception):
-    """An offer that cannot be taken; the text says why."""
+    """A release request that the current state does not allow; the text says why."""
 
 
 @dataclass
 class PlatformInstance:
-    """One instance as the platform tells of it."""
+    """One instance as the platform reports it. `draining_since`: None while it is not draining."""
 
     id: str
     place: str
     build: int
     state: str  # starting, up, draining
-    drained_at: int | None = None
+    draining_since: int | None = None
 
 
 @dataclass
 class Vote:
+    """The last vote of a gateway: its verdict on a build at a stage, and the time of the vote."""
+
     build: int
     stage: int
     verdict: str
@@ -43,8 +46,11 @@
 
 @dataclass
 class ReleaseStages:
-    """`release`: the sheet's call of that name; `places`: names of the fleet's places in the order in which
-    they get a new build; `build`: what runs at the start."""
+    """The release state of a fleet.
+
+    `release`: the settings of that name; `places`: names of the fleet's places, in the order in which they
+    get a new build; `build`: the build that runs at the start.
+    """
 
     release: object
     places: list
@@ -57,31 +63,35 @@
     offered: list = field(default_factory=list)
     instances: dict = field(default_factory=dict)
     votes: dict = field(default_factory=dict)
-    ordered: dict = field(default_factory=dict)  # what was ordered -> when
+    ordered: dict = field(default_factory=dict)  # order -> time when it was last given
     launched: int = 0
-    clock: int | None = None  # when the stage's clock began
+    clock: int | None = None  # start of the stage's clock; None: not all instances are up yet
     held: int = 0
     tokens: float | None = None
     tokens_at: int = 0
     transitions: list = field(default_factory=list)
-    turns: int = 0  # grows with each change that others may act by
-    condemned: list = field(default_factory=list)  # builds that went back: none of them goes out again
+    turns: int = 0  # number of state changes; others identify a state by it
+    condemned: list = field(default_factory=list)  # builds rolled back; never released again
 
     def __post_init__(self):
+        """Starts the phase now, with a full bucket of vote tokens."""
         self.since = self.now
         self.tokens = 2.0 * self.release.vote_rate
         self.tokens_at = self.now
 
-    # --- over a restart ------------------------------------------------------------------------------------
+    # --- persistence ---------------------------------------------------------------------------------------
 
-    KEPT = ("build", "stage", "phase", "stable", "offered", "held")
-    ALSO_KEPT = ("turns", "condemned")  # since December 2026: a journal from before has none
+    STORED_FIELDS = ("build", "stage", "phase", "stable", "offered", "held")
+    ALSO_KEPT = ("turns", "condemned")  # added in December 2026: older journals lack them
 
     def dump(self) -> dict:
-        """What must outlive the desk. Moments are kept as ages; the platform's instances are asked for anew,
-        and orders follow from the difference, so that neither has to be remembered."""
+        """The state that must survive a restart, as JSON.
+
+        `at` is the time of the dump, from which `load` corrects the other times. Instances and orders are not
+        stored: the platform reports its instances again, and orders follow from the difference.
+        """
         return {
-            **{name: getattr(self, name) for name in (*self.KEPT, *self.ALSO_KEPT)},
+            **{name: getattr(self, name) for name in (*self.STORED_FIELDS, *self.ALSO_KEPT)},
             "at": self.now,
             "since": self.since,
             "launched": self.launched,
@@ -90,28 +100,32 @@
             "votes": {str(n): [v.build, v.stage, v.verdict, v.at] for n, v in self.votes.items()},
         }
 
-    def load(self, kept: dict, now: int) -> None:
-        """Carries on from a dump. A clock that has begun anew since (a machine that booted) counts as no time
-        passed; otherwise votes and stages age as if the desk had been there."""
-        moved = now - kept["at"] if now < kept["at"] else 0
-        for name in self.KEPT:
-            setattr(self, name, kept[name])
-        self.turns, self.condemned = kept.get("turns", 0), list(kept.get("condemned", ()))
-        self.offered, self.places = list(kept["offered"]), list(kept["places"])
-        self.since, self.launched, self.now = kept["since"] + moved, kept["launched"] + moved, now
-        self.clock = None if kept["clock"] is None else kept["clock"] + moved
+    def load(self, record: dict, now: int) -> None:
+        """Restores a dump.
+
+        Where the monotonic clock has started again since (a reboot), no time counts as passed. Otherwise
+        votes and stages age as if the desk had been running.
+        """
+        moved = now - record["at"] if now < record["at"] else 0
+        for name in self.STORED_FIELDS:
+            setattr(self, name, record[name])
+        self.turns, self.condemned = record.get("turns", 0), list(record.get("condemned", ()))
+        self.offered, self.places = list(record["offered"]), list(record["places"])
+        self.since, self.launched, self.now = record["since"] + moved, record["launched"] + moved, now
+        self.clock = None if record["clock"] is None else record["clock"] + moved
         self.votes = {
-            int(n): Vote(b, s, verdict, at + moved) for n, (b, s, verdict, at) in kept["votes"].items()
+            int(n): Vote(b, s, verdict, at + moved) for n, (b, s, verdict, at) in record["votes"].items()
         }
 
-    # --- what is to run -------------------------------------------------------------------------------------
+    # --- desired builds and orders --------------------------------------------------------------------------
 
     def trial_places(self) -> list:
+        """The places that run the new build at the current stage, at least one."""
         share = self.release.shares[self.stage]
         return self.places[: max(1, int(share * len(self.places) + 0.5))]
 
     def wanted(self) -> dict:
-        """place -> the builds that should run there."""
+        """Maps each place to the builds that should run there."""
         if self.phase == RELEASED:
             return {place: {self.build} - {NO_BUILD} for place in self.places}
         if self.phase in (GOING_BACK, WITHDRAWN):
@@ -125,56 +139,69 @@
             for place in self.places
         }
 
-    def running(self, place, build) -> bool:
+    def is_running(self, place, build) -> bool:
+        """True where an instance of the build is up at the place."""
         return any(m.place == place and m.build == build and m.state == "up" for m in self.instances.values())
 
     def orders(self, now: int) -> list:
-        """("start", place, build), ("drain", id), ("stop", id): the difference between wanted and running."""
-        due, wanted = [], self.wanted()
+        """Orders for the difference between the wanted and the reported instances.
+
+        An order is ("start", place, build), ("drain", id) or ("stop", id). One that was given less than
+        ORDER_RETRY_US ago is left out.
+        """
+        pending, wanted = [], self.wanted()
         for place in self.places:
             here = [m for m in self.instances.values() if m.place == place]
             for build in sorted(wanted[place]):
                 if not any(m.build == build and m.state != "draining" for m in here):
-                    due.append(("start", place, build))
-            replaced = all(self.running(place, build) for build in wanted[place])
-            for machine in here:
-                if machine.build in wanted[place]:
+                    pending.append(("start", place, build))
+            replaced = all(self.is_running(place, build) for build in wanted[place])
+            for instance in here:
+                if instance.build in wanted[place]:
                     continue
-                if machine.state == "draining":
-                    if now - (machine.drained_at or now) >= self.release.drain_time:
-                        due.append(("stop", machine.id))
-                elif replaced or machine.state == "starting":
-                    due.append(("drain" if machine.state == "up" else "stop", machine.id))
-        fresh = [order for order in due if now - self.ordered.get(order, -ORDER_AGAIN) >= ORDER_AGAIN]
-        self.ordered = {order: at for order, at in self.ordered.items() if order in due}
-        for order in fresh:
+                if instance.state == "draining":
+                    if now - (instance.draining_since or now) >= self.release.drain_time:
+                        pending.append(("stop", instance.id))
+                elif replaced or instance.state == "starting":
+                    pending.append(("drain" if instance.state == "up" else "stop", instance.id))
+        new_orders = [
+            order for order in pending if now - self.ordered.get(order, -ORDER_RETRY_US) >= ORDER_RETRY_US
+        ]
+        self.ordered = {order: at for order, at in self.ordered.items() if order in pending}
+        for order in new_orders:
             self.ordered[order] = now
-        return fresh
+        return new_orders
+
+    # --- events ---------------------------------------------------------------------------------------------
 
-    # --- what happens ---------------------------------------------------------------------------------------
+    def change_phase(self, now: int, phase: str, stage: int, why: str, superseded: bool = False) -> None:
+        """Changes phase and stage by the table of allowed transitions. Raises RuntimeError for any other.
 
-    def change_phase(self, now: int, phase: str, stage: int, why: str, room: bool = False) -> None:
-        """The one place where phase and stage change. `room`: it goes back for a later one, not for what it
-        did."""
-        if phase not in NEXT[self.phase]:
+        `superseded`: the build is rolled back for a later one, not for its faults, and is not condemned.
+        """
+        if phase not in ALLOWED_TRANSITIONS[self.phase]:
             raise RuntimeError(f"a release cannot go from {self.phase} to {phase}")
-        if phase == GOING_BACK and not room and self.build not in self.condemned:
+        if phase == GOING_BACK and not superseded and self.build not in self.condemned:
             self.condemned = [*self.condemned[-15:], self.build]
         self.set_phase(now, phase, stage, why)
 
     def set_phase(self, now: int, phase: str, stage: int, why: str) -> None:
+        """Sets phase and stage without a check and restarts the clock of the stage."""
         self.phase, self.stage, self.since = phase, stage, now
         self.launched, self.clock, self.held = now, None, 0
         self.turns += 1
         self.transitions.append((now, self.build, stage, phase, why))
 
     def resume(self, now: int, plan, why: str) -> None:
-        """Not by the table: what others have seen (`recovery.desk_state.ResumePlan`) takes the place of an
-        older state. Raises ReleaseRefusedError where there would be nothing to return to."""
-        mine = [
+        """Replaces an older state by the one that others have seen (`recovery.desk_state.ResumePlan`).
+
+        The table of transitions does not apply. Raises ReleaseRefusedError where no stable build would be
+        known.
+        """
+        candidates = [
             b for b in (plan.stable, self.build, self.stable) if b not in (None, NO_BUILD) and b < plan.build
         ]
-        stable = next((b for b in mine if b not in plan.condemned), None)
+        stable = next((b for b in candidates if b not in plan.condemned), None)
         if stable is None and plan.phase in (TRIAL, GOING_BACK, WITHDRAWN):
             raise ReleaseRefusedError(
                 f"of build {plan.build}, {plan.phase}, nobody knows which one to return to"
@@ -185,7 +212,10 @@
         self.set_phase(now, plan.phase, min(plan.stage, len(self.release.caps) - 1), why)
 
     def offer_build(self, now: int, build: int) -> None:
-        """Raises ReleaseRefusedError. One on trial is taken off first; the new one then follows by itself."""
+        """Queues a build for release. A build on trial is rolled back first; the new one then follows.
+
+        Raises ReleaseRefusedError where the build is not newer than all others.
+        """
         newest = max([self.build, *self.offered])
         if build <= newest:
             raise ReleaseRefusedError(f"build {build} is not later than {newest}")
@@ -194,11 +224,14 @@
             return self.change_phase(now, RELEASED, 0, "the first build")
         self.offered.append(build)
         if self.phase == TRIAL:
-            self.change_phase(now, GOING_BACK, self.stage, f"build {build} is due", room=True)
+            self.change_phase(now, GOING_BACK, self.stage, f"build {build} is due", superseded=True)
         self.tick(now)
 
     def send_back(self, now: int, why: str) -> None:
-        """An operator's word: as good as all votes there are. Raises ReleaseRefusedError."""
+        """Rolls the newest build back at once, without votes.
+
+        Raises ReleaseRefusedError where it is not out, or where there is no stable build.
+        """
         if self.phase not in (TRIAL, RELEASED):
             raise ReleaseRefusedError(f"build {self.build} is {self.phase}")
         if self.stable is None:
@@ -207,21 +240,24 @@
         self.tick(now)
 
     def update_instance(self, now: int, id: str, place: str, build: int, state: str) -> None:
-        """What the platform says of an instance; state gone takes it out."""
+        """Records the state of an instance that the platform reports; "gone" removes it."""
         if state == "gone":
             self.instances.pop(id, None)
         elif id in self.instances and self.instances[id].build == build:
-            known = self.instances[id]
-            if state == "draining" and known.state != "draining":
-                known.drained_at = now
-            known.state = state
+            instance = self.instances[id]
+            if state == "draining" and instance.state != "draining":
+                instance.draining_since = now
+            instance.state = state
         else:
             self.instances[id] = PlatformInstance(
                 id, place, build, state, now if state == "draining" else None
             )
 
     def record_vote(self, now: int, gateway: int, build: int, stage: int, verdict: str) -> str:
-        """ok, moot or full. A vote that is ok replaces the gateway's earlier one."""
+        """Records a vote; gives "ok", "moot" (not applicable now) or "full" (over the vote rate).
+
+        A vote that is ok replaces the gateway's earlier one.
+        """
         rate = self.release.vote_rate
         self.tokens = min(2 * rate, self.tokens + rate * (now - self.tokens_at) / 1e6)
         self.tokens_at = now
@@ -229,20 +265,20 @@
             return "full"
         self.tokens -= 1
         clock, here = self.release.gate == "clock", (build, stage) == (self.build, self.stage)
-        legal = {
+        allowed_verdicts = {
             "none": build == self.build,
             "back": build == self.build and self.phase in (TRIAL, RELEASED),
             "on": here and self.phase == TRIAL and not clock,
             "hold": here and self.phase == TRIAL and clock,
         }
-        if not legal.get(verdict, False) or self.stable is None and verdict == "back":
+        if not allowed_verdicts.get(verdict, False) or self.stable is None and verdict == "back":
             return "moot"
         self.votes[gateway] = Vote(build, stage, verdict, now)
         self.tick(now)
         return "ok"
 
     def count_votes(self, now: int, verdict: str) -> int:
-        """How many votes stand for this verdict on the newest build, and for on and hold on its stage."""
+        """Counts valid votes with this verdict on the newest build; "on" and "hold" only of this stage."""
         return sum(
             v.verdict == verdict
             and v.build == self.build
@@ -252,18 +288,19 @@
         )
 
     def tick(self, now: int) -> None:
-        passed, self.now = now - self.now, now
+        """Makes the transitions that are due by votes, instances and clocks."""
+        elapsed, self.now = now - self.now, now
         release = self.release
-        back = 1 if release.gate == "any" else release.back_votes
+        back_votes_needed = 1 if release.gate == "any" else release.back_votes
         if (
             self.phase in (TRIAL, RELEASED)
             and self.stable is not None
-            and self.count_votes(now, "back") >= back
+            and self.count_votes(now, "back") >= back_votes_needed
         ):
             self.change_phase(
                 now, GOING_BACK, self.stage, f"{self.count_votes(now, 'back')} votes to send it back"
             )
-        if self.phase == GOING_BACK and self.settled_back():
+        if self.phase == GOING_BACK and self.is_rollback_complete():
             self.change_phase(now, WITHDRAWN, self.stage, "the last instance is gone")
         if self.phase in (RELEASED, WITHDRAWN) and self.offered:
             if self.phase == RELEASED:
@@ -273,42 +310,48 @@
         if self.phase != TRIAL:
             return
         if self.clock is None:
-            up = all(self.running(place, self.build) for place in self.trial_places())
-            if up or now - self.launched >= release.start_within:
-                self.clock = now + (release.settle if up else 0)
+            all_up = all(self.is_running(place, self.build) for place in self.trial_places())
+            if all_up or now - self.launched >= release.start_within:
+                self.clock = now + (release.settle if all_up else 0)
         if self.clock is None or now < self.clock:
             return
         if release.gate == "clock":
             if release.hold_votes and self.count_votes(now, "hold") >= release.hold_votes:
-                self.held += passed
+                self.held += elapsed
             ready = now - self.clock - self.held >= release.step
         else:
-            need = 1 if release.gate == "any" else max(1, release.on_votes)
-            ready = now - self.clock >= release.dwell and self.count_votes(now, "on") >= need
+            on_votes_needed = 1 if release.gate == "any" else max(1, release.on_votes)
+            ready = now - self.clock >= release.dwell and self.count_votes(now, "on") >= on_votes_needed
         if ready:
-            last = self.stage == len(release.shares) - 1
+            is_last_stage = self.stage == len(release.shares) - 1
             self.change_phase(
                 now,
-                RELEASED if last else TRIAL,
-                self.stage + (not last),
-                "every stage passed" if last else "on",
+                RELEASED if is_last_stage else TRIAL,
+                self.stage + (not is_last_stage),
+                "every stage passed" if is_last_stage else "on",
             )
 
-    def settled_back(self) -> bool:
-        covered = all(self.running(place, self.stable) for place in self.places)
-        return covered and not any(m.build == self.build and m.state == "up" for m in self.instances.values())
+    def is_rollback_complete(self) -> bool:
+        """True where the stable build is up at every place and no instance of the newest build is up."""
+        all_covered = all(self.is_running(place, self.stable) for place in self.places)
+        return all_covered and not any(
+            m.build == self.build and m.state == "up" for m in self.instances.values()
+        )
 
     def cap(self) -> float:
-        """What gateways may send to the newest build. On the way back it falls with the places that have
-        nothing else running, to 0."""
+        """The maximum share of traffic that gateways may send to the newest build, 0 to 1.
+
+        During a rollback it falls to 0 as the places regain an instance of the stable build.
+        """
         if self.phase == RELEASED:
             return 1.0
         if self.phase == TRIAL:
             return self.release.caps[self.stage]
-        bare = sum(not self.running(place, self.stable) for place in self.places)
-        return self.release.caps[self.stage] * bare / len(self.places)
+        uncovered = sum(not self.is_running(place, self.stable) for place in self.places)
+        return self.release.caps[self.stage] * uncovered / len(self.places)
 
     def news(self, now: int) -> dict:
+        """The state for gateways, as JSON."""
         return {
             "build": self.build,
             "stage": self.stage,
--- a/cobaltpond/desk/state_recovery.py
+++ b/cobaltpond/desk/state_recovery.py
@@ -1,8 +1,7 @@
-"""The running desk's part of coming back: collects what gateways and hosts have seen, then lets the desk go
-on.
+"""Recovers the desk's state after a restart from the states that gateways and hosts have seen.
 
-What is decided stands in `recovery/desk_state.py`. While it collects or waits the desk takes no vote and
-gives no order.
+The decisions are in `recovery/desk_state.py`. While it collects states or waits for an operator, the desk
+accepts no vote and gives no order.
 """
 
 import json
@@ -12,137 +11,159 @@
 from cobaltpond.recovery.desk_state import COLLECTING, RESUMED, WAITING, DeskStateRecovery, parse_seen_state
 from cobaltpond.rpc import RpcError
 
-BOUND = 1_500_000  # so long gateways are waited for; their first tries come sooner
-LOOK = 20_000
-SEEN_MOST = 2048  # bytes of a gateway's word
+COLLECT_TIMEOUT_US = 1_500_000  # gateways make their first attempts to reconnect within this time
+POLL_INTERVAL_US = 20_000
+MAX_SEEN_BYTES = 2048  # size limit of the seen state that a gateway sends
 
 
 class StateRecovery:
-    """`desk`: the service. `kept`: the journal's last record, or None. Without a journal nothing is known of
-    what was told: all that can be heard is asked for."""
+    """State recovery of a running desk.
 
-    def __init__(self, desk, kept: dict | None):
+    `desk`: the service. `record`: the last record of the journal, or None. Without a journal the desk does
+    not know which states it sent, so it waits for the states of all gateways and hosts.
+    """
+
+    def __init__(self, desk, record: dict | None):
         self.desk, self.loop, self.log = desk, desk.loop, desk.log
-        told = (kept or {}).get("told")
-        self.known = list(
-            (kept or {}).get("known", ())
-        )  # gateways that this line of the journal has spoken to
-        gateways = self.known if kept is not None else range(len(desk.settings.gateways))
+        last_sent_mark = (record or {}).get("told")
+        # Gateways that have connected since the journal was created.
+        self.known_gateways = list((record or {}).get("known", ()))
+        gateways = self.known_gateways if record is not None else range(len(desk.settings.gateways))
         expected = [*(("gateway", n) for n in gateways), *(("host", h.place) for h in desk.settings.hosts)]
-        self.returning = DeskStateRecovery(
-            tuple(told) if told else None,
+        self.recovery = DeskStateRecovery(
+            tuple(last_sent_mark) if last_sent_mark else None,
             tuple(expected),
             tuple(desk.settings.release.caps),
             self.loop.now(),
-            max(BOUND, desk.settings.release.start_within if desk.hosts else 0),
+            max(COLLECT_TIMEOUT_US, desk.settings.release.start_within if desk.hosts else 0),
         )
-        self.bare = kept is None
+        self.without_journal = record is None
 
     @property
     def is_collecting(self) -> bool:
-        return self.returning.state == COLLECTING
+        """True while states of gateways and hosts are being collected."""
+        return self.recovery.state == COLLECTING
 
     @property
     def is_waiting(self) -> bool:
-        return self.returning.state == WAITING
+        """True while an operator has to decide."""
+        return self.recovery.state == WAITING
 
     @property
     def is_blocked(self) -> bool:
-        """No vote, no order."""
+        """True while the desk accepts no vote and gives no order."""
         return self.is_collecting or self.is_waiting
 
-    # --- what is heard --------------------------------------------------------------------------------------
+    # --- reported states ------------------------------------------------------------------------------------
 
     def gateway_asked(self, number: int, seen: str | None) -> None:
-        """A gateway asks for news, and says what it has seen. Raises RpcError."""
-        if seen is not None and len(seen) > SEEN_MOST:
-            raise RpcError(400, f"seen: more than {SEEN_MOST} bytes")
+        """Records the state that a gateway reports with its request for news, as JSON text; None: no state.
+
+        Raises RpcError (400) where it is too long or malformed.
+        """
+        if seen is not None and len(seen) > MAX_SEEN_BYTES:
+            raise RpcError(400, f"seen: more than {MAX_SEEN_BYTES} bytes")
         try:
-            word = parse_seen_state(json.loads(seen) if seen else None)
-        except ValueError as trouble:
-            raise RpcError(400, f"seen: {trouble}") from None
-        self.receive_seen_state(("gateway", number), word)
-        if number not in self.known and not self.is_collecting:
-            self.known.append(number)
+            seen_state = parse_seen_state(json.loads(seen) if seen else None)
+        except ValueError as error:
+            raise RpcError(400, f"seen: {error}") from None
+        self.receive_seen_state(("gateway", number), seen_state)
+        if number not in self.known_gateways and not self.is_collecting:
+            self.known_gateways.append(number)
             self.desk.persist()
 
     def host_reported(self, place: str, seen) -> None:
-        """Raises ValueError."""
+        """Records the state in a host's report. Raises ValueError where it is malformed."""
         self.receive_seen_state(("host", place), parse_seen_state(seen))
 
-    def receive_seen_state(self, who, word) -> None:
+    def receive_seen_state(self, reporter, seen_state) -> None:
+        """Adds a reported state while collecting; afterwards a late one may cause a rollback or a wait.
+
+        `reporter`: ("gateway", number) or ("host", place).
+        """
         if self.is_collecting:
-            self.returning.add_state(who, word)
+            self.recovery.add_state(reporter, seen_state)
             return
         stages = self.desk.stages
-        said = self.returning.late_state(who, word, stages.build, self.desk.epoch)
-        if said == "back" and stages.phase in ("trial", "released") and not self.is_waiting:
-            self.log.error("late word", who=list(who), why="it saw this build go back", build=stages.build)
+        verdict = self.recovery.late_state(reporter, seen_state, stages.build, self.desk.epoch)
+        if verdict == "back" and stages.phase in ("trial", "released") and not self.is_waiting:
+            self.log.error(
+                "late word", reporter=list(reporter), why="it saw this build go back", build=stages.build
+            )
             try:
-                stages.send_back(self.loop.now(), f"{who[0]} {who[1]} saw it go back")
-            except ReleaseRefusedError as no:
-                self.log.error("not sent back", why=str(no))
-        elif said == WAITING:
+                stages.send_back(self.loop.now(), f"{reporter[0]} {reporter[1]} saw it go back")
+            except ReleaseRefusedError as refusal:
+                self.log.error("not sent back", why=str(refusal))
+        elif verdict == WAITING:
             self.wait_for_operator()
 
-    # --- collecting -----------------------------------------------------------------------------------------
+    # --- collection -----------------------------------------------------------------------------------------
 
-    def collect(self, running):
-        """A task: until enough have spoken. `running()`: builds that hosts say they run."""
+    def collect(self, running_builds):
+        """Collects states until enough have arrived or the time is up, then resumes or waits for an operator.
+
+        `running_builds()` gives the builds that hosts report as running.
+        """
         hosts = self.desk.hosts
-        while not self.returning.is_due(self.loop.now()) and not self.desk.stop_asked:
+        while not self.recovery.is_due(self.loop.now()) and not self.desk.stop_asked:
             if (
                 hosts
-                and self.bare
-                and not running()
-                and self.returning.newer_states() == {}
-                and not any(who[0] == "host" for who in self.returning.missing())
+                and self.without_journal
+                and not running_builds()
+                and self.recovery.newer_states() == {}
+                and not any(reporter[0] == "host" for reporter in self.recovery.missing())
             ):
-                break  # all hosts have spoken, nothing runs: a fleet that begins
-            yield Sleep(LOOK)
-        state = self.returning.conclude(tuple(running()))
-        self.known = sorted({*self.known, *(who[1] for who in self.returning.states if who[0] == "gateway")})
-        self.desk.epoch = max(self.desk.epoch, self.returning.highest_epoch() + 1)
+                break  # all hosts have reported and nothing runs: this is the first start of the fleet
+            yield Sleep(POLL_INTERVAL_US)
+        state = self.recovery.conclude(tuple(running_builds()))
+        self.known_gateways = sorted(
+            {
+                *self.known_gateways,
+                *(reporter[1] for reporter in self.recovery.states if reporter[0] == "gateway"),
+            }
+        )
+        self.desk.epoch = max(self.desk.epoch, self.recovery.highest_epoch() + 1)
         self.log.info(
             "collected",
             state=state,
-            why=self.returning.why,
-            spoke=len(self.returning.states),
-            missing=[list(who) for who in self.returning.missing()][:20],
+            why=self.recovery.why,
+            spoke=len(self.recovery.states),
+            missing=[list(reporter) for reporter in self.recovery.missing()][:20],
         )
         if state == RESUMED:
             try:
                 self.desk.stages.resume(
-                    self.loop.now(), self.returning.plan, f"after a loss: {self.returning.why}"
+                    self.loop.now(), self.recovery.plan, f"after a loss: {self.recovery.why}"
                 )
-            except ReleaseRefusedError as no:
-                self.returning.resolve(WAITING, self.returning.plan, str(no))
+            except ReleaseRefusedError as refusal:
+                self.recovery.resolve(WAITING, self.recovery.plan, str(refusal))
         if self.is_waiting:
             self.wait_for_operator()
 
     def wait_for_operator(self) -> None:
-        """Tells what is safe, decides nothing."""
-        self.log.error("waiting for the operator", why=self.returning.why)
-        plan, stages = self.returning.plan, self.desk.stages
+        """Publishes a safe state (a trial at stage 0) and leaves the decision to an operator."""
+        self.log.error("waiting for the operator", why=self.recovery.why)
+        plan, stages = self.recovery.plan, self.desk.stages
         if plan is not None and plan.build >= stages.build:
             stages.build, stages.stage, stages.phase, stages.votes = plan.build, 0, "trial", {}
             stages.stable = plan.stable if plan.stable is not None else stages.stable
             stages.turns += 1
-        self.desk.epoch = max(self.desk.epoch, self.returning.highest_epoch() + 1)
+        self.desk.epoch = max(self.desk.epoch, self.recovery.highest_epoch() + 1)
 
     def resolve(self, why: str) -> None:
-        """The operator has spoken."""
+        """Ends the wait for an operator, who has decided. Does nothing while there is no wait."""
         if self.is_waiting:
-            self.returning.resolve(RESUMED, None, why)
+            self.recovery.resolve(RESUMED, None, why)
             self.log.info("goes on", why=why)
 
     def limit_news(self, news: dict) -> dict:
-        """News as they are told while the operator is waited for: no cap above the lowest one heard."""
+        """The news, with no cap above the lowest one reported while the desk waits for an operator."""
         if not self.is_waiting:
             return news
-        return {**news, "cap": min(news["cap"], self.returning.plan.cap if self.returning.plan else 0.0)}
+        return {**news, "cap": min(news["cap"], self.recovery.plan.cap if self.recovery.plan else 0.0)}
 
     def status(self) -> dict:
-        returning = self.returning
-        missing = [list(who) for who in returning.missing()] if self.is_collecting else []
-        return {"state": returning.state, "why": returning.why, "missing": missing}
+        """State, reason and missing reporters, as JSON for the status page."""
+        recovery = self.recovery
+        missing = [list(reporter) for reporter in recovery.missing()] if self.is_collecting else []
+        return {"state": recovery.state, "why": recovery.why, "missing": missing}
--- a/cobaltpond/rpc/__init__.py
+++ b/cobaltpond/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""Short calls and streams of JSON lines over HTTP/1.1, between the parts of the program."""
+"""Calls and streams of JSON lines over HTTP/1.1 between the components."""
 
 from cobaltpond.rpc.client import CALL_ERRORS, NOT_SENT_ERRORS, Backoff, LineStream, call, follow_stream
 from cobaltpond.rpc.server import Request, ResponseStream, RpcError, json_response, serve_rpc
--- a/cobaltpond/rpc/client.py
+++ b/cobaltpond/rpc/client.py
@@ -1,4 +1,4 @@
-"""Short calls and long streams to the list and the desk, over HTTP/1.1 with JSON lines."""
+"""Client side of calls and JSON-lines streams over HTTP/1.1."""
 
 from cobaltpond.decisions.records import RandomSource
 from cobaltpond.loop import (
@@ -14,10 +14,9 @@
 from cobaltpond.wire import http1
 from cobaltpond.wire.json_lines import JsonLineError, JsonLineParser
 
-LIMITS = http1.MessageLimits(
-    head=64 << 10, body=1 << 40
-)  # of a stream, whose lines have a bound of their own
-WHOLE = http1.MessageLimits(head=64 << 10, body=8 << 20)  # of an answer that is kept whole
+# Bytes. The lines of a stream have a limit of their own (`JsonLineParser`).
+STREAM_LIMITS = http1.MessageLimits(head=64 << 10, body=1 << 40)
+RESPONSE_LIMITS = http1.MessageLimits(head=64 << 10, body=8 << 20)  # bytes; the response is buffered whole
 CALL_ERRORS = (
     ConnectionLostError,
     RefusedError,
@@ -30,22 +29,35 @@
 
 
 class Backoff:
-    """Growing, jittered waits between tries: guards against gateways that come back all at once."""
+    """Exponential backoff with jitter, against a thundering herd of gateways that reconnect at once.
 
-    def __init__(self, first: int, most: int, seed: int):
-        self.first_delay, self.most, self.chance, self.last = first, most, RandomSource(seed), 0
+    `base_delay`, `max_delay`: microseconds.
+    """
+
+    def __init__(self, base_delay: int, max_delay: int, seed: int):
+        self.first_delay, self.max_delay, self.random_source, self.last_delay = (
+            base_delay,
+            max_delay,
+            RandomSource(seed),
+            0,
+        )
 
     def next_delay(self) -> int:
-        self.last = min(self.most, self.last * 2 or self.first_delay)
-        return self.last // 2 + self.chance.randbelow(self.last // 2 + 1)
+        """Microseconds to wait before the next attempt; at least half of the unjittered delay."""
+        self.last_delay = min(self.max_delay, self.last_delay * 2 or self.first_delay)
+        return self.last_delay // 2 + self.random_source.randbelow(self.last_delay // 2 + 1)
 
     def reset(self) -> None:
-        self.last = 0
+        """Starts again from the base delay, after a success."""
+        self.last_delay = 0
 
 
 def call(loop, address, method: str, target: str, body: bytes, dial_time: int):
-    """One request, one whole answer: (status, body). Raises what CALL_ERRORS names, or DeadlineExceededError
-    of the dial; wrap it in a Deadline for the rest."""
+    """Sends one request; gives (status, body) of the response. `dial_time`: microseconds.
+
+    Raises what CALL_ERRORS names, or DeadlineExceededError where connecting takes too long. The caller sets a
+    Deadline for the rest.
+    """
     connection = yield from dial(loop, address, dial_time)
     try:
         host = f"{address[0]}:{address[1]}".encode()
@@ -57,37 +69,44 @@
                 body,
             )
         )
-        parser, status, parts = http1.ResponseParser(WHOLE), 0, []
+        parser, status, body_parts = http1.ResponseParser(RESPONSE_LIMITS), 0, []
         while True:
             data = yield from connection.read()
             for kind, value in parser.feed(data) if data else parser.closed():
                 if kind == "head":
                     status = value.status
                 elif kind == "body":
-                    parts.append(value)
+                    body_parts.append(value)
                 else:
-                    return status, b"".join(parts)
+                    return status, b"".join(body_parts)
     finally:
         connection.close()
 
 
 class LineStream:
-    """A long answer of JSON lines. `connect` first; then `next_objects` gives lists of objects until the peer
-    ends it."""
+    """A streamed response of JSON lines.
+
+    Call `connect` first; then `next_objects` gives lists of objects until the peer ends the stream.
+    """
 
     def __init__(self, loop, address):
         self.loop, self.address, self.connection = loop, address, None
 
     def connect(self, target: str, dial_time: int):
-        """Raises what CALL_ERRORS names, DeadlineExceededError, or ConnectionLostError where the answer is no
-        200."""
+        """Connects and sends the request; the response is read by `next_objects`. `dial_time`: microseconds.
+
+        Raises what CALL_ERRORS names, or DeadlineExceededError.
+        """
         self.connection = yield from dial(self.loop, self.address, dial_time)
         host = f"{self.address[0]}:{self.address[1]}".encode()
         yield from self.connection.write(http1.request("GET", target, [(b"host", host)]))
-        self.parser, self.lines = http1.ResponseParser(LIMITS), JsonLineParser()
+        self.parser, self.lines = http1.ResponseParser(STREAM_LIMITS), JsonLineParser()
 
     def next_objects(self):
-        """Some objects; None at the end."""
+        """The next objects, at least one; None at the end of the stream.
+
+        Raises what CALL_ERRORS names; ConnectionLostError also where the status is not 200.
+        """
         objects = []
         while not objects:
             data = yield from self.connection.read()
@@ -101,29 +120,43 @@
         return objects
 
     def close(self):
+        """Closes the connection, where there is one."""
         if self.connection is not None:
             self.connection.close()
 
 
-def follow_stream(loop, address, target, take, silence: int, dial_time: int, waits: Backoff, broken, also=()):
-    """A stream of JSON lines, taken up again for ever. `target()` is asked at each try; `take(objects)` gets
-    what comes; `broken(trouble)` hears of what CALL_ERRORS names, DeadlineExceededError and `also`, which
-    `take` may raise. Silence of `silence` microseconds counts as a broken stream: guards against a peer that
-    is gone without a word."""
+def follow_stream(
+    loop,
+    address,
+    target,
+    on_objects,
+    silence_timeout: int,
+    dial_time: int,
+    backoff: Backoff,
+    on_broken,
+    extra_errors=(),
+):
+    """Follows a stream of JSON lines and reconnects for ever.
+
+    `target()` gives the request target of each attempt; `on_objects(objects)` receives each list of objects;
+    `on_broken(error)` receives what CALL_ERRORS names, DeadlineExceededError, and `extra_errors`, which
+    `on_objects` may raise. A stream without data for `silence_timeout` microseconds counts as broken, because
+    a peer may fail without closing its connection. `dial_time`: microseconds.
+    """
     while True:
         stream = LineStream(loop, address)
         try:
-            with Deadline(loop, silence):
+            with Deadline(loop, silence_timeout):
                 yield from stream.connect(target(), dial_time)
             while True:
-                with Deadline(loop, silence):
-                    told = yield from stream.next_objects()
-                if told is None:
+                with Deadline(loop, silence_timeout):
+                    objects = yield from stream.next_objects()
+                if objects is None:
                     break
-                waits.reset()
-                take(told)
-        except (*CALL_ERRORS, DeadlineExceededError, *also) as trouble:
-            broken(trouble)
+                backoff.reset()
+                on_objects(objects)
+        except (*CALL_ERRORS, DeadlineExceededError, *extra_errors) as error:
+            on_broken(error)
         finally:
             stream.close()
-        yield Sleep(waits.next_delay())
+        yield Sleep(backoff.next_delay())
--- a/cobaltpond/rpc/server.py
+++ b/cobaltpond/rpc/server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 service: one handler a request, whole bodies, JSON answers, streams of JSON lines."""
+"""Server side of calls and JSON-lines streams over HTTP/1.1; request bodies are buffered whole."""
 
 import json
 from dataclasses import dataclass
@@ -9,11 +9,11 @@
 from cobaltpond.wire import http1
 from cobaltpond.wire.json_lines import encode_line
 
-LIMITS = http1.MessageLimits(head=16 << 10, body=1 << 20)
+REQUEST_LIMITS = http1.MessageLimits(head=16 << 10, body=1 << 20)
 
 
 class RpcError(Exception):
-    """A handler's way to say no: a status and a reason."""
+    """Raised by a handler to reject a request with an HTTP status and a reason."""
 
     def __init__(self, status: int, text: str):
         super().__init__(text)
@@ -22,6 +22,8 @@
 
 @dataclass
 class Request:
+    """A received request. `query`: decoded parameters, the last value of each name."""
+
     method: str
     path: str
     query: dict
@@ -29,7 +31,7 @@
     body: bytes
 
     def json_object(self) -> dict:
-        """Raises RpcError (400) where the body is no JSON object."""
+        """The body as a JSON object. Raises RpcError (400) where it is not one."""
         try:
             value = json.loads(self.body)
         except ValueError:
@@ -40,24 +42,30 @@
 
 
 class ResponseStream:
-    """An answer without end: lines are put, a reader that falls too far behind is cut off. `closed` is set
-    when either side has ended it."""
+    """A response that streams JSON lines until it is closed.
+
+    A slow reader is disconnected once `max_pending` objects are queued. `closed` is set when either side has
+    ended the stream.
+    """
 
-    def __init__(self, most: int = 256):
-        self.queue, self.closed, self.ended = Queue(most), Event(), False
+    def __init__(self, max_pending: int = 256):
+        self.queue, self.closed, self.ended = Queue(max_pending), Event(), False
 
-    def send_object(self, one: dict) -> bool:
-        if not self.ended and not self.queue.put_now(one):
+    def send_object(self, message: dict) -> bool:
+        """Queues an object; False where the stream has ended, or ends now because the queue is full."""
+        if not self.ended and not self.queue.put_now(message):
             self.close()
         return not self.ended
 
     def close(self) -> None:
+        """Ends the stream and drops the objects that are queued."""
         self.ended = True
         self.queue.item_added.set()
         self.closed.set()
 
 
 def json_response(status: int, value) -> tuple:
+    """A JSON response as the (status, fields, body) that handlers give."""
     return (
         status,
         [(b"content-type", b"application/json")],
@@ -65,23 +73,29 @@
     )
 
 
-def serve_rpc(loop, listener, handler, name: str, most: int = 2048, idle: int = 120_000_000, log=None):
-    """A task without end. `handler(request)` is a generator-coroutine or a plain function; it gives (status,
-    fields, body) or a ResponseStream, or raises RpcError. Whatever else it raises is a 500, and is logged."""
+def serve_rpc(
+    loop, listener, handler, name: str, max_connections: int = 2048, idle_timeout: int = 120_000_000, log=None
+):
+    """A task that serves requests for ever. `idle_timeout`: microseconds without data on a connection.
+
+    `handler(request)` is a generator-based coroutine or a plain function. It gives (status, fields, body) or
+    a ResponseStream, or raises RpcError. ConnectionLostError and DeadlineExceededError become a 502; any
+    other exception is logged and becomes a 500.
+    """
 
-    def answer(connection):
-        parser, head, body = http1.RequestParser(LIMITS), None, []
+    def serve_connection(connection):
+        parser, head, body = http1.RequestParser(REQUEST_LIMITS), None, []
         while True:
             try:
-                with Deadline(loop, idle):
+                with Deadline(loop, idle_timeout):
                     data = yield from connection.read()
                 if not data:
                     return
                 events = parser.feed(data)
             except DeadlineExceededError:
                 return
-            except http1.HttpMessageError as trouble:
-                yield from connection.write(http1.response(trouble.status, [], str(trouble).encode(), False))
+            except http1.HttpMessageError as error:
+                yield from connection.write(http1.response(error.status, [], str(error).encode(), False))
                 return
             for kind, value in events:
                 if kind == "head":
@@ -89,54 +103,54 @@
                 elif kind == "body":
                     body.append(value)
                 else:
-                    keep = yield from one(connection, head, b"".join(body))
-                    if not keep:
+                    keep_alive = yield from handle_request(connection, head, b"".join(body))
+                    if not keep_alive:
                         return
 
-    def one(connection, head, body):
+    def handle_request(connection, head, body):
         url = urlsplit(head.target.decode("latin-1"))
         request = Request(head.method, url.path, dict(parse_qsl(url.query)), head, body)
         try:
-            got = handler(request)
-            if hasattr(got, "send"):
-                got = yield from got
-        except RpcError as no:
-            got = json_response(no.status, {"error": no.text})
-        except (ConnectionLostError, DeadlineExceededError) as trouble:
-            got = json_response(502, {"error": str(trouble)})
-        except Exception as trouble:
+            response = handler(request)
+            if hasattr(response, "send"):
+                response = yield from response
+        except RpcError as refusal:
+            response = json_response(refusal.status, {"error": refusal.text})
+        except (ConnectionLostError, DeadlineExceededError) as error:
+            response = json_response(502, {"error": str(error)})
+        except Exception as error:
             if log is not None:
                 log.error("handler failed", service=name, path=url.path, exc_info=True)
-            got = json_response(500, {"error": error_name(trouble)})
-        if isinstance(got, ResponseStream):
-            yield from stream(connection, got)
+            response = json_response(500, {"error": error_name(error)})
+        if isinstance(response, ResponseStream):
+            yield from send_stream(connection, response)
             return False
-        status, fields, data = got
+        status, fields, data = response
         yield from connection.write(http1.response(status, fields, data, head.keep_alive))
         return head.keep_alive
 
-    def stream(connection, lines):
-        def watch():
+    def send_stream(connection, response_stream):
+        def wait_for_close():
             try:
                 while (yield from connection.read()):
                     pass
             except ConnectionLostError:
                 pass
-            lines.close()
+            response_stream.close()
 
-        watcher = loop.spawn(watch(), f"{name}-watch")
+        watcher = loop.spawn(wait_for_close(), f"{name}-watch")
         try:
             yield from connection.write(
                 http1.response_head(200, [(b"content-type", b"application/x-ndjson")], False, True)
             )
-            while not lines.ended:
-                if not lines.queue.items:
-                    yield lines.queue.item_added
+            while not response_stream.ended:
+                if not response_stream.queue.items:
+                    yield response_stream.queue.item_added
                     continue
-                one = yield from lines.queue.get()
-                yield from connection.write(http1.encode_chunk(encode_line(one)))
+                message = yield from response_stream.queue.get()
+                yield from connection.write(http1.encode_chunk(encode_line(message)))
         finally:
-            lines.close()
+            response_stream.close()
             watcher.cancel()
 
-    yield from serve(loop, listener, answer, most, name)
+    yield from serve(loop, listener, serve_connection, max_connections, name)
--- a/cobaltpond/wal/__init__.py
+++ b/cobaltpond/wal/__init__.py
@@ -1,5 +1,4 @@
-"""What must survive a crash: an append-only journal with checksummed records, snapshots, and explicit
-syncs."""
+"""Write-ahead log: an append-only journal with checksummed records, snapshots and explicit syncs."""
 
 from cobaltpond.wal.journal import Journal, JournalError
 
--- a/cobaltpond/wal/journal.py
+++ b/cobaltpond/wal/journal.py
@@ -1,13 +1,13 @@
-"""An append-only journal in a folder of its own.
+"""Append-only journal in a folder of its own.
 
-`snap-N` is a whole state, `log-N` the records since; N grows with each snapshot. A record is one line:
-checksum (crc32c, 8 hex digits), number of the record, JSON. What is appended counts only after `sync`. A
-reader stops at the first record that is torn, out of turn or does not match its checksum, cuts it off and
-says where.
+`snap-N` is a whole state, `log-N` holds the records since then; N increases with each snapshot. A record is
+one line: checksum (crc32c, 8 hex digits), number of the record, JSON. A record is durable only after `sync`.
+Recovery stops at the first record that is torn, out of sequence or does not match its checksum, truncates the
+log there and reports the position.
 
-After a failed write or sync nothing is known of what reached the disk: the journal is broken and takes no
-more, and what was not yet synced must be taken as lost (fsync errors are reported once, and the pages are
-then clean).
+After a failed write or sync it is unknown what reached the disk. The journal then refuses further records,
+and records that were not synced count as lost: the operating system reports an fsync error only once and
+marks the pages as clean.
 """
 
 import json
@@ -17,37 +17,41 @@
 
 
 class JournalError(Exception):
-    """A write or sync failed; only a new start, which reads what is there, can go on."""
+    """A write or sync failed; the journal can be used again only after a restart, which reads it anew."""
 
     outer_name = "Broken"
 
 
 def encode_record(number: int, value) -> bytes:
+    """The line of a record with this number and JSON value."""
     body = b"%d %s" % (number, json.dumps(value, separators=(",", ":")).encode())
     return b"%08x %s\n" % (google_crc32c.value(body), body)
 
 
 def decode_record(line: bytes, number: int):
-    """The value of a record. Raises ValueError on one that is torn or out of turn."""
-    mark, _, body = line.partition(b" ")
-    if int(mark, 16) != google_crc32c.value(body):
+    """The value of a record line. Raises ValueError where it is torn or does not have this number."""
+    checksum, _, body = line.partition(b" ")
+    if int(checksum, 16) != google_crc32c.value(body):
         raise ValueError("checksum")
-    own, _, text = body.partition(b" ")
-    if int(own) != number:
-        raise ValueError(f"record {int(own)} in place of {number}")
+    record_number, _, text = body.partition(b" ")
+    if int(record_number) != number:
+        raise ValueError(f"record {int(record_number)} in place of {number}")
     return json.loads(text)
 
 
 class Journal:
-    """`snapshot_state`: the last snapshot's value or None; `records`: those since; `truncation`: None, or
-    (file, offset, bytes cut off, why). Raises Refused (of the kernel) where another process has the
-    folder."""
+    """A journal that is open for appending.
 
-    def __init__(self, kernel, folder: str, most: int = 1 << 20):
-        self.kernel, self.folder, self.most = kernel, folder, most
+    `snapshot_state`: value of the last snapshot, or None; `records`: the records since; `truncation`: None,
+    or (file, offset, bytes removed, reason); `max_log_bytes`: size of the log at which a snapshot is due.
+    Raises RefusedError (of the kernel) where another process holds the folder's lock.
+    """
+
+    def __init__(self, kernel, folder: str, max_log_bytes: int = 1 << 20):
+        self.kernel, self.folder, self.max_log_bytes = kernel, folder, max_log_bytes
         kernel.make_folder(folder)
         self.lock = kernel.lock_file(self.path("lock"))
-        self.snapshot_state, self.records, self.truncation, self.broken = None, [], None, None
+        self.snapshot_state, self.records, self.truncation, self.failure = None, [], None, None
         try:
             self.recover()
         except BaseException:
@@ -55,23 +59,27 @@
             raise
 
     def path(self, name: str) -> str:
+        """The path of a file in the journal's folder."""
         return os.path.join(self.folder, name)
 
     def recover(self) -> None:
+        """Reads the newest intact snapshot and its log, and truncates the log at the first bad record."""
         names = self.kernel.list_folder(self.folder)
         for name in names:
             if name.endswith(".new"):
                 self.kernel.remove(self.path(name))
-        snaps = sorted((int(n[5:]) for n in names if n.startswith("snap-") and n[5:].isdigit()), reverse=True)
+        snapshot_numbers = sorted(
+            (int(n[5:]) for n in names if n.startswith("snap-") and n[5:].isdigit()), reverse=True
+        )
         self.number = 0
-        for number in snaps:
+        for number in snapshot_numbers:
             try:
                 self.snapshot_state = decode_record(
                     self.kernel.read_file(self.path(f"snap-{number}")).rstrip(b"\n"), number
                 )
                 self.number = number
                 break
-            except ValueError:  # a snapshot is renamed when whole: only a bad disk does this
+            except ValueError:  # snapshots are renamed only when complete, so this is disk corruption
                 continue
         name = self.path(f"log-{self.number}")
         data, offset = self.kernel.read_file(name) or b"", 0
@@ -81,56 +89,61 @@
                 if end < 0:
                     raise ValueError("no end")
                 self.records.append(decode_record(data[offset:end], len(self.records)))
-            except ValueError as trouble:
-                self.truncation = name, offset, len(data) - offset, str(trouble)
+            except ValueError as error:
+                self.truncation = name, offset, len(data) - offset, str(error)
                 self.kernel.truncate(name, offset)
                 break
             offset = end + 1
-        self.count, self.bytes = len(self.records), offset
+        self.record_count, self.log_bytes = len(self.records), offset
         self.file = self.kernel.append_file(name)
         self.kernel.sync_folder(self.folder)
 
-    def guarded(self, call):
-        if self.broken:
-            raise JournalError(self.broken)
+    def run_disk_call(self, call):
+        """The result of `call`. Raises JournalError where it, or an earlier call, fails with OSError."""
+        if self.failure:
+            raise JournalError(self.failure)
         try:
             return call()
-        except OSError as trouble:
-            self.broken = f"{self.folder}: {trouble}"
-            raise JournalError(self.broken) from trouble
+        except OSError as error:
+            self.failure = f"{self.folder}: {error}"
+            raise JournalError(self.failure) from error
 
     def append(self, value) -> None:
-        """Takes a record in; it counts once `sync` has returned. Raises JournalError."""
-        data = encode_record(self.count, value)
-        self.guarded(lambda: self.file.write(data))
-        self.count += 1
-        self.bytes += len(data)
+        """Writes a record; it is durable once `sync` has returned. Raises JournalError."""
+        data = encode_record(self.record_count, value)
+        self.run_disk_call(lambda: self.file.write(data))
+        self.record_count += 1
+        self.log_bytes += len(data)
 
     def sync(self) -> None:
-        """Raises JournalError."""
-        self.guarded(self.file.sync)
+        """Makes all records appended so far durable. Raises JournalError."""
+        self.run_disk_call(self.file.sync)
 
     @property
     def needs_snapshot(self) -> bool:
-        return self.bytes > self.most
+        """True where the log has grown beyond its size limit."""
+        return self.log_bytes > self.max_log_bytes
 
     def snapshot(self, state) -> None:
-        """Begins anew from this whole state; the old log goes once the new snapshot is safe. Raises
-        Broken."""
+        """Starts a new log from this whole state; the old log is removed once the new snapshot is durable.
+
+        Raises JournalError.
+        """
 
-        def write():
+        def write_snapshot():
             number = self.number + 1
             self.kernel.replace_file(self.path(f"snap-{number}"), encode_record(number, state))
             self.file.close()
-            old, self.number = self.number, number
+            old_number, self.number = self.number, number
             self.file = self.kernel.append_file(self.path(f"log-{number}"))
             self.kernel.sync_folder(self.folder)
-            for name in (f"log-{old}", f"snap-{old}"):
+            for name in (f"log-{old_number}", f"snap-{old_number}"):
                 self.kernel.remove(self.path(name))
 
-        self.guarded(write)
-        self.count = self.bytes = 0
+        self.run_disk_call(write_snapshot)
+        self.record_count = self.log_bytes = 0
 
     def close(self) -> None:
+        """Closes the log and releases the folder's lock."""
         self.file.close()
         self.lock.close()
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -193,7 +193,7 @@
 
 
 def test_hosts_that_are_slow_silent_or_run_something_else():
-    hosts = HostOrders(["p", "q", "r"], most=2)
+    hosts = HostOrders(["p", "q", "r"], max_changing=2)
     assert hosts.apply_orders(0, [("start", p, 2) for p in ("p", "q", "r")]) == [
         "p",
         "q",
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,6 +1,6 @@
-"""The desk's and the agents' decisions together, free of I/O: orders, faults and crashes drawn by a seed.
+"""Decisions of the desk and the agents in one model without I/O, with random orders, faults and crashes.
 
-`COBALTPOND_EXAMPLES=1000 bin/test tests/test_together.py` draws more.
+`COBALTPOND_EXAMPLES=1000 bin/test tests/test_together.py` runs more examples.
 """
 
 import json
@@ -15,7 +15,7 @@
 from cobaltpond.settings.sections import ReleaseSettings
 
 MS, S = 1000, 1_000_000
-RELEASE = {
+RELEASE_SETTINGS = {
     "gate": "any",
     "shares": [0.34, 1.0],
     "caps": [0.5, 1.0],
@@ -27,7 +27,7 @@
     "start_within": 3 * S,
     "drain_time": 200 * MS,
 }
-TAKES = {
+ACTION_TIMES_US = {
     "fetch": 150 * MS,
     "check": 20 * MS,
     "start": 150 * MS,
@@ -40,102 +40,112 @@
 }
 
 
-class Agent:
-    """A host: its state machine, processes that outlive it, and what is under way and dies with it."""
+class SimulatedAgent:
+    """A host: the agent's state machine, processes that survive the agent, and pending events that do not."""
 
     def __init__(self, name, faults):
-        self.name, self.faults, self.place, self.processes, self.due = name, faults, BuildSlots(), {}, []
-        self.down_until, self.twice, self.listed = -1, 0, set()
+        self.name, self.faults, self.build_slots, self.processes, self.pending_events = (
+            name,
+            faults,
+            BuildSlots(),
+            {},
+            [],
+        )
+        self.down_until, self.double_starts, self.listed = -1, 0, set()
 
-    def later(self, now, build, action, event):
-        self.due.append((now + TAKES[action], build, event))
+    def schedule(self, now, build, action, event):
+        self.pending_events.append((now + ACTION_TIMES_US[action], build, event))
 
     def act(self, now, actions):
         for build, action in actions:
             fault = self.faults.pop(0) if self.faults and action in ("fetch", "start") else "fine"
             if action == "fetch":
-                self.later(now, build, action, "unfetched" if fault == "fail" else "fetched")
+                self.schedule(now, build, action, "unfetched" if fault == "fail" else "fetched")
             elif action == "check":
-                self.later(now, build, action, "checked")
+                self.schedule(now, build, action, "checked")
             elif action == "start":
-                self.twice += build in self.processes
+                self.double_starts += build in self.processes
                 self.processes[build] = fault
-                self.later(now, build, action, {"fine": "ready", "fail": "exited", "hang": "late"}[fault])
+                self.schedule(now, build, action, {"fine": "ready", "fail": "exited", "hang": "late"}[fault])
             elif action in ("stop", "kill"):
                 if action == "kill" or self.processes.get(build) != "hang":
-                    self.later(now, build, action, "exited")
+                    self.schedule(now, build, action, "exited")
             elif action == "list up":
                 self.listed.add(build)
             elif action.startswith("wait"):
-                self.later(now, build, action, action.split()[1])
+                self.schedule(now, build, action, action.split()[1])
 
     def step(self, now):
         if now < self.down_until:
             return
-        for entry in [e for e in self.due if e[0] <= now]:
-            if entry in self.due:
-                self.due.remove(entry)
+        for entry in [e for e in self.pending_events if e[0] <= now]:
+            if entry in self.pending_events:
+                self.pending_events.remove(entry)
                 _, build, event = entry
                 if event == "exited":
                     self.listed.discard(build)
                     if self.processes.pop(build, None) is None:
                         continue
-                    self.due = [
+                    self.pending_events = [
                         e
-                        for e in self.due
+                        for e in self.pending_events
                         if (e[1], e[2]) not in [(build, x) for x in ("ready", "late", "exited")]
                     ]
-                self.act(now, self.place.handle_event(build, event))
+                self.act(now, self.build_slots.handle_event(build, event))
 
     def crash(self, now):
-        """It comes back a while later: the order and its living processes are all it knows."""
+        """The agent restarts after a while and knows only its last order and the running processes."""
         self.down_until = now + 300 * MS
-        old, self.place = self.place, BuildSlots()
-        self.due = [
-            (max(at, self.down_until), b, e) for at, b, e in self.due if e == "exited" and b in self.processes
+        old, self.build_slots = self.build_slots, BuildSlots()
+        self.pending_events = [
+            (max(at, self.down_until), b, e)
+            for at, b, e in self.pending_events
+            if e == "exited" and b in self.processes
         ]
-        self.place.generation = old.generation
+        self.build_slots.generation = old.generation
         for build in sorted({*old.slots, *self.processes}):
-            new = self.place.slots[build] = BuildSlot(build)
+            new = self.build_slots.slots[build] = BuildSlot(build)
             new.desired = old.slots[build].desired if build in old.slots else "gone"
             actions = (
                 new.adopt(build in self.listed) if build in self.processes else new.handle_event(new.desired)
             )
             if new.state == STARTING and build in self.processes:
                 event = "late" if self.processes[build] == "hang" else "ready"
-                self.due.append((self.down_until + TAKES["start"], build, event))
+                self.pending_events.append((self.down_until + ACTION_TIMES_US["start"], build, event))
             self.act(self.down_until, [(build, action) for action in actions])
-        self.place.drop_absent()
+        self.build_slots.drop_absent()
 
-    def said(self):
+    def report(self):
         return {
             "place": self.name,
-            "generation": max(0, self.place.generation),
-            "done": self.place.is_order_complete(),
+            "generation": max(0, self.build_slots.generation),
+            "done": self.build_slots.is_order_complete(),
             "slots": [
-                {"build": b, "state": s.state, "id": "", "why": s.why} for b, s in self.place.slots.items()
+                {"build": b, "state": s.state, "id": "", "why": s.why}
+                for b, s in self.build_slots.slots.items()
             ],
         }
 
 
-class Together:
-    def __init__(self, layout, faults, lost):
-        self.now, self.layout, self.lost, self.epoch = 0, layout, list(lost), 1
-        self.agents = {f"h{n}": Agent(f"h{n}", faults) for n in range(3)}
-        self.desk_down_until, self.empty, self.emptiest = -1, {}, 0
-        self.stages = ReleaseStages(ReleaseSettings(layout=layout, **RELEASE), list(self.agents), NO_BUILD, 0)
+class DeskAndAgents:
+    def __init__(self, layout, faults, lost_messages):
+        self.now, self.layout, self.lost_messages, self.epoch = 0, layout, list(lost_messages), 1
+        self.agents = {f"h{n}": SimulatedAgent(f"h{n}", faults) for n in range(3)}
+        self.desk_down_until, self.empty_time, self.longest_empty_time = -1, {}, 0
+        self.stages = ReleaseStages(
+            ReleaseSettings(layout=layout, **RELEASE_SETTINGS), list(self.agents), NO_BUILD, 0
+        )
         self.hosts = HostOrders(list(self.agents), epoch=1)
-        self.kept = json.dumps(self.stages.dump())
+        self.stored_state = json.dumps(self.stages.dump())
 
     def crash_desk(self):
-        """What was not yet written is lost; what was is carried on from. Hosts are heard before orders go
-        out."""
+        """The desk restarts from its stored state and waits for all hosts to report before giving orders."""
         self.epoch += 1
         self.desk_down_until = self.now + 400 * MS
         self.stages = ReleaseStages(
-            ReleaseSettings(layout=self.layout, **RELEASE), list(self.agents), NO_BUILD, self.now
+            ReleaseSettings(layout=self.layout, **RELEASE_SETTINGS), list(self.agents), NO_BUILD, self.now
         )
-        self.stages.load(json.loads(self.kept), self.now)
+        self.stages.load(json.loads(self.stored_state), self.now)
         self.hosts = HostOrders(list(self.agents), epoch=self.epoch)
 
     def step(self):
@@ -143,17 +153,17 @@
         for agent in self.agents.values():
             agent.step(self.now)
         if self.now >= self.desk_down_until:
-            self.desk()
+            self.step_desk()
         for name, agent in self.agents.items():
-            serves = any(fault == "fine" for fault in agent.processes.values())
-            self.empty[name] = 0 if serves else self.empty.get(name, 0) + 20 * MS
-            self.emptiest = max(self.emptiest, self.empty[name])
+            is_serving = any(fault == "fine" for fault in agent.processes.values())
+            self.empty_time[name] = 0 if is_serving else self.empty_time.get(name, 0) + 20 * MS
+            self.longest_empty_time = max(self.longest_empty_time, self.empty_time[name])
 
-    def desk(self):
-        unheard = any(h.heard_at is None for h in self.hosts.hosts.values())
+    def step_desk(self):
+        is_collecting = any(h.last_report_at is None for h in self.hosts.hosts.values())
         for name, agent in self.agents.items():
-            if self.now >= agent.down_until and not (self.lost and self.lost.pop(0)):
-                rows = self.hosts.apply_report(self.now, agent.said())
+            if self.now >= agent.down_until and not (self.lost_messages and self.lost_messages.pop(0)):
+                rows = self.hosts.apply_report(self.now, agent.report())
                 listed = {row[0] for row in rows}
                 for id in [
                     i for i, m in self.stages.instances.items() if m.place == name and i not in listed
@@ -161,27 +171,27 @@
                     self.stages.update_instance(self.now, id, "", 0, "gone")
                 for row in rows:
                     self.stages.update_instance(self.now, *row)
-        if unheard:
-            if all(h.heard_at is not None for h in self.hosts.hosts.values()):
+        if is_collecting:
+            if all(h.last_report_at is not None for h in self.hosts.hosts.values()):
                 for name in self.agents:
                     self.hosts.adopt_running(name)
             return
         self.stages.tick(self.now)
-        self.kept = json.dumps(self.stages.dump())
+        self.stored_state = json.dumps(self.stages.dump())
         self.hosts.apply_orders(self.now, self.stages.orders(self.now))
         keep = {b for b in (self.stages.stable, self.stages.build, *self.stages.offered) if b}
         for name, agent in self.agents.items():
-            if self.now >= agent.down_until and not (self.lost and self.lost.pop(0)):
+            if self.now >= agent.down_until and not (self.lost_messages and self.lost_messages.pop(0)):
                 order = self.hosts.order_for(name, keep)
                 wishes = {int(b): w for b, w in order["wishes"].items()}
-                agent.act(self.now, agent.place.apply_order(order["generation"], wishes))
+                agent.act(self.now, agent.build_slots.apply_order(order["generation"], wishes))
 
     def run(self, seconds):
         for _ in range(int(seconds * 50)):
             self.step()
 
 
-ACTS = st.tuples(
+ACTIONS = st.tuples(
     st.sampled_from(["offer", "on", "back", "crash desk", "crash h0", "crash h1", "end", "wait"]),
     st.sampled_from([0.04, 0.2, 0.5, 1.5]),
 )
@@ -190,58 +200,69 @@
 @settings(derandomize=True, deadline=None, max_examples=int(os.environ.get("COBALTPOND_EXAMPLES", 100)))
 @given(
     st.sampled_from(["beside", "in place"]),
-    st.lists(ACTS, max_size=16),
+    st.lists(ACTIONS, max_size=16),
     st.lists(st.sampled_from(["fine", "fine", "fail", "hang"]), max_size=10),
     st.lists(st.booleans(), max_size=60),
 )
-def test_desk_and_agents_end_where_the_last_order_says(layout, acts, faults, lost):
-    world = Together(layout, [], [])
-    world.stages.offer_build(0, 1)
-    world.run(2)
-    assert all(set(a.processes) == {1} for a in world.agents.values())
-    world.emptiest = 0
-    for agent in world.agents.values():
+def test_desk_and_agents_converge_to_the_last_order(layout, actions_drawn, faults, lost_messages):
+    cluster = DeskAndAgents(layout, [], [])
+    cluster.stages.offer_build(0, 1)
+    cluster.run(2)
+    assert all(set(a.processes) == {1} for a in cluster.agents.values())
+    cluster.longest_empty_time = 0
+    for agent in cluster.agents.values():
         agent.faults = list(faults)
-    world.lost = list(lost)
-    for what, wait in acts:
-        desk_up = world.now >= world.desk_down_until and world.hosts.hosts["h0"].heard_at is not None
+    cluster.lost_messages = list(lost_messages)
+    for what, wait in actions_drawn:
+        desk_up = (
+            cluster.now >= cluster.desk_down_until and cluster.hosts.hosts["h0"].last_report_at is not None
+        )
         if what == "offer" and desk_up:
-            world.stages.offer_build(world.now, max([world.stages.build, *world.stages.offered]) + 1)
-            world.kept = json.dumps(world.stages.dump())
+            cluster.stages.offer_build(cluster.now, max([cluster.stages.build, *cluster.stages.offered]) + 1)
+            cluster.stored_state = json.dumps(cluster.stages.dump())
         elif what in ("on", "back") and desk_up:
-            world.stages.record_vote(world.now, 0, world.stages.build, world.stages.stage, what)
-            world.kept = json.dumps(world.stages.dump())
+            cluster.stages.record_vote(cluster.now, 0, cluster.stages.build, cluster.stages.stage, what)
+            cluster.stored_state = json.dumps(cluster.stages.dump())
         elif what == "crash desk":
-            world.crash_desk()
+            cluster.crash_desk()
         elif what.startswith("crash h"):
-            world.agents[what[6:]].crash(world.now)
-        elif what == "end" and world.agents["h2"].processes and world.now >= world.agents["h2"].down_until:
-            build = sorted(world.agents["h2"].processes)[0]
-            world.agents["h2"].due.append((world.now, build, "exited"))
-        world.run(wait)
-    for agent in world.agents.values():
+            cluster.agents[what[6:]].crash(cluster.now)
+        elif (
+            what == "end"
+            and cluster.agents["h2"].processes
+            and cluster.now >= cluster.agents["h2"].down_until
+        ):
+            build = sorted(cluster.agents["h2"].processes)[0]
+            cluster.agents["h2"].pending_events.append((cluster.now, build, "exited"))
+        cluster.run(wait)
+    for agent in cluster.agents.values():
         agent.faults.clear()
-    world.lost.clear()
-    world.run(12)
-    if world.stages.phase == "trial":
-        world.stages.record_vote(world.now, 0, world.stages.build, world.stages.stage, "back")
-        world.run(12)
-    if any(s.state == "failed" for a in world.agents.values() for s in a.place.slots.values()):
-        world.run(14)  # what failed for good is tried again every ten seconds
-    assert world.stages.phase != GOING_BACK and not world.stages.offered or world.stages.phase == "trial"
-    if world.stages.phase in ("released", "withdrawn"):
-        right = world.stages.build if world.stages.phase == "released" else world.stages.stable
+    cluster.lost_messages.clear()
+    cluster.run(12)
+    if cluster.stages.phase == "trial":
+        cluster.stages.record_vote(cluster.now, 0, cluster.stages.build, cluster.stages.stage, "back")
+        cluster.run(12)
+    if any(s.state == "failed" for a in cluster.agents.values() for s in a.build_slots.slots.values()):
+        cluster.run(14)  # the desk retries failed builds every ten seconds
+    assert (
+        cluster.stages.phase != GOING_BACK and not cluster.stages.offered or cluster.stages.phase == "trial"
+    )
+    if cluster.stages.phase in ("released", "withdrawn"):
+        expected_build = cluster.stages.build if cluster.stages.phase == "released" else cluster.stages.stable
         failed = {
-            (n, b) for n, a in world.agents.items() for b, s in a.place.slots.items() if s.state == "failed"
+            (n, b)
+            for n, a in cluster.agents.items()
+            for b, s in a.build_slots.slots.items()
+            if s.state == "failed"
         }
-        for name, agent in world.agents.items():
-            assert set(agent.processes) == {right} or (name, right) in failed, (
-                world.stages.phase,
-                right,
+        for name, agent in cluster.agents.items():
+            assert set(agent.processes) == {expected_build} or (name, expected_build) in failed, (
+                cluster.stages.phase,
+                expected_build,
                 name,
                 agent.processes,
-                world.hosts.order_for(name, set()),
+                cluster.hosts.order_for(name, set()),
             )
-    assert not any(agent.twice for agent in world.agents.values())
-    if "fail" not in faults and "hang" not in faults and "end" not in [what for what, _ in acts]:
-        assert world.emptiest == 0  # crashes of desk and agents alone leave no place empty
+    assert not any(agent.double_starts for agent in cluster.agents.values())
+    if "fail" not in faults and "hang" not in faults and "end" not in [what for what, _ in actions_drawn]:
+        assert cluster.longest_empty_time == 0  # without faults of instances no place may ever be empty
