--- a/cobaltpond/agent/__init__.py
+++ b/cobaltpond/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent of a host: fetches a build, makes sure of it, starts it, and takes it back when told."""
+"""Host agent: fetches builds, verifies them, and starts and stops their instances by the desk's orders."""
--- a/cobaltpond/agent/actions.py
+++ b/cobaltpond/agent/actions.py
@@ -1,4 +1,4 @@
-"""The actions of an agent on its builds: fetch, check, start, probe, stop and the timers between them."""
+"""Actions of an agent on its builds: fetch, check, start, probe, stop and the timers between them."""
 
 import os
 
@@ -12,56 +12,66 @@
 from cobaltpond.loop.errors import error_name
 from cobaltpond.rpc import CALL_ERRORS, call
 
-LOOK = 40_000  # how often processes are looked at
-OUTPUT = 1 << 20  # bytes kept of what an instance prints
-LIST_PATIENCE = 5_000_000  # how long a drain waits for the list to hear of it
-STEADY = 10_000_000  # up for so long, crashes before are forgiven
+POLL_INTERVAL_US = 40_000  # interval between checks of a process
+MAX_OUTPUT_BYTES = 1 << 20  # the output file of an instance is truncated beyond this size
+LIST_UPDATE_TIMEOUT_US = 5_000_000  # a drain waits at most this long for the instance list
+STEADY_AFTER_US = 10_000_000  # the crash count is reset after this time up
 
 
 class Actions:
-    """A part of `main.Agent`, which has the state; `states.py` says which action is due."""
+    """Mixin of `main.Agent`, which holds the state; `states.py` decides which action is due.
 
-    def event(self, build, event, why=""):
-        slot = self.place.slots.get(build)
+    An action named "list up" is the method `do_list_up`. All take the number of the build.
+    """
+
+    def apply_event(self, build, event, why=""):
+        """Passes an event of a build to its state machine and runs the resulting actions."""
+        slot = self.build_slots.slots.get(build)
         before = slot.state if slot else "none"
-        actions = self.place.handle_event(build, event, why)
-        after = self.place.slots[build].state if build in self.place.slots else "absent"
+        actions = self.build_slots.handle_event(build, event, why)
+        after = self.build_slots.slots[build].state if build in self.build_slots.slots else "absent"
         if after != before:
             self.log.info("build", build=build, after=event, state=after, why=why)
-        self.act(actions)
+        self.run_actions(actions)
 
-    def act(self, actions):
+    def run_actions(self, actions):
+        """Runs (build, action) pairs in order."""
         for build, action in actions:
             getattr(self, "do_" + action.replace(" ", "_"))(build)
 
-    def task(self, build, name, generator):
-        """One task of a kind for each build; a new one takes the place of the old."""
-        self.leave(build, name)
+    def start_task(self, build, name, generator):
+        """Starts the only task of this name for the build; an earlier one is cancelled."""
+        self.cancel_task(build, name)
         self.tasks[build, name] = self.loop.spawn(generator, f"{name}-{build}")
 
-    def leave(self, build, name):
+    def cancel_task(self, build, name):
+        """Cancels the task of this name for the build, where there is one."""
         task = self.tasks.pop((build, name), None)
         if task is not None:
             task.cancel()
 
-    def after(self, build, delay, event):
+    def schedule_event(self, build, delay, event):
+        """Applies an event after `delay` microseconds; replaces an earlier timer of the same event."""
+
         def wait():
             yield Sleep(delay)
-            self.event(build, event)
+            self.apply_event(build, event)
 
-        self.task(build, event, wait())
+        self.start_task(build, event, wait())
 
     def do_fetch(self, build):
-        self.task(build, "fetch", self.fetch(build))
+        """Starts to fetch the build."""
+        self.start_task(build, "fetch", self.fetch_build(build))
 
     def do_leave_fetch(self, build):
-        self.leave(build, "fetch")
+        """Cancels the fetch of the build."""
+        self.cancel_task(build, "fetch")
 
-    def fetch(self, build):
-        """What is here whole is not fetched again: a take-back needs no source."""
+    def fetch_build(self, build):
+        """A task: fetches the build, or uses the copy in the store, so that a rollback needs no source."""
         try:
             if build in self.store.builds():
-                self.remember(build)
+                self.load_manifest(build)
             else:
                 signed = yield from self.fetcher.fetch_manifest(build, MAX_MANIFEST_BYTES)
                 now = self.loop.kernel.wall_clock() // 1_000_000
@@ -70,15 +80,15 @@
                 )
                 self.manifests[build] = manifest, signed
                 yield from self.fetcher.fetch_chunks(manifest)
-        except Exception as trouble:  # whatever it is, the build is not here, and that must show
-            if not isinstance(trouble, FetchError | ManifestError | StoreFullError):
+        except Exception as error:  # any failure means that the build is missing, and is reported
+            if not isinstance(error, FetchError | ManifestError | StoreFullError):
                 self.log.error("fetch failed", build=build, exc_info=True)
-            self.event(build, "unfetched", f"{error_name(trouble)}: {trouble}")
+            self.apply_event(build, "unfetched", f"{error_name(error)}: {error}")
             return
-        self.event(build, "fetched")
+        self.apply_event(build, "fetched")
 
     def do_check(self, build):
-        """In a task of its own, so that the event comes after the state has changed."""
+        """Assembles and verifies the build, in a task, so that its event follows the change of state."""
 
         def check():
             manifest, signed = self.manifests[build]
@@ -87,53 +97,62 @@
                 if not self.store.is_intact(manifest):
                     self.store.discard(build)
                     raise CorruptChunkError("its tree does not hold what the manifest says")
-            except (CorruptChunkError, StoreFullError) as trouble:
-                self.event(build, "unsound", f"{error_name(trouble)}: {trouble}")
+            except (CorruptChunkError, StoreFullError) as error:
+                self.apply_event(build, "unsound", f"{error_name(error)}: {error}")
                 return
-            self.event(build, "checked")
+            self.apply_event(build, "checked")
             yield from ()
 
-        self.task(build, "check", check())
+        self.start_task(build, "check", check())
 
     def do_start(self, build):
-        """The mark is on disk before the process is: a crash between the two leaves a mark that nobody
-        carries."""
-        manifest, _ = self.manifests.get(build) or self.remember(build)
-        taken = {p.port for p in self.processes.values()}
+        """Starts an instance of the build on a free port, and probes it.
+
+        Its mark is written to the journal before the process starts, so that a crash in between leaves only
+        an unused mark and never an unknown process.
+        """
+        manifest, _ = self.manifests.get(build) or self.load_manifest(build)
+        used_ports = {p.port for p in self.processes.values()}
         for _ in range(PORTS_PER_HOST):
-            self.port = (self.port + 1) % PORTS_PER_HOST
-            if self.host.ports + self.port not in taken:
+            self.port_offset = (self.port_offset + 1) % PORTS_PER_HOST
+            if self.host.ports + self.port_offset not in used_ports:
                 break
-        port = self.host.ports + self.port
+        port = self.host.ports + self.port_offset
         process = Process(
             build, process_mark(self.loop.kernel.random_seed(), self.host.folder, build, port), port
         )
-        self.note({"begun": {"build": build, "mark": process.mark, "port": process.port}})
-        told = {"{port}": str(process.port), "{id}": self.name_of(process), "{mark}": process.mark}
-        words = [told.get(word, word) for word in manifest.entry]
-        argv = [os.path.join(self.store.tree(build), words[0]), *words[1:]]
+        self.write_record({"begun": {"build": build, "mark": process.mark, "port": process.port}})
+        substitutions = {
+            "{port}": str(process.port),
+            "{id}": self.instance_id(process),
+            "{mark}": process.mark,
+        }
+        command = [substitutions.get(word, word) for word in manifest.entry]
+        argv = [os.path.join(self.store.tree(build), command[0]), *command[1:]]
         try:
             process.child = self.loop.kernel.spawn(argv, self.path(f"output-{build}"), process.mark)
-        except UnreachableError as trouble:
-            self.after(build, 0, "exited")
-            self.log.warning("not started", build=build, why=str(trouble))
+        except UnreachableError as error:
+            self.schedule_event(build, 0, "exited")
+            self.log.warning("not started", build=build, why=str(error))
             return
-        process.began = self.loop.now()
+        process.started_at = self.loop.now()
         self.processes[build] = process
         self.do_probe(build)
 
-    def remember(self, build):
+    def load_manifest(self, build):
+        """The stored (manifest, signed bytes) of a build that is in the store."""
         signed = self.store.manifest(build)
         self.manifests[build] = read_stored_manifest(signed), signed
         return self.manifests[build]
 
     def do_probe(self, build):
+        """Probes the health path of the instance until it answers 200 or its time to start is over."""
         process = self.processes[build]
-        manifest, _ = self.manifests.get(build) or self.remember(build)
+        manifest, _ = self.manifests.get(build) or self.load_manifest(build)
 
         def probe():
-            end = self.loop.now() + self.settings.builds.ready_time
-            while self.loop.now() < end:
+            deadline = self.loop.now() + self.settings.builds.ready_time
+            while self.loop.now() < deadline:
                 try:
                     with Deadline(self.loop, CALL_TIME):
                         status, _ = yield from call(
@@ -145,55 +164,63 @@
                             CALL_TIME,
                         )
                     if status == 200:
-                        return self.event(build, "ready")
+                        return self.apply_event(build, "ready")
                 except (*CALL_ERRORS, DeadlineExceededError):
                     pass
-                yield Sleep(LOOK)
-            self.event(build, "late", "not ready in time")
+                yield Sleep(POLL_INTERVAL_US)
+            self.apply_event(build, "late", "not ready in time")
 
-        self.task(build, "probe", probe())
+        self.start_task(build, "probe", probe())
 
-    def watch(self):
-        """Looks after processes: their ends, and how much they print."""
+    def watch_processes(self):
+        """A task: notices processes that have ended, and truncates output files that are too large."""
         while True:
-            yield Sleep(LOOK)
+            yield Sleep(POLL_INTERVAL_US)
             for build, process in list(self.processes.items()):
                 if process.child.ended() is not None:
                     code = process.child.ended()
                     del self.processes[build]
-                    self.leave(build, "probe")
-                    self.note({"ended": process.mark})
-                    self.tell_list(build, process, "gone")
-                    self.event(build, "exited", f"ended with {code}")
+                    self.cancel_task(build, "probe")
+                    self.write_record({"ended": process.mark})
+                    self.publish_state(build, process, "gone")
+                    self.apply_event(build, "exited", f"ended with {code}")
                 path = self.path(f"output-{build}")
-                if (self.loop.kernel.file_size(path) or 0) > OUTPUT:
+                if (self.loop.kernel.file_size(path) or 0) > MAX_OUTPUT_BYTES:
                     self.loop.kernel.truncate(path, 0)
 
-    def signal(self, build, name):
+    def signal_process(self, build, name):
+        """Signals all processes of the instance; where there is none, it counts as exited."""
         process = self.processes.get(build)
         if process is None:
-            self.after(build, 0, "exited")
+            self.schedule_event(build, 0, "exited")
         else:
             process.child.signal_all(name)
 
     def do_stop(self, build):
-        self.signal(build, "TERM")
+        """Asks the instance to end."""
+        self.signal_process(build, "TERM")
 
     def do_kill(self, build):
-        self.leave(build, "probe")
-        self.signal(build, "KILL")
+        """Kills the instance and ends its probe."""
+        self.cancel_task(build, "probe")
+        self.signal_process(build, "KILL")
 
     def do_wait_drained(self, build):
-        """The drain begins when the list has heard of it, see `tell_list`: guards against an instance that is
-        ended before any gateway can know. A list that stays out of reach does not hold a take-back for
-        ever."""
-        self.after(build, self.settings.release.drain_time + LIST_PATIENCE, "drained")
+        """Bounds the drain. The drain time itself starts when the instance list accepts the state.
+
+        See `publish_state`: otherwise the instance could end before any gateway knows, and requests would
+        fail. An unreachable list does not delay a rollback for ever.
+        """
+        self.schedule_event(build, self.settings.release.drain_time + LIST_UPDATE_TIMEOUT_US, "drained")
 
     def do_wait_overdue(self, build):
-        self.after(build, self.settings.builds.stop_time, "overdue")
+        """Starts the timer after which an instance that does not end is killed."""
+        self.schedule_event(build, self.settings.builds.stop_time, "overdue")
 
     def do_wait_steady(self, build):
-        self.after(build, STEADY, "steady")
+        """Starts the timer after which earlier crashes no longer count."""
+        self.schedule_event(build, STEADY_AFTER_US, "steady")
 
     def do_wait_rested(self, build):
-        self.after(build, self.place.slots[build].restart_delay(), "rested")
+        """Starts the timer of the backoff before a restart."""
+        self.schedule_event(build, self.build_slots.slots[build].restart_delay(), "rested")
--- a/cobaltpond/agent/main.py
+++ b/cobaltpond/agent/main.py
@@ -1,4 +1,4 @@
-"""The running agent of one host: follows the desk's orders, carries out what `states.py` says, reports."""
+"""The agent process of one host: follows the desk's orders, runs actions of the state machine, reports."""
 
 import base64
 import json
@@ -21,17 +21,19 @@
 from cobaltpond.settings.sections import split_address
 from cobaltpond.wal import Journal, JournalError
 
-REPORT = 300_000
+REPORT_INTERVAL_US = 300_000  # between reports without a change
 
 
 class Agent(InstanceRegistration, Actions):
-    def __init__(self, loop, sheet, host, log):
-        self.loop, self.settings, self.host, self.log = loop, sheet, host, log
-        kernel, builds = loop.kernel, sheet.builds
+    """The agent of one host. Its instances keep running when it ends; the next start adopts them."""
+
+    def __init__(self, loop, settings, host, log):
+        self.loop, self.settings, self.host, self.log = loop, settings, host, log
+        kernel, builds = loop.kernel, settings.builds
         kernel.make_folder(host.folder)
         self.journal = Journal(kernel, self.path("journal"))
         self.store = Store(kernel, self.path("store"), builds.most)
-        self.ring = self.held_ring(builds.keys)
+        self.ring = self.load_key_ring(builds.keys)
         self.fetcher = Fetcher(
             loop,
             self.store,
@@ -39,77 +41,85 @@
             seeded_random(kernel.random_seed()).randrange,
             builds.rate,
         )
-        self.place, self.processes, self.tasks, self.manifests = BuildSlots(), {}, {}, {}
-        self.port, self.stop_asked, self.broken = 0, False, None
-        self.seen = None  # the newest state of the release that an order told of
-        self.waits = Backoff(50_000, 1_000_000, kernel.random_seed())
+        self.build_slots, self.processes, self.tasks, self.manifests = BuildSlots(), {}, {}, {}
+        self.port_offset, self.stop_asked, self.journal_error = 0, False, None
+        self.last_seen_state = None  # the newest release state in an order
+        self.backoff = Backoff(50_000, 1_000_000, kernel.random_seed())
 
     def path(self, *names):
+        """The path of a file in the agent's folder."""
         return os.path.join(self.host.folder, *names)
 
     def stop(self, name=""):
-        """Instances go on; the next start takes them on."""
+        """Asks `run` to return; instances keep running. `name`: the signal received."""
         self.stop_asked = True
 
     def run(self):
+        """The main task: recovers, then runs until `stop` is called. Raises what a failed task raised."""
         self.recover()
-        parts = [
+        main_tasks = [
             self.loop.spawn(generator, name)
             for generator, name in (
-                (self.follow(), "orders"),
-                (self.report(), "report"),
-                (self.watch(), "watch"),
+                (self.follow_orders(), "orders"),
+                (self.send_reports(), "report"),
+                (self.watch_processes(), "watch"),
             )
         ]
-        pruned = self.loop.now()
+        pruned_at = self.loop.now()
         while not self.stop_asked:
             yield Sleep(20_000)
-            # guards against an agent that lives on deaf: its journal broke under one of its tasks, or a task
-            # died
-            died = self.broken or next((task.error for task in parts if task.done), None)
+            # Without this check the agent would run on without orders or reports after its journal failed in
+            # one of its tasks, or after a task died.
+            died = self.journal_error or next((task.error for task in main_tasks if task.done), None)
             if died is not None:
                 raise died
-            if self.loop.now() - pruned > self.settings.builds.prune_after // 100:
-                pruned = self.loop.now()
+            if self.loop.now() - pruned_at > self.settings.builds.prune_after // 100:
+                pruned_at = self.loop.now()
                 self.prune()
 
     # --- keys -----------------------------------------------------------------------------------------------
 
-    def held_ring(self, given: str) -> KeyRing:
-        """The ring that was taken last, or the sheet's where that is later."""
-        read, rings = self.loop.kernel.read_file, []
-        for data in (read(given), read(self.path("keys"))):
+    def load_key_ring(self, configured_ring_path: str) -> KeyRing:
+        """The newest of the ring in the settings and the ring accepted last; an empty one without either."""
+        read_file, rings = self.loop.kernel.read_file, []
+        for data in (read_file(configured_ring_path), read_file(self.path("keys"))):
             if data:
                 rings.append(msgspec.json.decode(data, type=KeyRing))
         return max(rings, key=lambda ring: ring.version, default=KeyRing(0, []))
 
-    def take_rings(self, chain):
-        """The desk hands on what a key of the ring held here has signed; it cannot make one up."""
+    def accept_key_rings(self, chain):
+        """Verifies key rings from the desk against the current ring, and stores the last valid one.
+
+        `chain`: base64. The desk cannot forge a ring, because each is signed by a key of the ring before.
+        """
         try:
-            ring, taken = apply_ring_chain(
+            ring, accepted_rings = apply_ring_chain(
                 self.ring,
-                [base64.b64decode(one) for one in chain],
+                [base64.b64decode(encoded) for encoded in chain],
                 self.loop.kernel.wall_clock() // 1_000_000,
             )
-        except ManifestError as trouble:
-            self.log.error("key ring refused", why=f"{error_name(trouble)}: {trouble}")
+        except ManifestError as error:
+            self.log.error("key ring refused", why=f"{error_name(error)}: {error}")
             return
-        if taken:
+        if accepted_rings:
             self.loop.kernel.replace_file(self.path("keys"), msgspec.json.encode(ring))
             self.ring = ring
             self.log.info("key ring", version=ring.version, keys=[key.id for key in ring.keys])
 
-    # --- over a restart -------------------------------------------------------------------------------------
+    # --- recovery -------------------------------------------------------------------------------------------
 
     def recover(self):
-        """The last order and the marks of processes that were begun come from the journal; a process that
-        still carries its mark is taken on, whatever its number."""
-        order, marks, unknown = None, {}, []
+        """Restores the last order and the started processes from the journal.
+
+        A running process that carries a recorded mark is adopted, whatever its process id. Processes of this
+        agent that the journal does not know are adopted as well.
+        """
+        order, marks, adopted_builds = None, {}, []
         for record in (
             [self.journal.snapshot_state] if self.journal.snapshot_state else []
         ) + self.journal.records:
             order = record.get("order", order)
-            self.seen = (order or {}).get("seen") or self.seen
+            self.last_seen_state = (order or {}).get("seen") or self.last_seen_state
             for row in record.get("processes", []):
                 marks[row["mark"]] = row
             if "begun" in record:
@@ -118,125 +128,136 @@
                 marks[record["listed"]] = {**marks[record["listed"]], "listed": True}
             marks.pop(record.get("ended"), None)
         for mark, row in find_running_processes(self.loop.kernel, self.host.folder).items():
-            if mark not in marks:  # the journal was lost, or an older copy of it was put back
+            if mark not in marks:  # the journal was lost, or restored from an older copy
                 self.log.warning("taken on without a journal", build=row["build"], port=row["port"])
                 marks = {
                     m: known
                     for m, known in marks.items()
                     if known["build"] != row["build"] or self.loop.kernel.adopt_process(m)
                 } | {mark: row}
-                unknown.append(row["build"])
-                self.note({"begun": row})
-        self.place.generation = order["generation"] if order else -1
-        wishes = {int(b): w for b, w in (order["wishes"] if order else {}).items()}
+                adopted_builds.append(row["build"])
+                self.write_record({"begun": row})
+        self.build_slots.generation = order["generation"] if order else -1
+        desired = {int(b): w for b, w in (order["wishes"] if order else {}).items()}
         for row in marks.values():
             child = self.loop.kernel.adopt_process(row["mark"])
-            self.port = max(self.port, (row["port"] - self.host.ports + 1) % PORTS_PER_HOST)
+            self.port_offset = max(self.port_offset, (row["port"] - self.host.ports + 1) % PORTS_PER_HOST)
             process = Process(row["build"], row["mark"], row["port"], child)
-            process.began = self.loop.now()
+            process.started_at = self.loop.now()
             if child is not None:
                 self.processes[row["build"]] = process
-                process.listed = "up" if row.get("listed") else None
+                process.listed_state = "up" if row.get("listed") else None
                 self.log.info("taken on", build=row["build"], pid=child.pid)
-            else:  # it ended while nobody looked: the list may still show it
-                process.listed = "unknown"
-                self.tell_list(row["build"], process, "gone")
-                self.note({"ended": row["mark"]})
-        todo = []
-        for build in sorted({*wishes, *self.processes}):
-            slot = self.place.slots[build] = BuildSlot(build)
-            # what the journal knows nothing of stays until an order says otherwise
-            slot.desired = "run" if build in unknown else wishes.get(build, "gone")
+            else:  # it ended while no agent was running: the list may still show it
+                process.listed_state = "unknown"
+                self.publish_state(row["build"], process, "gone")
+                self.write_record({"ended": row["mark"]})
+        actions = []
+        for build in sorted({*desired, *self.processes}):
+            slot = self.build_slots.slots[build] = BuildSlot(build)
+            # A process that the journal does not know keeps running until an order says otherwise.
+            slot.desired = "run" if build in adopted_builds else desired.get(build, "gone")
             if build in self.processes:
-                todo += [(build, action) for action in slot.adopt(self.processes[build].listed == "up")]
+                actions += [
+                    (build, action) for action in slot.adopt(self.processes[build].listed_state == "up")
+                ]
                 if slot.state == STARTING:
-                    todo.append((build, "probe"))
+                    actions.append((build, "probe"))
             else:
-                todo += [(build, action) for action in slot.handle_event(slot.desired)]
-        self.place.drop_absent()
-        self.act(todo)
+                actions += [(build, action) for action in slot.handle_event(slot.desired)]
+        self.build_slots.drop_absent()
+        self.run_actions(actions)
 
-    def note(self, record):
+    def write_record(self, record):
+        """Writes a record to the journal durably, after a snapshot where one is due. Raises JournalError."""
         try:
             if self.journal.needs_snapshot:
                 self.journal.snapshot(
                     {
                         "order": self.last_order(),
                         "processes": [
-                            {"build": p.build, "mark": p.mark, "port": p.port, "listed": p.listed is not None}
+                            {
+                                "build": p.build,
+                                "mark": p.mark,
+                                "port": p.port,
+                                "listed": p.listed_state is not None,
+                            }
                             for p in self.processes.values()
                         ],
                     }
                 )
             self.journal.append(record)
             self.journal.sync()
-        except JournalError as trouble:
-            self.broken = trouble
+        except JournalError as error:
+            self.journal_error = error
             raise
 
     def last_order(self):
+        """The current order, as the journal's snapshot stores it."""
         return {
-            "generation": self.place.generation,
-            "seen": self.seen,
-            "wishes": {str(b): s.desired for b, s in self.place.slots.items()},
+            "generation": self.build_slots.generation,
+            "seen": self.last_seen_state,
+            "wishes": {str(b): s.desired for b, s in self.build_slots.slots.items()},
         }
 
     # --- orders and reports ---------------------------------------------------------------------------------
 
-    def follow(self):
-        """The desk's orders, for ever; it says them again with each period of its news."""
+    def follow_orders(self):
+        """A task: follows the desk's orders for ever. The desk repeats them with each news period."""
 
-        def take(told):
-            for one in told:
-                if "rings" in one:
-                    self.take_rings(one["rings"])
+        def on_objects(objects):
+            for message in objects:
+                if "rings" in message:
+                    self.accept_key_rings(message["rings"])
                 else:
-                    self.order(one["order"])
+                    self.handle_order(message["order"])
 
-        def broken(trouble):
-            self.log.warning("desk out of reach", why=f"{type(trouble).__name__}: {trouble}")
+        def on_broken(error):
+            self.log.warning("desk out of reach", why=f"{type(error).__name__}: {error}")
 
         yield from follow_stream(
             self.loop,
             split_address(self.settings.desk.address),
             lambda: f"/v1/orders?place={self.host.place}",
-            take,
+            on_objects,
             3 * self.settings.release.news_period,
             CALL_TIME,
-            self.waits,
-            broken,
+            self.backoff,
+            on_broken,
             (KeyError, TypeError, ValueError),
         )
 
-    def order(self, order):
-        wishes = {int(build): wish for build, wish in order["wishes"].items()}
+    def handle_order(self, order):
+        """Applies an order unless it is old. Raises KeyError, TypeError or ValueError where malformed."""
+        desired = {int(build): state for build, state in order["wishes"].items()}
         seen = order.get("seen")
-        if seen and (not self.seen or seen["mark"] >= self.seen["mark"]):
-            self.seen = seen
-        if order["generation"] <= self.place.generation:
+        if seen and (not self.last_seen_state or seen["mark"] >= self.last_seen_state["mark"]):
+            self.last_seen_state = seen
+        if order["generation"] <= self.build_slots.generation:
             return
-        self.note({"order": order})  # before anything is done for it
+        self.write_record({"order": order})  # durable before the order has any effect
         self.log.info("order", generation=order["generation"], wishes=order["wishes"])
-        self.act(self.place.apply_order(order["generation"], wishes))
+        self.run_actions(self.build_slots.apply_order(order["generation"], desired))
 
-    def said(self):
+    def current_report(self):
+        """The report to the desk, as JSON."""
         return {
             "place": self.host.place,
-            "generation": max(0, self.place.generation),
-            "seen": self.seen,
-            "done": self.place.is_order_complete(),
+            "generation": max(0, self.build_slots.generation),
+            "seen": self.last_seen_state,
+            "done": self.build_slots.is_order_complete(),
             "slots": [
-                {"build": b, "state": s.state, "id": self.id_of(b), "why": s.why}
-                for b, s in self.place.slots.items()
+                {"build": b, "state": s.state, "id": self.instance_id_of_build(b), "why": s.why}
+                for b, s in self.build_slots.slots.items()
             ],
         }
 
-    def report(self):
-        """At every change, and now and then all the same."""
-        last, at = None, 0
+    def send_reports(self):
+        """A task: reports every change to the desk, and the unchanged state every REPORT_INTERVAL_US."""
+        last_sent, sent_at = None, 0
         while True:
-            said = self.said()
-            if said != last or self.loop.now() - at > REPORT:
+            current = self.current_report()
+            if current != last_sent or self.loop.now() - sent_at > REPORT_INTERVAL_US:
                 try:
                     with Deadline(self.loop, CALL_TIME):
                         status, _ = yield from call(
@@ -244,27 +265,27 @@
                             split_address(self.settings.desk.address),
                             "POST",
                             "/v1/reports",
-                            json.dumps(said).encode(),
+                            json.dumps(current).encode(),
                             CALL_TIME,
                         )
-                    last, at = (said if status == 200 else None), self.loop.now()
+                    last_sent, sent_at = (current if status == 200 else None), self.loop.now()
                 except (*CALL_ERRORS, DeadlineExceededError):
-                    last = None
+                    last_sent = None
             yield Sleep(20_000)
 
     def prune(self):
-        """Never what runs or may be returned to: every build that the order names is kept."""
-        keep = set(self.place.slots) | {p.build for p in self.processes.values()}
+        """Deletes old builds that neither run nor stand in the order, which names the rollback target too."""
+        keep_builds = set(self.build_slots.slots) | {p.build for p in self.processes.values()}
         needed = {
             name
-            for build in keep
+            for build in keep_builds
             for name in (self.manifests[build][0].chunks() if build in self.manifests else ())
         }
-        gone = self.store.prune(keep, self.settings.builds.prune_after, needed)
-        if gone:
-            self.log.info("pruned", builds=gone)
+        removed = self.store.prune(keep_builds, self.settings.builds.prune_after, needed)
+        if removed:
+            self.log.info("pruned", builds=removed)
 
 
-def run_agent(kernel, sheet, host, log) -> None:
-    """Until a signal to stop. Raises Refused where another agent has this folder."""
-    run_component(kernel, lambda loop: Agent(loop, sheet, host, log), log, "agent")
+def run_agent(kernel, settings, host, log) -> None:
+    """Runs the agent until a signal to stop. Raises RefusedError where another agent holds the folder."""
+    run_component(kernel, lambda loop: Agent(loop, settings, host, log), log, "agent")
--- a/cobaltpond/agent/registration.py
+++ b/cobaltpond/agent/registration.py
@@ -1,4 +1,4 @@
-"""What an agent tells the list of its instances. A part of `main.Agent`, which has the state."""
+"""Registration of an agent's instances with the instance list."""
 
 import json
 
@@ -7,49 +7,56 @@
 from cobaltpond.rpc import CALL_ERRORS, Backoff, call
 from cobaltpond.settings.sections import split_address
 
-CALL_TIME = 1_000_000
+CALL_TIME = 1_000_000  # microseconds
 
 
 class InstanceRegistration:
-    def name_of(self, process):
-        """The id under which the list shows it."""
+    """Mixin of `main.Agent`, which holds the state."""
+
+    def instance_id(self, process):
+        """The id of a process in the instance list: place and port offset."""
         return f"{self.host.place}.{process.port - self.host.ports}"
 
-    def id_of(self, build):
+    def instance_id_of_build(self, build):
+        """The id of the instance of a build; empty where none runs."""
         process = self.processes.get(build)
-        return self.name_of(process) if process else ""
+        return self.instance_id(process) if process else ""
 
     def do_list_up(self, build):
-        self.leave(build, "drained")
-        if self.processes[build].listed is None:
-            self.note({"listed": self.processes[build].mark})
-        self.tell_list(build, self.processes[build], "up")
+        """Publishes the instance as up; the journal records first that it is listed."""
+        self.cancel_task(build, "drained")
+        if self.processes[build].listed_state is None:
+            self.write_record({"listed": self.processes[build].mark})
+        self.publish_state(build, self.processes[build], "up")
 
     def do_list_draining(self, build):
+        """Publishes the instance as draining, where it still runs."""
         if build in self.processes:
-            self.tell_list(build, self.processes[build], "draining")
+            self.publish_state(build, self.processes[build], "draining")
 
     def do_list_gone(self, build):
-        pass  # told when its end was seen
+        """Does nothing: `watch_processes` publishes the end of a process."""
+        pass
 
-    def tell_list(self, build, process, state):
-        if state == "gone" and process.listed is None:
+    def publish_state(self, build, process, state):
+        """Starts to publish the state of an instance; replaces an earlier publication that is under way."""
+        if state == "gone" and process.listed_state is None:
             return
-        process.listed = state
+        process.listed_state = state
         row = {
-            "id": self.name_of(process),
+            "id": self.instance_id(process),
             "zone": self.host.zone,
             "cell": self.host.cell,
             "address": f"{self.host.address}:{process.port}",
             "build": build,
             "state": state,
             "start": process.mark,
-            "age_us": self.loop.now() - process.began,
+            "age_us": self.loop.now() - process.started_at,
         }
 
-        def tell():
-            """Until it is heard: what the list says must come true."""
-            waits = Backoff(50_000, 1_000_000, self.loop.kernel.random_seed())
+        def publish_until_accepted():
+            """Retries until the list accepts the state, so that the list converges to it."""
+            backoff = Backoff(50_000, 1_000_000, self.loop.kernel.random_seed())
             while True:
                 try:
                     with Deadline(self.loop, CALL_TIME):
@@ -62,12 +69,12 @@
                             CALL_TIME,
                         )
                     if status == 200:
-                        slot = self.place.slots.get(build)
+                        slot = self.build_slots.slots.get(build)
                         if state == "draining" and slot is not None and slot.state == DRAINING:
-                            self.after(build, self.settings.release.drain_time, "drained")
+                            self.schedule_event(build, self.settings.release.drain_time, "drained")
                         return
                 except (*CALL_ERRORS, DeadlineExceededError):
                     pass
-                yield Sleep(waits.next_delay())
+                yield Sleep(backoff.next_delay())
 
-        self.task(process.mark, "list", tell())
+        self.start_task(process.mark, "list", publish_until_accepted())
--- a/cobaltpond/agent/states.py
+++ b/cobaltpond/agent/states.py
@@ -1,8 +1,8 @@
-"""What an agent does about one build in its place: a state machine free of I/O, every (state, event) defined.
+"""State machine of a build at a place, free of I/O; every pair of state and event is defined.
 
-Orders are wishes: `run` it, `keep` it fetched and sound, or have it `gone`. They carry a generation; older
-and repeated ones change nothing. A wish is followed at once from any state: nothing waits for the step under
-way, and what that step brings later is an event that its state ignores.
+An order sets the desired state of a build: `run` it, `keep` it fetched and verified, or have it `gone`.
+Orders carry a generation; older and repeated ones are ignored. A new desired state takes effect at once in
+any state: the step in progress is not awaited, and its later result is an event that the new state ignores.
 """
 
 ABSENT, FETCHING, CHECKING, HELD, STARTING, UP, DRAINING, STOPPING, RESTING, FAILED = (
@@ -33,17 +33,17 @@
     "rested",
     "steady",
 )
-MAX_CRASHES = 4  # in a row, before it counts as failed
-FIRST_REST, MOST_REST = 250_000, 4_000_000  # microseconds; doubles
+MAX_CRASHES = 4  # consecutive crashes after which a build counts as failed
+FIRST_RESTART_DELAY_US, MAX_RESTART_DELAY_US = 250_000, 4_000_000  # the delay doubles with each crash
 
-# state: event -> (next state, actions). "?" is where the wish leads: see `next_from_idle`. What is not named
-# is ignored.
+# state: event -> (next state, *actions). "?" stands for the next state by the desired state, see
+# `next_from_idle`. Events that are not listed are ignored.
 TABLE = {
     ABSENT: {"run": (FETCHING, "fetch"), "keep": (FETCHING, "fetch")},
     FETCHING: {"gone": (ABSENT, "leave fetch"), "fetched": (CHECKING, "check"), "unfetched": (FAILED,)},
     CHECKING: {"gone": (ABSENT,), "checked": ("?",), "unsound": (FAILED,)},
     HELD: {"run": (STARTING, "start"), "gone": (ABSENT,)},
-    # it has never been listed: no drain is owed, and a take-back does not wait for it to become ready
+    # It has never been listed, so no drain is needed, and a rollback does not wait until it is ready.
     STARTING: {
         "keep": (STOPPING, "kill"),
         "gone": (STOPPING, "kill"),
@@ -68,60 +68,65 @@
 }
 
 
-def next_from_idle(wish: str) -> tuple:
-    """From a state in which the build is whole and no process runs."""
-    return {"run": (STARTING, "start"), "keep": (HELD,), "gone": (ABSENT,)}[wish]
+def next_from_idle(desired: str) -> tuple:
+    """(next state, *actions) from a state in which the build is complete and no process runs."""
+    return {"run": (STARTING, "start"), "keep": (HELD,), "gone": (ABSENT,)}[desired]
 
 
 class BuildSlot:
-    """One build in one place. `handle_event` gives the actions of an event."""
+    """State of one build at one place. `crashes`: consecutive crashes; `why`: reason of the last failure."""
 
     def __init__(self, build: int):
         self.build, self.state, self.desired, self.crashes, self.why = build, ABSENT, "gone", 0, ""
 
     def handle_event(self, event: str, why: str = "") -> list[str]:
+        """Applies an event and gives the actions to run. Raises ValueError for an unknown event."""
         if event not in EVENTS:
             raise ValueError(f"no event {event!r}")
         if event in DESIRED_STATES:
             if event == "run" and self.desired != "run" or self.state == FAILED:
-                self.crashes = 0  # a new order is a new beginning
+                self.crashes = 0  # a new order starts a new count
             self.desired = event
-        row = TABLE[self.state].get(event)
-        if row is None:
+        transition = TABLE[self.state].get(event)
+        if transition is None:
             return []
-        to, *actions = row
+        next_state, *actions = transition
         if why:
             self.why = why
-        if "forgive" in actions:  # up for long: the next crash is the first of a row
+        if "forgive" in actions:  # it has been up for a long time
             actions.remove("forgive")
             self.crashes = 0
         if "count crash" in actions:
             actions.remove("count crash")
             self.crashes += 1
-        if to == "crash":
+        if next_state == "crash":
             self.crashes += 1
-            to = FAILED if self.crashes >= MAX_CRASHES else RESTING
-            actions += ["wait rested"] if to == RESTING else []
-        elif to == "?":
+            next_state = FAILED if self.crashes >= MAX_CRASHES else RESTING
+            actions += ["wait rested"] if next_state == RESTING else []
+        elif next_state == "?":
             if self.desired == "run" and self.crashes >= MAX_CRASHES:
-                to = FAILED
+                next_state = FAILED
             elif self.desired == "run" and self.state == STOPPING and self.crashes:
-                to, actions = RESTING, [*actions, "wait rested"]
+                next_state, actions = RESTING, [*actions, "wait rested"]
             else:
-                to, *more = next_from_idle(self.desired)
-                actions = [*actions, *more]
-        elif to == UP:
+                next_state, *idle_actions = next_from_idle(self.desired)
+                actions = [*actions, *idle_actions]
+        elif next_state == UP:
             self.why = ""
-        self.state = to
+        self.state = next_state
         return actions
 
     def restart_delay(self) -> int:
-        return min(MOST_REST, FIRST_REST << max(0, self.crashes - 1))
+        """Microseconds to wait before a restart: exponential backoff by the number of crashes."""
+        return min(MAX_RESTART_DELAY_US, FIRST_RESTART_DELAY_US << max(0, self.crashes - 1))
 
     def adopt(self, listed: bool) -> list[str]:
-        """After a restart of the agent: its process is found alive. One that has been listed is up, and a
-        drain is owed to it: taken for one that starts, it was killed without one, before its successor was
-        there (found by `tests/test_together.py`). What is wished now decides, through the ordinary events."""
+        """Adopts a process that is still running after a restart of the agent; gives the actions to run.
+
+        A process that has been listed counts as up and must be drained before it ends. When it counted as
+        starting, it was killed without a drain before its successor was up (found by
+        `tests/test_desk_with_agents.py`). The desired state is then applied as an ordinary event.
+        """
         self.state = UP if listed else STARTING
         return (["list up", "wait steady"] if listed and self.desired == "run" else []) + self.handle_event(
             self.desired
@@ -129,34 +134,39 @@
 
 
 class BuildSlots:
-    """All builds of one place, and the generation of the order that is followed."""
+    """All builds of one place, and the generation of the current order (-1: none yet)."""
 
     def __init__(self):
         self.generation, self.slots = -1, {}
 
-    def apply_order(self, generation: int, wishes: dict[int, str]) -> list[tuple[int, str]]:
-        """(build, action) pairs; none for an order that is old or has been heard."""
+    def apply_order(self, generation: int, desired_states: dict[int, str]) -> list[tuple[int, str]]:
+        """Applies an order; gives (build, action) pairs, none for an old or repeated order.
+
+        A build that the order does not name is to be gone.
+        """
         if generation <= self.generation:
             return []
         self.generation = generation
         actions = []
-        for build in sorted({*self.slots, *wishes}):
+        for build in sorted({*self.slots, *desired_states}):
             slot = self.slots.setdefault(build, BuildSlot(build))
-            actions += [(build, action) for action in slot.handle_event(wishes.get(build, "gone"))]
+            actions += [(build, action) for action in slot.handle_event(desired_states.get(build, "gone"))]
         self.drop_absent()
         return actions
 
     def handle_event(self, build: int, event: str, why: str = "") -> list[tuple[int, str]]:
+        """Applies an event to a build; gives (build, action) pairs, none for an unknown build."""
         slot = self.slots.get(build)
         actions = [(build, action) for action in slot.handle_event(event, why)] if slot else []
         self.drop_absent()
         return actions
 
     def drop_absent(self) -> None:
+        """Removes the builds that are absent and to be gone."""
         for build in [b for b, s in self.slots.items() if s.state == ABSENT and s.desired == "gone"]:
             del self.slots[build]
 
     def is_order_complete(self) -> bool:
-        """Is all as the last order says?"""
-        done = {"run": UP, "keep": HELD, "gone": ABSENT}
-        return all(slot.state == done[slot.desired] for slot in self.slots.values())
+        """True where every build has reached the state that the last order asks for."""
+        completed_states = {"run": UP, "keep": HELD, "gone": ABSENT}
+        return all(slot.state == completed_states[slot.desired] for slot in self.slots.values())
--- a/cobaltpond/builds/fetch.py
+++ b/cobaltpond/builds/fetch.py
@@ -1,8 +1,8 @@
-"""Fetches what a store lacks of a build, from several sources over HTTP with ranges (RFC 9110, 14).
+"""Fetches the missing chunks of a build from several sources over HTTP with range requests (RFC 9110, 14).
 
-A chunk that was cut goes on at the byte where it stopped. What a source may cost is bounded: a time for each
-chunk (a server that sends slowly for ever), a length, a few redirects within the known sources, bytes a
-second.
+An interrupted chunk resumes at the byte where it stopped. The cost of a source is bounded: a time limit for
+each chunk (against a server that sends slowly for ever), a length limit, a few redirects within the known
+sources only, and a bandwidth limit.
 """
 
 from urllib.parse import urlsplit
@@ -23,95 +23,106 @@
 )
 from cobaltpond.wire import http1
 
-REDIRECTS = 3
+MAX_REDIRECTS = 3
 
 
 class FetchError(Exception):
-    """The build could not be had; the text says why."""
+    """The build could not be fetched; the text says why."""
 
     outer_name = "FetchFailed"
 
 
 class ChunkRequestError(Exception):
-    """How asking for one chunk failed, in the words of `plan.py`."""
+    """A request for one chunk failed; `reason` is one of RETRYABLE_FAILURES or SOURCE_FAULTS in `plan.py`."""
 
-    def __init__(self, how: str):
-        super().__init__(how)
-        self.how = how
+    def __init__(self, reason: str):
+        super().__init__(reason)
+        self.reason = reason
 
 
 class BandwidthLimiter:
-    """Bytes a second over all that a host fetches; 0: no bound."""
+    """Limits the bandwidth of all fetches of a host. `bytes_a_second` 0: no limit."""
 
     def __init__(self, loop, bytes_a_second: int):
-        self.loop, self.rate, self.free_at = loop, bytes_a_second, 0
+        self.loop, self.rate, self.idle_at = loop, bytes_a_second, 0
 
     def throttle(self, size: int):
+        """Waits until `size` more bytes are within the limit."""
         if self.rate:
             now = self.loop.now()
-            self.free_at = max(self.free_at, now) + size * 1_000_000 // self.rate
-            if self.free_at > now:
-                yield Sleep(self.free_at - now)
+            self.idle_at = max(self.idle_at, now) + size * 1_000_000 // self.rate
+            if self.idle_at > now:
+                yield Sleep(self.idle_at - now)
 
 
 class Fetcher:
-    """`sources`: addresses (host, port). `least_rate`: bytes a second below which a source counts as slow."""
+    """Fetches manifests and chunks into a store.
+
+    `sources`: addresses (host, port); `random_below(n)`: a random integer below n; `rate`: bandwidth limit in
+    bytes a second, 0 for none; `min_rate`: bytes a second below which a source counts as slow; `dial_time`,
+    `grace_time`: microseconds, the latter is added to the time limit of each chunk.
+    """
 
     def __init__(
         self,
         loop,
         store: Store,
         sources: list,
-        chance,
+        random_below,
         rate: int = 0,
         dial_time: int = 500_000,
-        least_rate: int = 64 << 10,
-        grace: int = 2_000_000,
+        min_rate: int = 64 << 10,
+        grace_time: int = 2_000_000,
     ):
-        self.loop, self.store, self.sources, self.chance = loop, store, sources, chance
-        self.rate, self.dial_time, self.least_rate, self.grace = (
+        self.loop, self.store, self.sources, self.random_below = loop, store, sources, random_below
+        self.rate, self.dial_time, self.min_rate, self.grace_time = (
             BandwidthLimiter(loop, rate),
             dial_time,
-            least_rate,
-            grace,
+            min_rate,
+            grace_time,
         )
-        self.parts, self.bytes, self.lost = {}, 0, {}
+        self.partial_chunks, self.received_bytes, self.failures = {}, 0, {}
 
-    def fetch_manifest(self, build: int, most: int):
-        """The bytes of a build's manifest, unchecked, from the first source that has it. Raises
-        FetchFailed."""
-        wrong = "no source"
+    def fetch_manifest(self, build: int, max_bytes: int):
+        """The unverified bytes of a build's manifest, from the first source with it. Raises FetchError."""
+        failure = "no source"
         for source in self.sources:
             try:
-                with Deadline(self.loop, self.dial_time + self.grace):
-                    return (yield from self.fetch_body(source, f"/builds/{build}", bytearray(), None, most))
-            except (ChunkRequestError, DeadlineExceededError) as trouble:
-                wrong = f"{source[0]}:{source[1]}: {trouble}"
-        raise FetchError(f"manifest of build {build}: {wrong}")
+                with Deadline(self.loop, self.dial_time + self.grace_time):
+                    return (
+                        yield from self.fetch_body(source, f"/builds/{build}", bytearray(), None, max_bytes)
+                    )
+            except (ChunkRequestError, DeadlineExceededError) as error:
+                failure = f"{source[0]}:{source[1]}: {error}"
+        raise FetchError(f"manifest of build {build}: {failure}")
 
     def fetch_chunks(self, manifest: Manifest):
-        """All chunks that the store lacks. Raises FetchError, or StoreFullError of the store; what has come
-        stays."""
+        """Fetches all chunks that the store lacks. Chunks that have arrived stay after a failure.
+
+        Raises FetchError, or StoreFullError of the store.
+        """
         missing = self.store.missing_chunks(manifest)
         self.store.check_room(sum(missing.values()))
-        plan, ended, tasks = FetchPlan(missing, self.sources, self.chance), Queue(1024), {}
+        plan, finished_chunks, tasks = FetchPlan(missing, self.sources, self.random_below), Queue(1024), {}
         try:
             while True:
                 step = plan.next_step(self.loop.now())
                 if step is None:
-                    name, how, trouble = yield from ended.get()
+                    name, reason, error = yield from finished_chunks.get()
                     del tasks[name]
-                    if trouble is not None:
-                        raise trouble
-                    if how is None:
+                    if error is not None:
+                        raise error
+                    if reason is None:
                         plan.chunk_received(name)
                     else:
-                        self.lost[how] = self.lost.get(how, 0) + 1
-                        plan.chunk_failed(self.loop.now(), name, how, len(self.parts.get(name, b"")))
+                        self.failures[reason] = self.failures.get(reason, 0) + 1
+                        plan.chunk_failed(
+                            self.loop.now(), name, reason, len(self.partial_chunks.get(name, b""))
+                        )
                 elif step[0] == "get":
                     chunk = step[1]
                     tasks[chunk.name] = self.loop.spawn(
-                        self.fetch_chunk(chunk, step[2], ended), f"chunk-{chunk.name[:8]}"
+                        self.fetch_chunk(chunk, step[2], finished_chunks), f"chunk-{chunk.name[:8]}"
                     )
                 elif step[0] == "wait":
                     yield Sleep(step[1] - self.loop.now())
@@ -123,68 +134,79 @@
             for task in tasks.values():
                 task.cancel()
 
-    def fetch_chunk(self, chunk, source, ended):
-        """A task for one chunk of one source; puts (name, how it was lost or None, another exception)."""
-        part, how, trouble = self.parts.setdefault(chunk.name, bytearray()), None, None
+    def fetch_chunk(self, chunk, source, finished_chunks):
+        """A task that fetches one chunk from one source.
+
+        Puts (name, reason of the failure or None, exception that ends the whole fetch or None) into
+        `finished_chunks`.
+        """
+        received, reason, error = self.partial_chunks.setdefault(chunk.name, bytearray()), None, None
         try:
-            with Deadline(self.loop, self.grace + chunk.size * 1_000_000 // self.least_rate):
-                yield from self.fetch_body(source, f"/chunks/{chunk.name}", part, chunk.size, chunk.size)
-            data = bytes(self.parts.pop(chunk.name))
+            with Deadline(self.loop, self.grace_time + chunk.size * 1_000_000 // self.min_rate):
+                yield from self.fetch_body(source, f"/chunks/{chunk.name}", received, chunk.size, chunk.size)
+            data = bytes(self.partial_chunks.pop(chunk.name))
             self.store.put_chunk(chunk.name, data)
         except DeadlineExceededError:
-            how = "slow"
-        except ChunkRequestError as no:
-            how = no.how
+            reason = "slow"
+        except ChunkRequestError as refusal:
+            reason = refusal.reason
         except DigestMismatchError:
-            how = "digest"
-        except Exception as other:  # the store's: ends the fetch
-            trouble = other
-        if how in ("digest", "length", "redirect"):
-            self.parts.pop(chunk.name, None)
-        yield from ended.put((chunk.name, how, trouble))
-
-    def fetch_body(self, source, path, part: bytearray, size: int | None, most: int):
-        """Goes on after what `part` holds. Raises ChunkRequestError."""
-        for _ in range(REDIRECTS + 1):
-            where = yield from self.request_once(source, path, part, size, most)
-            if where is None:
-                return bytes(part)
-            url = urlsplit(where)
+            reason = "digest"
+        except Exception as store_error:  # an error of the store ends the whole fetch
+            error = store_error
+        if reason in ("digest", "length", "redirect"):
+            self.partial_chunks.pop(chunk.name, None)
+        yield from finished_chunks.put((chunk.name, reason, error))
+
+    def fetch_body(self, source, path, received: bytearray, size: int | None, max_bytes: int):
+        """Fetches a body, resuming after the bytes in `received`, and follows redirects.
+
+        `size`: expected length, None where unknown; `max_bytes`: limit of the length. Raises
+        ChunkRequestError.
+        """
+        for _ in range(MAX_REDIRECTS + 1):
+            location = yield from self.request_once(source, path, received, size, max_bytes)
+            if location is None:
+                return bytes(received)
+            url = urlsplit(location)
             if url.netloc:
-                known = [s for s in self.sources if f"{s[0]}:{s[1]}" == url.netloc]
-                if not known:
-                    raise ChunkRequestError("redirect")  # to nobody that we know
-                source = known[0]
+                matching_sources = [s for s in self.sources if f"{s[0]}:{s[1]}" == url.netloc]
+                if not matching_sources:
+                    raise ChunkRequestError("redirect")  # to an unknown host
+                source = matching_sources[0]
             path = url.path
         raise ChunkRequestError("redirect")
 
-    def request_once(self, source, path, part, size, most):
-        """One request; None when the body is whole, else where it is said to be."""
+    def request_once(self, source, path, received, size, max_bytes):
+        """Sends one request; None once the body is complete, else the location of a redirect.
+
+        Raises ChunkRequestError.
+        """
         try:
             connection = yield from dial(self.loop, source, self.dial_time)
         except (RefusedError, UnreachableError, HandlesExhaustedError, DeadlineExceededError):
             raise ChunkRequestError("refused") from None
         try:
-            start = len(part)
+            start = len(received)
             fields = [(b"host", f"{source[0]}:{source[1]}".encode()), (b"connection", b"close")]
             if start:
                 fields.append((b"range", b"bytes=%d-" % start))
             yield from connection.write(http1.request("GET", path, fields))
-            parser = http1.ResponseParser(http1.MessageLimits(body=most + 1))
+            parser = http1.ResponseParser(http1.MessageLimits(body=max_bytes + 1))
             while True:
                 data = yield from connection.read()
                 for kind, value in parser.feed(data) if data else parser.closed():
                     if kind == "head":
                         if value.status in (301, 302, 307, 308):
                             return (value.get(b"location") or b"").decode("latin-1")
-                        self.check_response(value, part, size)
+                        self.check_response(value, received, size)
                     elif kind == "body":
-                        part += value
-                        self.bytes += len(value)
-                        if len(part) > (most if size is None else size):
+                        received += value
+                        self.received_bytes += len(value)
+                        if len(received) > (max_bytes if size is None else size):
                             raise ChunkRequestError("length")
                         yield from self.rate.throttle(len(value))
-                    elif size is not None and len(part) != size:
+                    elif size is not None and len(received) != size:
                         raise ChunkRequestError("length")
                     else:
                         return None
@@ -192,23 +214,25 @@
             raise ChunkRequestError("cut") from None
         except ConnectionLostError:
             raise ChunkRequestError("cut") from None
-        except http1.HttpMessageError as trouble:
-            raise ChunkRequestError("length" if trouble.status == 413 else "status") from None
+        except http1.HttpMessageError as error:
+            raise ChunkRequestError("length" if error.status == 413 else "status") from None
         finally:
             connection.close()
 
     @staticmethod
-    def check_response(head, part, size):
-        """Raises ChunkRequestError where the answer is not what was asked for; a source without ranges begins
-        anew."""
-        if head.status == 206 and part:
-            said = head.get(b"content-range") or b""
-            if not said.startswith(b"bytes %d-" % len(part)):
+    def check_response(head, received, size):
+        """Raises ChunkRequestError where the response does not match the request.
+
+        A source without range support sends the whole body, so `received` is cleared.
+        """
+        if head.status == 206 and received:
+            content_range = head.get(b"content-range") or b""
+            if not content_range.startswith(b"bytes %d-" % len(received)):
                 raise ChunkRequestError("length")
         elif head.status == 200:
-            part.clear()
+            received.clear()
         else:
             raise ChunkRequestError("status")
         length = head.get(b"content-length")
-        if size is not None and length is not None and int(length) != size - len(part):
+        if size is not None and length is not None and int(length) != size - len(received):
             raise ChunkRequestError("length")
--- a/cobaltpond/builds/manifest.py
+++ b/cobaltpond/builds/manifest.py
@@ -1,12 +1,12 @@
-"""The manifest of a build, and the keys that vouch for it. Free of I/O.
+"""Signed manifests of builds and the key rings that verify them, free of I/O.
 
     cobaltpond-manifest-1 <bytes of the body>
     <body: one JSON object>
     sig <key id> <base64 of the Ed25519 signature (RFC 8032) over the first two lines>
 
-One good signature of a key that is in its time is enough; others may stand beside it, so that keys can be
-rotated. Each way in which a manifest is unfit has its own error: what a host refuses, and why, must be told
-apart.
+One valid signature of a key within its validity period is enough; more signatures may be present, so that
+keys can be rotated. Each reason to reject a manifest has its own error, so that a host's report shows why it
+refused one.
 """
 
 import base64
@@ -27,77 +27,79 @@
 
 
 class ManifestError(Exception):
-    """A manifest or key ring that is not taken."""
+    """A manifest or key ring is rejected."""
 
     outer_name = "Unfit"
 
 
 class OversizedError(ManifestError):
-    """Larger than a manifest may be, or a build larger than the host takes."""
+    """The manifest is larger than allowed, or the build larger than the host accepts."""
 
     outer_name = "Oversized"
 
 
 class TruncatedError(ManifestError):
-    """Shorter than it says."""
+    """The document is shorter than its first line announces."""
 
     outer_name = "Truncated"
 
 
 class MalformedError(ManifestError):
-    """Not of this form, or at odds with itself."""
+    """The document does not have the expected format, or is inconsistent."""
 
     outer_name = "Malformed"
 
 
 class UnsignedError(ManifestError):
-    """No signature at all."""
+    """The document has no signature."""
 
     outer_name = "Unsigned"
 
 
 class UnknownKeyError(ManifestError):
-    """Signed, but by nobody known."""
+    """All signatures are of unknown keys."""
 
     outer_name = "UnknownKey"
 
 
 class KeyValidityError(ManifestError):
-    """Signed by a known key before or after its time."""
+    """The document is signed by a known key outside its validity period."""
 
     outer_name = "KeyOutOfTime"
 
 
 class BadSignatureError(ManifestError):
-    """The signature of a known key does not fit these bytes."""
+    """The signature of a known key does not match the document."""
 
     outer_name = "WronglySigned"
 
 
 class ExpiredError(ManifestError):
-    """Past the time up to which it may be used."""
+    """The manifest has passed its expiry time."""
 
     outer_name = "Expired"
 
 
 class DowngradeError(ManifestError):
-    """An earlier build, or an earlier key ring, than what is held."""
+    """The build or key ring is older than the current one."""
 
     outer_name = "Downgraded"
 
 
 class WrongBuildError(ManifestError):
-    """Sound, but not the build that was ordered."""
+    """The manifest is valid, but of another build than the ordered one."""
 
     outer_name = "WrongBuild"
 
 
 def content_digest(data: bytes) -> str:
-    """BLAKE2b with 32 bytes, in hex: the name of a chunk and of a manifest."""
+    """BLAKE2b digest of 32 bytes in hex: the name of a chunk and of a manifest."""
     return hashlib.blake2b(data, digest_size=32).hexdigest()
 
 
 class BuildFile(Struct, frozen=True, forbid_unknown_fields=True):
+    """A file of a build. `size`: bytes; `chunks`: digests in order; `mode`: permission bits."""
+
     path: Annotated[str, Meta(min_length=1, max_length=400)]
     size: Whole
     chunks: list[Digest]
@@ -105,14 +107,18 @@
 
 
 class EarlierBuild(Struct, frozen=True, forbid_unknown_fields=True):
-    """The build that a host returns to when this one is taken back."""
+    """The build that a host returns to when this one is rolled back."""
 
     build: Whole
     content_digest: Digest
 
 
 class Manifest(Struct, frozen=True, forbid_unknown_fields=True):
-    """`made` and `expires` in seconds since 1970; `chunk`: bytes of each chunk of a file but its last."""
+    """The contents of a build and how to run it.
+
+    `made`, `expires`: seconds since 1970; `chunk`: size in bytes of each chunk of a file but its last;
+    `entry`: command line, the first word is a file of the build; `health`: path of the health probe.
+    """
 
     build: Annotated[int, Meta(ge=1, lt=65536)]
     made: Whole
@@ -125,10 +131,11 @@
 
     @property
     def size(self) -> int:
+        """Bytes of all files."""
         return sum(file.size for file in self.files)
 
     def chunks(self) -> dict[str, int]:
-        """Digest to size of every distinct chunk, in order."""
+        """Maps the digest of every distinct chunk to its size in bytes, in order."""
         found = {}
         for file in self.files:
             for n, name in enumerate(file.chunks):
@@ -137,8 +144,7 @@
 
 
 def check_coherence(manifest: Manifest) -> None:
-    """Raises MalformedError where the parts do not fit together, or a path would lead out of the build's
-    folder."""
+    """Raises MalformedError where the fields are inconsistent, or a path leads out of the build's folder."""
     seen, sizes = set(), {}
     for file in manifest.files:
         parts = file.path.split("/")
@@ -162,7 +168,7 @@
 
 
 class SigningKey(Struct, frozen=True, forbid_unknown_fields=True):
-    """`public`: 32 bytes as base64; in its time from `since` up to `until`, seconds since 1970."""
+    """A trusted key. `public`: 32 bytes as base64; valid in [`since`, `until`), seconds since 1970."""
 
     id: Annotated[str, Meta(pattern="^[A-Za-z0-9_.-]{1,40}$")]
     public: str
@@ -171,17 +177,19 @@
 
 
 class KeyRing(Struct, frozen=True, forbid_unknown_fields=True):
-    """The keys that a host trusts. A new ring comes signed by a key of the old one and has a higher
-    version."""
+    """The keys that a host trusts. A new ring is signed by a key of the old one and has a higher version."""
 
     version: Whole
     keys: list[SigningKey]
 
     def verify_signatures(self, now: int, signed: bytes, signatures: list[tuple[str, bytes]]) -> str:
-        """The id of a key whose signature holds. Raises the error that comes nearest to one that does."""
+        """The id of a key with a valid signature. `now`: seconds since 1970.
+
+        Raises the subclass of ManifestError that is closest to a valid signature.
+        """
         if not signatures:
             raise UnsignedError("no signature")
-        known, wrong = {key.id: key for key in self.keys}, UnknownKeyError("signed by nobody known")
+        known, nearest_error = {key.id: key for key in self.keys}, UnknownKeyError("signed by nobody known")
         for id, signature in signatures:
             key = known.get(id)
             if key is None:
@@ -191,44 +199,48 @@
                     signature, signed
                 )
             except (InvalidSignature, ValueError):
-                wrong = BadSignatureError(f"the signature of {id} does not fit")
+                nearest_error = BadSignatureError(f"the signature of {id} does not fit")
                 continue
             if key.since <= now < key.until:
                 return id
-            wrong = KeyValidityError(f"key {id} is in its time from {key.since} to {key.until}")
-        raise wrong
+            nearest_error = KeyValidityError(f"key {id} is in its time from {key.since} to {key.until}")
+        raise nearest_error
 
 
 def sign_document(magic: bytes, body: bytes, signers: dict[str, Ed25519PrivateKey]) -> bytes:
+    """The signed document of a body, with a signature line for each signer (key id -> key)."""
     signed = b"%s %d\n%s\n" % (magic, len(body), body)
     return signed + b"".join(
         b"sig %s %s\n" % (id.encode(), base64.b64encode(key.sign(signed))) for id, key in signers.items()
     )
 
 
-def parse_signed_document(magic: bytes, data: bytes, most: int) -> tuple[bytes, bytes, list]:
-    """(what is signed, body, signatures)."""
-    if len(data) > most:
-        raise OversizedError(f"{len(data)} bytes, {most} are allowed")
-    head, found, rest = data.partition(b"\n")
-    name, _, length = head.partition(b" ")
+def parse_signed_document(magic: bytes, data: bytes, max_bytes: int) -> tuple[bytes, bytes, list]:
+    """(signed bytes, body, [(key id, signature)]) of a signed document; signatures are not verified.
+
+    Raises OversizedError, TruncatedError or MalformedError.
+    """
+    if len(data) > max_bytes:
+        raise OversizedError(f"{len(data)} bytes, {max_bytes} are allowed")
+    first_line, found, rest = data.partition(b"\n")
+    name, _, length = first_line.partition(b" ")
     if name != magic or not length.isdigit() or len(length) > 9:
-        if not found and (magic + b" ").startswith(head[: len(magic) + 1]):
+        if not found and (magic + b" ").startswith(first_line[: len(magic) + 1]):
             raise TruncatedError("it ends in its first line")
         raise MalformedError("no such first line")
-    if int(length) > most:
-        raise OversizedError(f"a body of {int(length)} bytes, {most} are allowed")
-    body, tail = rest[: int(length)], rest[int(length) :]
+    if int(length) > max_bytes:
+        raise OversizedError(f"a body of {int(length)} bytes, {max_bytes} are allowed")
+    body, signature_lines = rest[: int(length)], rest[int(length) :]
     if (
         len(body) < int(length)
-        or not tail.startswith(b"\n")
-        and not tail
-        or tail
-        and not tail.endswith(b"\n")
+        or not signature_lines.startswith(b"\n")
+        and not signature_lines
+        or signature_lines
+        and not signature_lines.endswith(b"\n")
     ):
         raise TruncatedError(f"{len(data)} bytes, more were announced")
     signatures = []
-    for line in tail[1:].splitlines():
+    for line in signature_lines[1:].splitlines():
         words = line.split(b" ")
         try:
             if len(words) != 3 or words[0] != b"sig":
@@ -236,21 +248,23 @@
             signatures.append((words[1].decode(), base64.b64decode(words[2], validate=True)))
         except (ValueError, binascii.Error):
             raise MalformedError("a line that is no signature") from None
-    return data[: len(head) + 1 + int(length) + 1], body, signatures
+    return data[: len(first_line) + 1 + int(length) + 1], body, signatures
 
 
 def read_manifest(
     data: bytes, ring: KeyRing, now: int, ordered: int | None = None, least: int = 0, most_size: int = 4 << 30
 ) -> Manifest:
-    """A manifest that holds. `now`: seconds since 1970; `ordered`: the build that is meant; `least`: no
-    earlier one is taken. Signatures are checked before the body is read. Raises a subclass of
-    ManifestError."""
+    """The verified manifest in `data`. Signatures are verified before the body is parsed.
+
+    `now`: seconds since 1970; `ordered`: the expected build, None for any; `least`: the lowest build
+    accepted; `most_size`: maximum size of the build in bytes. Raises a subclass of ManifestError.
+    """
     signed, body, signatures = parse_signed_document(MAGIC, data, MAX_MANIFEST_BYTES)
     ring.verify_signatures(now, signed, signatures)
     try:
         manifest = msgspec.json.decode(body, type=Manifest)
-    except msgspec.DecodeError as trouble:
-        raise MalformedError(str(trouble)) from None
+    except msgspec.DecodeError as error:
+        raise MalformedError(str(error)) from None
     check_coherence(manifest)
     if manifest.size > most_size:
         raise OversizedError(f"a build of {manifest.size} bytes, {most_size} are allowed")
@@ -264,57 +278,62 @@
 
 
 def read_stored_manifest(data: bytes) -> Manifest:
-    """One that was checked when it came and has been in the store since: neither keys nor times are asked
-    again. Guards against an earlier build that nobody can go back to, because its key was rotated out, or its
-    time passed, while it ran. What its tree holds is still checked. Raises MalformedError, TruncatedError or
-    Oversized."""
+    """The manifest in `data`, which was verified before it was stored; keys and expiry are not checked again.
+
+    Otherwise a rollback could fail because the earlier build's key was rotated out, or its manifest expired,
+    while it ran. Its files are still verified. Raises MalformedError, TruncatedError or OversizedError.
+    """
     _, body, _ = parse_signed_document(MAGIC, data, MAX_MANIFEST_BYTES)
     try:
         manifest = msgspec.json.decode(body, type=Manifest)
-    except msgspec.DecodeError as trouble:
-        raise MalformedError(str(trouble)) from None
+    except msgspec.DecodeError as error:
+        raise MalformedError(str(error)) from None
     check_coherence(manifest)
     return manifest
 
 
 def write_manifest(manifest: Manifest, signers: dict[str, Ed25519PrivateKey]) -> bytes:
+    """The signed document of a manifest."""
     return sign_document(MAGIC, msgspec.json.encode(manifest), signers)
 
 
-def read_next_ring(held: KeyRing, data: bytes, now: int) -> KeyRing:
-    """The ring that takes the place of the held one. Raises a subclass of ManifestError."""
+def read_next_ring(current_ring: KeyRing, data: bytes, now: int) -> KeyRing:
+    """The verified ring that replaces the current one. Raises a subclass of ManifestError."""
     signed, body, signatures = parse_signed_document(RING_MAGIC, data, 1 << 16)
     try:
         ring = msgspec.json.decode(body, type=KeyRing)
-    except msgspec.DecodeError as trouble:
-        raise MalformedError(str(trouble)) from None
-    if ring.version <= held.version:  # first: whoever signed an old one may be out of the ring by now
-        raise DowngradeError(f"key ring {ring.version}, {held.version} is held")
-    held.verify_signatures(now, signed, signatures)
+    except msgspec.DecodeError as error:
+        raise MalformedError(str(error)) from None
+    if ring.version <= current_ring.version:  # checked first: the signer of an old ring may have been removed
+        raise DowngradeError(f"key ring {ring.version}, {current_ring.version} is held")
+    current_ring.verify_signatures(now, signed, signatures)
     if not any(key.since <= now < key.until for key in ring.keys):
         raise KeyValidityError("a ring with no key in its time would lock the host out")
     return ring
 
 
-def apply_ring_chain(held: KeyRing, chain: list[bytes], now: int) -> tuple[KeyRing, list[bytes]]:
-    """(the ring that a chain of signed rings leads to, those of the chain that were taken). Each one is
-    signed by a key of the one before; those that are held already are passed over, so that a host that was
-    away for several rotations follows each of them. Raises a subclass of ManifestError at the first one that
-    does not hold."""
-    taken = []
+def apply_ring_chain(current_ring: KeyRing, chain: list[bytes], now: int) -> tuple[KeyRing, list[bytes]]:
+    """(last ring of a chain of signed rings, the accepted documents of the chain).
+
+    Each ring is signed by a key of the one before. Rings that are not newer are skipped, so that a host that
+    missed several rotations follows each of them. Raises a subclass of ManifestError at the first ring that
+    is not valid.
+    """
+    accepted = []
     for data in chain:
         try:
-            held = read_next_ring(held, data, now)
+            current_ring = read_next_ring(current_ring, data, now)
         except DowngradeError:
             continue
-        taken.append(data)
-    return held, taken
+        accepted.append(data)
+    return current_ring, accepted
 
 
 def write_ring(ring: KeyRing, signers: dict[str, Ed25519PrivateKey]) -> bytes:
+    """The signed document of a key ring."""
     return sign_document(RING_MAGIC, msgspec.json.encode(ring), signers)
 
 
 def split_chunks(data: bytes, size: int) -> list[bytes]:
-    """The chunks of a file."""
+    """The chunks of a file, `size` bytes each but the last."""
     return [data[n : n + size] for n in range(0, len(data), size)]
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Keys and signed builds for tests."""
+"""Signing keys and signed builds for tests."""
 
 import base64
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,5 +1,4 @@
-"""The agent's states and the desk's hosts, free of I/O: whatever happens, it ends where the last order
-says."""
+"""The agent's state machine and the desk's host orders, free of I/O: both converge to the last order."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,7 +7,7 @@
 from cobaltpond.agent.states import DESIRED_STATES, EVENTS, MAX_CRASHES, STATES, TABLE, BuildSlot, BuildSlots
 from cobaltpond.desk.hosts import HostOrders
 
-# for each state the events that change nothing; with the table's they must be all there are
+# The events that each state ignores; with those of the table they must be all events.
 IGNORED = {
     "absent": "gone fetched unfetched checked unsound ready late exited drained overdue rested steady",
     "fetching": "run keep checked unsound ready late exited drained overdue rested steady",
@@ -24,7 +23,7 @@
 
 
 @pytest.mark.parametrize("state", STATES)
-def test_every_pair_of_state_and_event_is_defined(state):
+def test_every_state_handles_every_event(state):
     assert sorted([*TABLE[state], *IGNORED[state].split()]) == sorted(EVENTS)
     for event in IGNORED[state].split():
         slot = BuildSlot(1)
@@ -33,71 +32,77 @@
         assert slot.handle_event(event) == [] and (slot.state, slot.crashes) == (state, before)
 
 
-class World:
-    """Carries out actions as a host would: each step takes some ticks, may fail, or never come to an end."""
+class HostModel:
+    """Model of a host that executes actions: each takes some ticks, and may fail or hang."""
 
     def __init__(self, faults):
-        self.place, self.due, self.now, self.processes, self.faults = BuildSlots(), [], 0, {}, list(faults)
+        self.build_slots, self.pending_events, self.now, self.processes, self.faults = (
+            BuildSlots(),
+            [],
+            0,
+            {},
+            list(faults),
+        )
         self.listed, self.most_at_once = {}, 0
 
     def fault(self):
         return self.faults.pop(0) if self.faults else "fine"
 
-    def later(self, ticks, build, event):
-        self.due.append((self.now + ticks, build, event))
+    def schedule(self, ticks, build, event):
+        self.pending_events.append((self.now + ticks, build, event))
 
     def act(self, actions):
         for build, action in actions:
             if action == "fetch":
-                self.later(2, build, "unfetched" if self.fault() == "fail" else "fetched")
+                self.schedule(2, build, "unfetched" if self.fault() == "fail" else "fetched")
             elif action == "check":
-                self.later(1, build, "unsound" if self.fault() == "fail" else "checked")
+                self.schedule(1, build, "unsound" if self.fault() == "fail" else "checked")
             elif action == "start":
                 assert build not in self.processes, "a build started twice"
                 self.processes[build] = fault = self.fault()
-                self.later(2, build, {"fine": "ready", "fail": "exited", "hang": "late"}[fault])
+                self.schedule(2, build, {"fine": "ready", "fail": "exited", "hang": "late"}[fault])
             elif action == "stop":
                 if self.processes.get(build) != "hang":
-                    self.later(1, build, "exited")
+                    self.schedule(1, build, "exited")
             elif action == "kill":
-                self.later(1, build, "exited")
+                self.schedule(1, build, "exited")
             elif action.startswith("wait"):
-                self.later(3, build, action.split()[1])
+                self.schedule(3, build, action.split()[1])
             elif action.startswith("list"):
                 self.listed[build] = action.split()[1]
 
     def run(self, ticks):
         for _ in range(ticks):
             self.now += 1
-            for entry in [e for e in self.due if e[0] <= self.now]:
-                if entry not in self.due:
+            for entry in [e for e in self.pending_events if e[0] <= self.now]:
+                if entry not in self.pending_events:
                     continue
-                self.due.remove(entry)
+                self.pending_events.remove(entry)
                 _, build, event = entry
                 if event == "exited":
                     if build not in self.processes:
                         continue
                     del self.processes[build]
-                    over = [(build, e) for e in ("ready", "late", "exited")]
-                    self.due = [e for e in self.due if e[1:] not in over]
-                self.act(self.place.handle_event(build, event))
+                    stale_events = [(build, e) for e in ("ready", "late", "exited")]
+                    self.pending_events = [e for e in self.pending_events if e[1:] not in stale_events]
+                self.act(self.build_slots.handle_event(build, event))
 
     def restart(self):
-        """The agent dies and comes back: it knows the order and which of its processes live, nothing else."""
-        old, self.place = self.place, BuildSlots()
-        self.due = [e for e in self.due if e[2] == "exited" and e[1] in self.processes]
-        self.place.generation = old.generation
+        """Restarts the agent, which then knows only its order and the processes that still run."""
+        old, self.build_slots = self.build_slots, BuildSlots()
+        self.pending_events = [e for e in self.pending_events if e[2] == "exited" and e[1] in self.processes]
+        self.build_slots.generation = old.generation
         for build, slot in old.slots.items():
-            new = self.place.slots[build] = BuildSlot(build)
+            new = self.build_slots.slots[build] = BuildSlot(build)
             new.desired = slot.desired
             if build in self.processes:
                 actions = new.adopt(self.listed.get(build) in ("up", "draining"))
                 if new.state == "starting":
-                    self.later(1, build, "ready" if self.processes[build] != "hang" else "late")
+                    self.schedule(1, build, "ready" if self.processes[build] != "hang" else "late")
             else:
                 actions = new.handle_event(slot.desired)
             self.act([(build, action) for action in actions])
-        self.place.drop_absent()
+        self.build_slots.drop_absent()
 
 
 ORDER = st.dictionaries(st.sampled_from([1, 2]), st.sampled_from(DESIRED_STATES), max_size=2)
@@ -115,36 +120,36 @@
     st.lists(st.sampled_from(["fine", "fine", "fail", "hang"]), max_size=8),
     st.sampled_from([{1: "run"}, {1: "run", 2: "keep"}, {2: "run"}, {}, {1: "gone", 2: "run"}]),
 )
-def test_orders_faults_and_crashes_end_where_the_last_order_says(steps, faults, last):
-    world, generation = World(faults), 0
-    for what, value in steps:
-        if what == "order":
+def test_host_converges_to_the_last_order_after_faults_and_crashes(steps, faults, last_order):
+    host, generation = HostModel(faults), 0
+    for action, value in steps:
+        if action == "order":
             generation += 1
-            world.act(world.place.apply_order(generation, value))
-        elif what == "old order":
-            assert world.place.apply_order(min(generation, world.place.generation), value) == []
-        elif what == "restart":
-            world.restart()
+            host.act(host.build_slots.apply_order(generation, value))
+        elif action == "old order":
+            assert host.build_slots.apply_order(min(generation, host.build_slots.generation), value) == []
+        elif action == "restart":
+            host.restart()
         else:
-            world.run(value)
-    world.faults = []  # from here on nothing fails any more
-    world.act(world.place.apply_order(generation + 1, last))
-    world.run(60)
-    world.act(
-        world.place.apply_order(generation + 2, last)
-    )  # and what had failed for good is ordered once more
-    world.run(60)
-    running = {build for build, wish in last.items() if wish == "run"}
-    assert set(world.processes) == running, (world.place.slots, world.processes)
-    assert {b for b, state in world.listed.items() if state == "up"} == running
-    assert world.place.is_order_complete()
-
-
-def test_a_build_that_crashes_again_and_again_rests_longer_and_then_fails():
-    world = World(["fine", "fine", *["fail"] * 20])
-    world.act(world.place.apply_order(1, {1: "run"}))
-    slot = world.place.slots[1]
-    world.run(60)
+            host.run(value)
+    host.faults = []  # no faults from here on
+    host.act(host.build_slots.apply_order(generation + 1, last_order))
+    host.run(60)
+    host.act(
+        host.build_slots.apply_order(generation + 2, last_order)
+    )  # a new order also retries failed builds
+    host.run(60)
+    running = {build for build, desired_state in last_order.items() if desired_state == "run"}
+    assert set(host.processes) == running, (host.build_slots.slots, host.processes)
+    assert {b for b, state in host.listed.items() if state == "up"} == running
+    assert host.build_slots.is_order_complete()
+
+
+def test_repeated_crashes_back_off_and_then_fail():
+    host = HostModel(["fine", "fine", *["fail"] * 20])
+    host.act(host.build_slots.apply_order(1, {1: "run"}))
+    slot = host.build_slots.slots[1]
+    host.run(60)
     assert (slot.state, slot.crashes) == ("failed", MAX_CRASHES)
     assert [BuildSlot.restart_delay(type("S", (), {"crashes": n})) for n in (1, 2, 3, 9)] == [
         250_000,
@@ -154,33 +159,33 @@
     ]
 
 
-def test_crashes_with_long_times_between_them_are_no_row():
-    world = World([])
-    world.act(world.place.apply_order(1, {1: "run"}))
+def test_crashes_long_apart_do_not_add_up():
+    host = HostModel([])
+    host.act(host.build_slots.apply_order(1, {1: "run"}))
     for _ in range(3 * MAX_CRASHES):
-        world.run(20)
-        assert world.place.slots[1].state == "up"
-        world.later(0, 1, "exited")
+        host.run(20)
+        assert host.build_slots.slots[1].state == "up"
+        host.schedule(0, 1, "exited")
 
 
 @pytest.mark.parametrize("ticks", range(0, 9))
-def test_taken_back_at_any_moment_without_waiting(ticks):
-    """From the order to the last process: at most a drain and an exit, whatever was under way."""
-    world = World([])
-    world.act(world.place.apply_order(1, {1: "run"}))
-    world.run(20)
-    world.act(world.place.apply_order(2, {1: "run", 2: "run"}))
-    world.run(ticks)
-    world.act(world.place.apply_order(3, {1: "run"}))
-    world.run(6)
+def test_rollback_at_any_moment_needs_only_drain_and_exit(ticks):
+    """A rollback must not wait for a step in progress: it takes at most the time of a drain and an exit."""
+    host = HostModel([])
+    host.act(host.build_slots.apply_order(1, {1: "run"}))
+    host.run(20)
+    host.act(host.build_slots.apply_order(2, {1: "run", 2: "run"}))
+    host.run(ticks)
+    host.act(host.build_slots.apply_order(3, {1: "run"}))
+    host.run(6)
     assert (
-        set(world.processes) == {1}
-        and world.listed.get(2) in (None, "gone")
-        and world.place.is_order_complete()
+        set(host.processes) == {1}
+        and host.listed.get(2) in (None, "gone")
+        and host.build_slots.is_order_complete()
     )
 
 
-def told(place, generation, done=True, **slots):
+def host_report(place, generation, done=True, **slots):
     return {
         "place": place,
         "generation": generation,
@@ -192,30 +197,30 @@
     }
 
 
-def test_hosts_that_are_slow_silent_or_run_something_else():
+def test_host_orders_with_slow_silent_and_unordered_hosts():
     hosts = HostOrders(["p", "q", "r"], max_changing=2)
     assert hosts.apply_orders(0, [("start", p, 2) for p in ("p", "q", "r")]) == [
         "p",
         "q",
-    ]  # no more than two at once
+    ]  # at most two places change at once
     assert hosts.order_for("p", {1}) == {"place": "p", "generation": 1, "wishes": {"1": "keep", "2": "run"}}
-    assert hosts.apply_report(1, told("p", 1, b2="up")) == [("p/2", "p", 2, "up")]
-    assert hosts.apply_report(1, told("q", 1, False, b2="fetching")) == [("q/2", "q", 2, "starting")]
-    assert hosts.apply_report(1, told("q", 1, b2="failed")) == []
+    assert hosts.apply_report(1, host_report("p", 1, b2="up")) == [("p/2", "p", 2, "up")]
+    assert hosts.apply_report(1, host_report("q", 1, False, b2="fetching")) == [("q/2", "q", 2, "starting")]
+    assert hosts.apply_report(1, host_report("q", 1, b2="failed")) == []
     assert hosts.missing_places(2) == [("q", 2, "failed: w")]
     assert hosts.apply_orders(9_000_000, [("start", "q", 2)]) == []
-    assert hosts.apply_orders(11_000_000, [("start", "q", 2)]) == [
-        "q"
-    ]  # tried again: it may have been the sources
+    assert hosts.apply_orders(11_000_000, [("start", "q", 2)]) == ["q"]  # retried: the sources may work now
     assert hosts.apply_orders(2, [("start", "r", 2)]) == ["r"]
     assert ("r", 2, "the host is silent") in hosts.missing_places(2)
-    assert hosts.apply_orders(3, [("stop", "p/2"), ("drain", "q/2")]) == ["p", "q"]  # going never waits
+    assert hosts.apply_orders(3, [("stop", "p/2"), ("drain", "q/2")]) == ["p", "q"]  # removals never wait
     assert hosts.apply_orders(3, [("stop", "p/2")]) == [] and hosts.hosts["p"].generation == 2
-    again = HostOrders(["p"])
-    again.apply_report(5, told("p", 7, b3="up"))
-    assert again.adopt_running("p") and not again.adopt_running("p")
-    again.apply_orders(6, [("stop", "p/3")])
-    assert again.order_for("p", set())["generation"] > 7  # never one that the host has heard
+    restarted = HostOrders(["p"])
+    restarted.apply_report(5, host_report("p", 7, b3="up"))
+    assert restarted.adopt_running("p") and not restarted.adopt_running("p")
+    restarted.apply_orders(6, [("stop", "p/3")])
+    assert (
+        restarted.order_for("p", set())["generation"] > 7
+    )  # must exceed the generation that the host reported
     assert (
         HostOrders(["p"], epoch=2).order_for("p", set())["generation"]
         > HostOrders(["p"], epoch=1).order_for("p", set())["generation"]
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -1,4 +1,4 @@
-"""Manifests, the store and the journal under cut power, fetching from sources that misbehave."""
+"""Manifests and key rings; the store and the journal after power loss, corruption and a full disk."""
 
 import errno
 import os
@@ -30,60 +30,60 @@
 from cobaltpond.wal import Journal, JournalError
 
 
-def changed(data, old, new):
+def replace_once(data, old, new):
     assert old in data
     return data.replace(old, new, 1)
 
 
 @pytest.mark.parametrize(
-    "data, error, more",
+    "data, expected_error, more",
     [
         (GOOD, OversizedError, {"most_size": 1000}),
         (b"x" * (9 << 20), OversizedError, {}),
-        (changed(GOOD, b"-1 ", b"-1 9999"), OversizedError, {}),
+        (replace_once(GOOD, b"-1 ", b"-1 9999"), OversizedError, {}),
         (GOOD[:15], TruncatedError, {}),
         (GOOD[:300], TruncatedError, {}),
         (GOOD[:-10], TruncatedError, {}),
         (GOOD[: GOOD.index(b"sig ")], UnsignedError, {}),
-        (changed(GOOD, b"sig one", b"sig who"), UnknownKeyError, {}),
+        (replace_once(GOOD, b"sig one", b"sig who"), UnknownKeyError, {}),
         (build(signers=("old",))[0], KeyValidityError, {}),
-        (changed(GOOD, b'"build":42', b'"build":43'), BadSignatureError, {}),
+        (replace_once(GOOD, b'"build":42', b'"build":43'), BadSignatureError, {}),
         (GOOD[:-60] + b"A" * 59 + b"\n", BadSignatureError, {}),
         (GOOD, ExpiredError, {"now": 950}),
         (GOOD, DowngradeError, {"least": 43}),
         (GOOD, WrongBuildError, {"ordered": 41}),
         (b"hello\nworld\n", MalformedError, {}),
-        (changed(GOOD, b"sig one", b"sog one"), MalformedError, {}),
+        (replace_once(GOOD, b"sig one", b"sog one"), MalformedError, {}),
         (build(files={"../up": b"x"})[0], MalformedError, {}),
         (build(files={"a": b"x", "a/b": b"y"})[0], MalformedError, {}),
         (build(entry=["nope"])[0], MalformedError, {}),
         (build(earlier=(42, "0" * 64))[0], MalformedError, {}),
     ],
 )
-def test_each_unfit_manifest_has_its_own_error(data, error, more):
-    with pytest.raises(ManifestError) as trouble:
+def test_each_invalid_manifest_raises_its_own_error(data, expected_error, more):
+    with pytest.raises(ManifestError) as raised:
         read_manifest(data, RING, **{"now": 500, **more})
-    assert type(trouble.value) is error, trouble.value
+    assert type(raised.value) is expected_error, raised.value
 
 
-def test_a_good_manifest_and_one_that_two_keys_signed():
+def test_valid_manifest_with_one_and_two_signatures():
     assert read_manifest(GOOD, RING, 500, ordered=42, least=42).size == sum(map(len, FILES.values()))
     assert read_manifest(build(signers=("two", "one"))[0], RING, 500).build == 42
 
 
 @fixed
 @given(st.integers(0, len(GOOD) - 1), st.integers(0, 255))
-def test_no_flipped_byte_passes(at, byte):
+def test_manifest_with_a_flipped_byte_is_rejected(at, byte):
     data = GOOD[:at] + bytes([byte]) + GOOD[at + 1 :]
     try:
         read_manifest(data, RING, 500)
     except ManifestError:
         return
-    # the last bits of base64 may be anything (RFC 4648, 3.5): the body is the same then
+    # The unused last bits of base64 are ignored (RFC 4648, 3.5); the signed part must be unchanged.
     assert data[: data.index(b"sig ")] == GOOD[: GOOD.index(b"sig ")]
 
 
-def test_keys_are_rotated_by_keys_that_are_trusted():
+def test_key_ring_rotation_requires_a_trusted_key():
     new = KeyRing(2, [key("two", 0, 5000)])
     assert read_next_ring(RING, write_ring(new, {"one": KEYS["one"]}), 500) == new
     for ring, signer, now, error in (
@@ -98,31 +98,33 @@
         read_manifest(GOOD, new, 500)
 
 
-# --- power cuts ---------------------------------------------------------------------------------------------
+# --- power loss ---------------------------------------------------------------------------------------------
 
 
-class PowerCut(BaseException):
+class PowerLossError(BaseException):
     pass
 
 
-class CutKernel(EpollKernel):
-    """Cuts the power at the n-th change of the disk, half of it done; what was not synced of a growing file
-    goes."""
+class PowerLossKernel(EpollKernel):
+    """Loses power at the n-th disk operation.
+
+    A write is then half done, and half of the unsynced bytes of each append file are lost.
+    """
 
     def __init__(self, at):
         super().__init__()
-        self.left, self.growing = at, []
+        self.remaining, self.growing = at, []
 
     def step(self):
-        self.left -= 1
-        if self.left < 0:
+        self.remaining -= 1
+        if self.remaining < 0:
             for file, synced in [row for row in self.growing if not row[0].file.closed]:
                 file.file.flush()
                 os.truncate(file.file.name, synced[0] + (os.path.getsize(file.file.name) - synced[0]) // 2)
-            raise PowerCut
+            raise PowerLossError
 
     def write_file(self, path, data, mode=0o644):
-        if self.left == 0:
+        if self.remaining == 0:
             with open(path, "wb") as file:
                 file.write(data[: len(data) // 2])
         self.step()
@@ -154,22 +156,24 @@
         return file
 
 
-def cuts(work, check, folder_of):
-    """Runs `work` with the power cut at its first, second, ... change, and checks what is there
-    afterwards."""
+def run_with_power_loss(work, check, folder_of):
+    """Runs `work` with a power loss at its first, second, ... disk operation, and `check` afterwards.
+
+    Gives the number of operations of a complete run.
+    """
     at = 0
     while True:
-        folder, kernel, log = folder_of(at), CutKernel(at), []
+        folder, kernel, log = folder_of(at), PowerLossKernel(at), []
         try:
             work(kernel, folder, log)
             check(EpollKernel(), folder, log, True)
             return at
-        except PowerCut:
+        except PowerLossError:
             check(EpollKernel(), folder, log, False)
         at += 1
 
 
-def test_a_store_whose_power_is_cut_at_any_write_holds_whole_things_only(tmp_path):
+def test_store_is_consistent_after_power_loss_at_any_write(tmp_path):
     signed, chunks = build(chunk=8192)
     manifest = read_manifest(signed, RING, 500)
 
@@ -194,14 +198,14 @@
             assert store.read_chunk(name) == chunks[name]
         if store.builds():
             assert store.is_intact(manifest) and store.manifest(42) == signed
-        left = [n for _, _, names in os.walk(folder) for n in names if n.endswith(".new")]
-        assert not left
+        remaining = [n for _, _, names in os.walk(folder) for n in names if n.endswith(".new")]
+        assert not remaining
         store.close()
 
-    assert cuts(work, check, lambda n: str(tmp_path / str(n))) > 20
+    assert run_with_power_loss(work, check, lambda n: str(tmp_path / str(n))) > 20
 
 
-def test_a_journal_whose_power_is_cut_keeps_all_that_was_synced(tmp_path):
+def test_journal_keeps_synced_records_after_power_loss(tmp_path):
     def work(kernel, folder, log):
         journal = Journal(kernel, folder)
         try:
@@ -218,19 +222,22 @@
     def check(kernel, folder, log, whole):
         journal = Journal(kernel, folder)
         start = journal.snapshot_state["upto"] + 1 if journal.snapshot_state else 0
-        got = [*range(start), *journal.records]
-        assert got[: len(log)] == log and len(got) <= len(log) + 1, (got, log)
+        recovered_values = [*range(start), *journal.records]
+        assert recovered_values[: len(log)] == log and len(recovered_values) <= len(log) + 1, (
+            recovered_values,
+            log,
+        )
         journal.append("more")
         journal.sync()
         journal.close()
         assert Journal(kernel, folder).records[-1] == "more"
 
-    assert cuts(work, check, lambda n: str(tmp_path / str(n))) > 15
+    assert run_with_power_loss(work, check, lambda n: str(tmp_path / str(n))) > 15
 
 
 @fixed
 @given(st.integers(0, 400), st.one_of(st.none(), st.integers(0, 255)))
-def test_a_torn_or_flipped_journal_is_read_up_to_there(tmp_path_factory, at, byte):
+def test_journal_recovers_up_to_a_torn_or_corrupt_record(tmp_path_factory, at, byte):
     folder = str(tmp_path_factory.mktemp("journal"))
     journal = Journal(EpollKernel(), folder)
     for n in range(20):
@@ -242,14 +249,16 @@
     at = min(at, len(data) - 1)
     broken = data[:at] if byte is None else data[:at] + bytes([byte]) + data[at + 1 :]
     open(path, "wb").write(broken)
-    again = Journal(EpollKernel(), folder)
+    recovered = Journal(EpollKernel(), folder)
     whole = data[:at].count(b"\n")
-    assert [r["n"] for r in again.records] == list(range(len(again.records))) and len(again.records) >= whole
-    assert again.truncation is None or again.truncation[1] <= at
-    again.close()
+    assert [r["n"] for r in recovered.records] == list(range(len(recovered.records))) and len(
+        recovered.records
+    ) >= whole
+    assert recovered.truncation is None or recovered.truncation[1] <= at
+    recovered.close()
 
 
-def test_two_owners_and_a_sync_that_fails(tmp_path):
+def test_journal_refuses_second_owner_and_writes_after_failed_sync(tmp_path):
     journal = Journal(EpollKernel(), str(tmp_path))
     with pytest.raises(RefusedError):
         Journal(EpollKernel(), str(tmp_path))
@@ -265,9 +274,9 @@
         journal.append(2)
 
 
-def test_what_rots_is_found_and_what_does_not_fit_is_refused(tmp_path):
+def test_store_detects_corruption_and_enforces_its_size_limit(tmp_path):
     signed, chunks = build()
-    store, manifest = Store(EpollKernel(), str(tmp_path), most=40_000), read_manifest(signed, RING, 500)
+    store, manifest = Store(EpollKernel(), str(tmp_path), max_bytes=40_000), read_manifest(signed, RING, 500)
     name = next(iter(chunks))
     with pytest.raises(DigestMismatchError):
         store.put_chunk(name, b"other")
@@ -284,43 +293,47 @@
             from cobaltpond.builds.manifest import content_digest
 
             store.put_chunk(content_digest(data), data)
-    assert store.used <= 40_000
+    assert store.used_bytes <= 40_000
 
 
-class FullDisk(EpollKernel):
-    """The n-th write finds no room left when half of it is written; there is room again once `left` is set
-    anew."""
+class FullDiskKernel(EpollKernel):
+    """The disk is full in the middle of the n-th write; later writes succeed."""
 
-    def __init__(self, left):
+    def __init__(self, remaining):
         super().__init__()
-        self.left = left
+        self.remaining = remaining
 
     def write_file(self, path, data, mode=0o644):
-        self.left -= 1
-        if self.left == 0:
+        self.remaining -= 1
+        if self.remaining == 0:
             super().write_file(path, data[: len(data) // 2], mode)
             raise OSError(errno.ENOSPC, "No space left on device")
         super().write_file(path, data, mode)
 
 
 @pytest.mark.parametrize("at", range(1, 11))
-def test_a_disk_that_fills_up_in_mid_write_leaves_nothing_half_done(tmp_path, at):
-    """At every write of a build: Full is told, what came before stays, and with room again it goes on from
-    there."""
+def test_store_is_consistent_after_disk_full_at_any_write(tmp_path, at):
+    """A disk that is full at any write of a build must not leave partial files.
+
+    The store raises StoreFullError, keeps the chunks stored before, and completes the build once there is
+    space.
+    """
     signed, chunks = build()
-    kernel = FullDisk(at)
-    store, manifest, came = Store(kernel, str(tmp_path)), read_manifest(signed, RING, 500), []
+    kernel = FullDiskKernel(at)
+    store, manifest, stored_chunks = Store(kernel, str(tmp_path)), read_manifest(signed, RING, 500), []
     try:
         for name, data in chunks.items():
             store.put_chunk(name, data)
-            came.append(name)
+            stored_chunks.append(name)
         store.assemble(manifest, signed)
-        assert kernel.left > 0
+        assert kernel.remaining > 0
     except StoreFullError:
-        assert kernel.left == 0
-    left = [name for _, _, files in os.walk(tmp_path) for name in files]
-    assert not [name for name in left if name.endswith(".new")] and set(came) == set(store.chunks)
-    assert store.used == sum(len(chunks[name]) for name in came) and not os.path.exists(
+        assert kernel.remaining == 0
+    remaining = [name for _, _, files in os.walk(tmp_path) for name in files]
+    assert not [name for name in remaining if name.endswith(".new")] and set(stored_chunks) == set(
+        store.chunks
+    )
+    assert store.used_bytes == sum(len(chunks[name]) for name in stored_chunks) and not os.path.exists(
         tmp_path / "builds/42.new"
     )
     for name in store.missing_chunks(manifest):
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -1,4 +1,4 @@
-"""Fetching: bad sources, cuts at any byte, shared chunks, rates; drawn plans."""
+"""Fetching: bad sources, interrupted chunks, shared chunks, limits; random fetch plans."""
 
 import json
 
@@ -20,7 +20,7 @@
 # --- fetching -----------------------------------------------------------------------------------------------
 
 
-class Yard:
+class FetchFixture:
     def __init__(self, tmp_path, servers=1, **more):
         self.loop = Loop(EpollKernel())
         self.servers = [
@@ -32,7 +32,7 @@
             self.store,
             [s.address for s in self.servers],
             seeded_random(1).randrange,
-            **{"grace": 300_000, **more},
+            **{"grace_time": 300_000, **more},
         )
 
     def add(self, signed, chunks, servers=None):
@@ -40,9 +40,9 @@
             server.add(42, signed, chunks)
         return read_manifest(signed, RING, 500)
 
-    def run(self, manifest, bound=10_000_000):
+    def run(self, manifest, timeout_us=10_000_000):
         def go():
-            with Deadline(self.loop, bound):
+            with Deadline(self.loop, timeout_us):
                 yield from self.fetcher.fetch_chunks(manifest)
 
         try:
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "way, lost",
+    "fault, expected_failure",
     [
         ("cut 1000", "cut"),
         ("cut 0", "cut"),
@@ -65,74 +65,74 @@
         ("redirect http://127.0.0.1:9/x", "redirect"),
     ],
 )
-def test_one_bad_source_beside_a_good_one(tmp_path, way, lost):
-    yard = Yard(tmp_path, servers=2)
-    manifest = yard.add(*build())
-    yard.servers[0].faults["*"] = [(way, 1 << 30)]
-    yard.run(manifest)
-    assert yard.store.missing_chunks(manifest) == {} and yard.fetcher.lost.get(lost)
+def test_fetch_succeeds_with_one_bad_and_one_good_source(tmp_path, fault, expected_failure):
+    fixture = FetchFixture(tmp_path, servers=2)
+    manifest = fixture.add(*build())
+    fixture.servers[0].faults["*"] = [(fault, 1 << 30)]
+    fixture.run(manifest)
+    assert fixture.store.missing_chunks(manifest) == {} and fixture.fetcher.failures.get(expected_failure)
 
 
-def test_a_cut_at_any_byte_goes_on_where_it_stopped(tmp_path):
-    yard = Yard(tmp_path)
+def test_interrupted_chunk_resumes_at_the_last_byte(tmp_path):
+    fixture = FetchFixture(tmp_path)
     signed, chunks = build(files={"serve": bytes(range(250)) * 16})
-    manifest, (name,) = yard.add(signed, chunks), chunks
-    yard.servers[0].faults[f"/chunks/{name}"] = [(f"cut {n}", 1) for n in (0, 1, 999, 1, 2998)] + [
+    manifest, (name,) = fixture.add(signed, chunks), chunks
+    fixture.servers[0].faults[f"/chunks/{name}"] = [(f"cut {n}", 1) for n in (0, 1, 999, 1, 2998)] + [
         ("cut 0", 1)
     ]
-    yard.run(manifest)
-    assert yard.servers[0].sent == 4000 and yard.store.missing_chunks(manifest) == {}
+    fixture.run(manifest)
+    assert fixture.servers[0].sent == 4000 and fixture.store.missing_chunks(manifest) == {}
 
 
-def test_a_source_without_ranges_begins_anew(tmp_path):
-    yard = Yard(tmp_path)
+def test_source_without_ranges_restarts_the_chunk(tmp_path):
+    fixture = FetchFixture(tmp_path)
     signed, chunks = build(files={"serve": bytes(range(250)) * 16})
-    manifest, (name,) = yard.add(signed, chunks), chunks
-    yard.servers[0].faults[f"/chunks/{name}"] = [("cut 1000", 1), ("norange", 9)]
-    yard.run(manifest)
-    assert yard.servers[0].sent == 5000 and yard.store.missing_chunks(manifest) == {}
+    manifest, (name,) = fixture.add(signed, chunks), chunks
+    fixture.servers[0].faults[f"/chunks/{name}"] = [("cut 1000", 1), ("norange", 9)]
+    fixture.run(manifest)
+    assert fixture.servers[0].sent == 5000 and fixture.store.missing_chunks(manifest) == {}
 
 
-def test_a_fetch_that_gets_nowhere_ends(tmp_path):
-    yard = Yard(tmp_path)
-    manifest = yard.add(*build())
-    yard.servers[0].faults["*"] = [("junk", 1 << 30)]
+def test_fetch_without_usable_source_fails(tmp_path):
+    fixture = FetchFixture(tmp_path)
+    manifest = fixture.add(*build())
+    fixture.servers[0].faults["*"] = [("junk", 1 << 30)]
     with pytest.raises(FetchError, match="no source left"):
-        yard.run(manifest)
-    assert not yard.store.chunks
+        fixture.run(manifest)
+    assert not fixture.store.chunks
 
 
-def test_a_chunk_that_two_builds_share_is_fetched_once(tmp_path):
-    yard = Yard(tmp_path)
+def test_shared_chunk_is_fetched_once(tmp_path):
+    fixture = FetchFixture(tmp_path)
     body = seeded_random(5).randbytes(400_000)
-    first = yard.add(*build(41, files={"serve": body}))
-    second = yard.add(*build(42, files={"serve": body[:360_000] + seeded_random(6).randbytes(40_000)}))
+    first = fixture.add(*build(41, files={"serve": body}))
+    second = fixture.add(*build(42, files={"serve": body[:360_000] + seeded_random(6).randbytes(40_000)}))
 
     def both():
-        yield from yard.fetcher.fetch_chunks(first)
-        before = yard.fetcher.bytes
-        yield from yard.fetcher.fetch_chunks(second)
-        return before, yard.fetcher.bytes - before
+        yield from fixture.fetcher.fetch_chunks(first)
+        before = fixture.fetcher.received_bytes
+        yield from fixture.fetcher.fetch_chunks(second)
+        return before, fixture.fetcher.received_bytes - before
 
-    before, after = yard.loop.run(yard.loop.spawn(both(), "both"))
+    before, after = fixture.loop.run(fixture.loop.spawn(both(), "both"))
     assert (
         before == 400_000
         and after <= 44_096
-        and len(yard.servers[0].asked) == len(set(yard.servers[0].asked))
+        and len(fixture.servers[0].asked) == len(set(fixture.servers[0].asked))
     )
 
 
-def test_no_more_than_the_rate_and_no_more_than_the_disk(tmp_path):
-    yard = Yard(tmp_path, rate=100_000)
-    manifest = yard.add(*build(files={"serve": bytes(50_000)[:1] + seeded_random(3).randbytes(50_000)}))
-    began = yard.loop.kernel.now()
-    yard.run(manifest)
-    assert yard.loop.kernel.now() - began > 350_000
-    yard = Yard(tmp_path / "other")
-    yard.store.most = 1000
+def test_fetch_respects_bandwidth_and_store_limits(tmp_path):
+    fixture = FetchFixture(tmp_path, rate=100_000)
+    manifest = fixture.add(*build(files={"serve": bytes(50_000)[:1] + seeded_random(3).randbytes(50_000)}))
+    started_at = fixture.loop.kernel.now()
+    fixture.run(manifest)
+    assert fixture.loop.kernel.now() - started_at > 350_000
+    fixture = FetchFixture(tmp_path / "other")
+    fixture.store.max_bytes = 1000
     with pytest.raises(StoreFullError):
-        yard.run(yard.add(*build()))
-    assert not yard.servers[0].asked
+        fixture.run(fixture.add(*build()))
+    assert not fixture.servers[0].asked
 
 
 @fixed
@@ -140,32 +140,34 @@
     st.integers(0, 1 << 30),
     st.lists(st.sampled_from(["ok", "cut", "slow", "refused", "digest", "length"]), max_size=60),
 )
-def test_every_plan_ends_and_asks_nobody_who_lied_about_a_chunk(seed, ends):
-    plan = FetchPlan({f"c{n}": 100 for n in range(6)}, ["a", "b", "c"], seeded_random(seed).randrange, most=3)
-    now, out, lied, steps = 0, [], set(), 0
+def test_plan_terminates_and_excludes_sources_of_bad_chunks(seed, outcomes):
+    plan = FetchPlan(
+        {f"c{n}": 100 for n in range(6)}, ["a", "b", "c"], seeded_random(seed).randrange, max_in_flight=3
+    )
+    now, in_flight, bad_pairs, steps = 0, [], set(), 0
     while True:
         steps += 1
         assert steps < 2000
         step = plan.next_step(now)
         if step is None:
-            chunk, source = out.pop(0)
-            how = ends[steps % len(ends)] if ends else "ok"
-            if how == "ok":
+            chunk, source = in_flight.pop(0)
+            reason = outcomes[steps % len(outcomes)] if outcomes else "ok"
+            if reason == "ok":
                 plan.chunk_received(chunk.name)
             else:
-                lied |= {(chunk.name, source)} if how in ("digest", "length") else set()
-                plan.chunk_failed(now, chunk.name, how, 10)
+                bad_pairs |= {(chunk.name, source)} if reason in ("digest", "length") else set()
+                plan.chunk_failed(now, chunk.name, reason, 10)
         elif step[0] == "get":
-            assert (step[1].name, step[2]) not in lied
-            out.append(step[1:])
+            assert (step[1].name, step[2]) not in bad_pairs
+            in_flight.append(step[1:])
         elif step[0] == "wait":
             assert step[1] > now
             now = step[1]
         else:
-            assert not out and (step[0] == "failed" or plan.done)
+            assert not in_flight and (step[0] == "failed" or plan.is_done)
             return
 
 
-def test_json_of_a_manifest_is_what_the_page_says():
+def test_manifest_json_has_the_documented_fields():
     body = json.loads(GOOD.split(b"\n")[1])
     assert set(body) == {"build", "made", "expires", "chunk", "files", "entry", "health", "earlier"}
