--- a/cobaltpond/agent/actions.py
+++ b/cobaltpond/agent/actions.py
@@ -4,7 +4,7 @@
 
 from cobaltpond.agent.process import PORTS_PER_HOST, Process
 from cobaltpond.agent.process_marks import process_mark
-from cobaltpond.agent.registration import CALL_TIME
+from cobaltpond.agent.registration import CALL_TIMEOUT_US
 from cobaltpond.builds.fetch import FetchError
 from cobaltpond.builds.manifest import MAX_MANIFEST_BYTES, ManifestError, read_manifest, read_stored_manifest
 from cobaltpond.builds.store import CorruptChunkError, StoreFullError
@@ -76,7 +76,7 @@
                 signed = yield from self.fetcher.fetch_manifest(build, MAX_MANIFEST_BYTES)
                 now = self.loop.kernel.wall_clock() // 1_000_000
                 manifest = read_manifest(
-                    signed, self.ring, now, ordered=build, most_size=self.settings.builds.most
+                    signed, self.ring, now, ordered=build, max_build_bytes=self.settings.builds.most
                 )
                 self.manifests[build] = manifest, signed
                 yield from self.fetcher.fetch_chunks(manifest)
@@ -133,7 +133,7 @@
             process.child = self.loop.kernel.spawn(argv, self.path(f"output-{build}"), process.mark)
         except UnreachableError as error:
             self.schedule_event(build, 0, "exited")
-            self.log.warning("not started", build=build, why=str(error))
+            self.log.warning("instance could not be started", build=build, why=str(error))
             return
         process.started_at = self.loop.now()
         self.processes[build] = process
@@ -154,14 +154,14 @@
             deadline = self.loop.now() + self.settings.builds.ready_time
             while self.loop.now() < deadline:
                 try:
-                    with Deadline(self.loop, CALL_TIME):
+                    with Deadline(self.loop, CALL_TIMEOUT_US):
                         status, _ = yield from call(
                             self.loop,
                             (self.host.address, process.port),
                             "GET",
                             manifest.health,
                             b"",
-                            CALL_TIME,
+                            CALL_TIMEOUT_US,
                         )
                     if status == 200:
                         return self.apply_event(build, "ready")
--- a/cobaltpond/agent/main.py
+++ b/cobaltpond/agent/main.py
@@ -9,7 +9,7 @@
 from cobaltpond.agent.actions import Actions
 from cobaltpond.agent.process import PORTS_PER_HOST, Process
 from cobaltpond.agent.process_marks import find_running_processes
-from cobaltpond.agent.registration import CALL_TIME, InstanceRegistration
+from cobaltpond.agent.registration import CALL_TIMEOUT_US, InstanceRegistration
 from cobaltpond.agent.states import STARTING, BuildSlot, BuildSlots
 from cobaltpond.builds.fetch import Fetcher
 from cobaltpond.builds.manifest import KeyRing, ManifestError, apply_ring_chain
@@ -114,32 +114,32 @@
         A running process that carries a recorded mark is adopted, whatever its process id. Processes of this
         agent that the journal does not know are adopted as well.
         """
-        order, marks, adopted_builds = None, {}, []
+        order, rows_by_mark, adopted_builds = None, {}, []
         for record in (
             [self.journal.snapshot_state] if self.journal.snapshot_state else []
         ) + self.journal.records:
             order = record.get("order", order)
             self.last_seen_state = (order or {}).get("seen") or self.last_seen_state
             for row in record.get("processes", []):
-                marks[row["mark"]] = row
+                rows_by_mark[row["mark"]] = row
             if "begun" in record:
-                marks[record["begun"]["mark"]] = record["begun"]
-            if record.get("listed") in marks:
-                marks[record["listed"]] = {**marks[record["listed"]], "listed": True}
-            marks.pop(record.get("ended"), None)
+                rows_by_mark[record["begun"]["mark"]] = record["begun"]
+            if record.get("listed") in rows_by_mark:
+                rows_by_mark[record["listed"]] = {**rows_by_mark[record["listed"]], "listed": True}
+            rows_by_mark.pop(record.get("ended"), None)
         for mark, row in find_running_processes(self.loop.kernel, self.host.folder).items():
-            if mark not in marks:  # the journal was lost, or restored from an older copy
+            if mark not in rows_by_mark:  # the journal was lost, or restored from an older copy
                 self.log.warning("taken on without a journal", build=row["build"], port=row["port"])
-                marks = {
+                rows_by_mark = {
                     m: known
-                    for m, known in marks.items()
+                    for m, known in rows_by_mark.items()
                     if known["build"] != row["build"] or self.loop.kernel.adopt_process(m)
                 } | {mark: row}
                 adopted_builds.append(row["build"])
                 self.write_record({"begun": row})
         self.build_slots.generation = order["generation"] if order else -1
         desired = {int(b): w for b, w in (order["wishes"] if order else {}).items()}
-        for row in marks.values():
+        for row in rows_by_mark.values():
             child = self.loop.kernel.adopt_process(row["mark"])
             self.port_offset = max(self.port_offset, (row["port"] - self.host.ports + 1) % PORTS_PER_HOST)
             process = Process(row["build"], row["mark"], row["port"], child)
@@ -213,7 +213,7 @@
                     self.handle_order(message["order"])
 
         def on_broken(error):
-            self.log.warning("desk out of reach", why=f"{type(error).__name__}: {error}")
+            self.log.warning("desk unreachable; reconnecting", why=f"{type(error).__name__}: {error}")
 
         yield from follow_stream(
             self.loop,
@@ -221,7 +221,7 @@
             lambda: f"/v1/orders?place={self.host.place}",
             on_objects,
             3 * self.settings.release.news_period,
-            CALL_TIME,
+            CALL_TIMEOUT_US,
             self.backoff,
             on_broken,
             (KeyError, TypeError, ValueError),
@@ -254,21 +254,21 @@
 
     def send_reports(self):
         """A task: reports every change to the desk, and the unchanged state every REPORT_INTERVAL_US."""
-        last_sent, sent_at = None, 0
+        last_sent, last_report_at = None, 0
         while True:
             current = self.current_report()
-            if current != last_sent or self.loop.now() - sent_at > REPORT_INTERVAL_US:
+            if current != last_sent or self.loop.now() - last_report_at > REPORT_INTERVAL_US:
                 try:
-                    with Deadline(self.loop, CALL_TIME):
+                    with Deadline(self.loop, CALL_TIMEOUT_US):
                         status, _ = yield from call(
                             self.loop,
                             split_address(self.settings.desk.address),
                             "POST",
                             "/v1/reports",
                             json.dumps(current).encode(),
-                            CALL_TIME,
+                            CALL_TIMEOUT_US,
                         )
-                    last_sent, sent_at = (current if status == 200 else None), self.loop.now()
+                    last_sent, last_report_at = (current if status == 200 else None), self.loop.now()
                 except (*CALL_ERRORS, DeadlineExceededError):
                     last_sent = None
             yield Sleep(20_000)
--- a/cobaltpond/agent/registration.py
+++ b/cobaltpond/agent/registration.py
@@ -7,7 +7,7 @@
 from cobaltpond.rpc import CALL_ERRORS, Backoff, call
 from cobaltpond.settings.sections import split_address
 
-CALL_TIME = 1_000_000  # microseconds
+CALL_TIMEOUT_US = 1_000_000  # microseconds
 
 
 class InstanceRegistration:
@@ -59,14 +59,14 @@
             backoff = Backoff(50_000, 1_000_000, self.loop.kernel.random_seed())
             while True:
                 try:
-                    with Deadline(self.loop, CALL_TIME):
+                    with Deadline(self.loop, CALL_TIMEOUT_US):
                         status, _ = yield from call(
                             self.loop,
                             split_address(self.settings.listing.address),
                             "POST",
                             "/v1/instances",
                             json.dumps(row).encode(),
-                            CALL_TIME,
+                            CALL_TIMEOUT_US,
                         )
                     if status == 200:
                         slot = self.build_slots.slots.get(build)
--- a/cobaltpond/builds/manifest.py
+++ b/cobaltpond/builds/manifest.py
@@ -252,12 +252,17 @@
 
 
 def read_manifest(
-    data: bytes, ring: KeyRing, now: int, ordered: int | None = None, least: int = 0, most_size: int = 4 << 30
+    data: bytes,
+    ring: KeyRing,
+    now: int,
+    ordered: int | None = None,
+    min_build: int = 0,
+    max_build_bytes: int = 4 << 30,
 ) -> Manifest:
     """The verified manifest in `data`. Signatures are verified before the body is parsed.
 
-    `now`: seconds since 1970; `ordered`: the expected build, None for any; `least`: the lowest build
-    accepted; `most_size`: maximum size of the build in bytes. Raises a subclass of ManifestError.
+    `now`: seconds since 1970; `ordered`: the expected build, None for any; `min_build`: the lowest build
+    accepted; `max_build_bytes`: maximum size of the build in bytes. Raises a subclass of ManifestError.
     """
     signed, body, signatures = parse_signed_document(MAGIC, data, MAX_MANIFEST_BYTES)
     ring.verify_signatures(now, signed, signatures)
@@ -266,12 +271,12 @@
     except msgspec.DecodeError as error:
         raise MalformedError(str(error)) from None
     check_coherence(manifest)
-    if manifest.size > most_size:
-        raise OversizedError(f"a build of {manifest.size} bytes, {most_size} are allowed")
+    if manifest.size > max_build_bytes:
+        raise OversizedError(f"a build of {manifest.size} bytes, {max_build_bytes} are allowed")
     if now >= manifest.expires:
         raise ExpiredError(f"build {manifest.build} could be used up to {manifest.expires}")
-    if manifest.build < least:
-        raise DowngradeError(f"build {manifest.build}, {least} is held")
+    if manifest.build < min_build:
+        raise DowngradeError(f"build {manifest.build}, {min_build} is held")
     if ordered is not None and manifest.build != ordered:
         raise WrongBuildError(f"build {manifest.build} in place of {ordered}")
     return manifest
--- a/cobaltpond/desk/service.py
+++ b/cobaltpond/desk/service.py
@@ -11,7 +11,7 @@
 from cobaltpond.settings.sections import split_address
 from cobaltpond.wal import Journal
 
-CALL_TIME = 1_000_000  # microseconds
+CALL_TIMEOUT_US = 1_000_000  # microseconds
 
 
 class Desk(Handlers):
@@ -57,7 +57,7 @@
             yield from self.state_recovery.collect(lambda: ())
             self.loop.spawn(self.poll_platform(), "platform")
         self.persist()
-        self.log.info("desk open", build=self.stages.build, places=len(self.stages.places))
+        self.log.info("desk ready", build=self.stages.build, places=len(self.stages.places))
         while not self.stop_asked:
             yield Sleep(TICK_US)
             self.tick()
@@ -104,7 +104,7 @@
                     self.restore_from_journal()
                     return
             except (*CALL_ERRORS, DeadlineExceededError, KeyError, ValueError) as error:
-                self.log.warning("platform silent", why=f"{type(error).__name__}: {error}")
+                self.log.warning("platform call failed; retrying", why=f"{type(error).__name__}: {error}")
             yield Sleep(100_000)
 
     def restore_from_journal(self):
@@ -184,14 +184,14 @@
 
         Raises ValueError on an error status, what CALL_ERRORS names, or DeadlineExceededError.
         """
-        with Deadline(self.loop, CALL_TIME):
+        with Deadline(self.loop, CALL_TIMEOUT_US):
             status, text = yield from call(
                 self.loop,
                 self.platform,
                 method,
                 target,
                 json.dumps(body).encode() if body is not None else b"",
-                CALL_TIME,
+                CALL_TIMEOUT_US,
             )
         if status >= 300:
             raise ValueError(f"{method} {target}: status {status}")
@@ -213,7 +213,7 @@
             try:
                 self.apply_instance_list((yield from self.call_platform("GET", "/v1/machines")))
             except (*CALL_ERRORS, DeadlineExceededError, KeyError, ValueError) as error:
-                self.log.warning("platform silent", why=f"{type(error).__name__}: {error}")
+                self.log.warning("platform call failed; retrying", why=f"{type(error).__name__}: {error}")
             yield Sleep(100_000)
 
     def tick(self):
--- a/cobaltpond/desk/stages.py
+++ b/cobaltpond/desk/stages.py
@@ -2,7 +2,7 @@
 
 The control loop is level-triggered: the builds that should run follow from the state (`wanted`), and orders
 are the difference to the instances that the platform reports. An order that is lost, late or executed twice
-is therefore corrected by itself. All changes of phase go through `change_phase`, except `resume`. Times are
+is therefore corrected by itself. Transitions by the table go through `change_phase`. Times are
 microseconds.
 """
 
--- a/cobaltpond/desk/state_recovery.py
+++ b/cobaltpond/desk/state_recovery.py
@@ -88,7 +88,10 @@
         verdict = self.recovery.late_state(reporter, seen_state, stages.build, self.desk.epoch)
         if verdict == "back" and stages.phase in ("trial", "released") and not self.is_waiting:
             self.log.error(
-                "late word", reporter=list(reporter), why="it saw this build go back", build=stages.build
+                "late report of a rollback; rolling back",
+                who=list(reporter),
+                why="it saw this build go back",
+                build=stages.build,
             )
             try:
                 stages.send_back(self.loop.now(), f"{reporter[0]} {reporter[1]} saw it go back")
@@ -154,7 +157,7 @@
         """Ends the wait for an operator, who has decided. Does nothing while there is no wait."""
         if self.is_waiting:
             self.recovery.resolve(RESUMED, None, why)
-            self.log.info("goes on", why=why)
+            self.log.info("operator decided; resuming", why=why)
 
     def limit_news(self, news: dict) -> dict:
         """The news, with no cap above the lowest one reported while the desk waits for an operator."""
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -24,6 +24,7 @@
 
 @pytest.mark.parametrize("state", STATES)
 def test_every_state_handles_every_event(state):
+    """An event without an entry leaves the slot as it is, so a late result cannot change its state."""
     assert sorted([*TABLE[state], *IGNORED[state].split()]) == sorted(EVENTS)
     for event in IGNORED[state].split():
         slot = BuildSlot(1)
@@ -121,6 +122,7 @@
     st.sampled_from([{1: "run"}, {1: "run", 2: "keep"}, {2: "run"}, {}, {1: "gone", 2: "run"}]),
 )
 def test_host_converges_to_the_last_order_after_faults_and_crashes(steps, faults, last_order):
+    """Random orders, faults and restarts must leave no wrong build running, listed or started twice."""
     host, generation = HostModel(faults), 0
     for action, value in steps:
         if action == "order":
@@ -146,6 +148,7 @@
 
 
 def test_repeated_crashes_back_off_and_then_fail():
+    """Without backoff and a limit, a build that crashes at its start would restart in a tight loop."""
     host = HostModel(["fine", "fine", *["fail"] * 20])
     host.act(host.build_slots.apply_order(1, {1: "run"}))
     slot = host.build_slots.slots[1]
@@ -160,6 +163,7 @@
 
 
 def test_crashes_long_apart_do_not_add_up():
+    """A build that is up for a long time between crashes must not reach the limit of consecutive crashes."""
     host = HostModel([])
     host.act(host.build_slots.apply_order(1, {1: "run"}))
     for _ in range(3 * MAX_CRASHES):
@@ -198,6 +202,7 @@
 
 
 def test_host_orders_with_slow_silent_and_unordered_hosts():
+    """Hosts that are slow, silent, failed or run an unordered build, and a desk that has restarted."""
     hosts = HostOrders(["p", "q", "r"], max_changing=2)
     assert hosts.apply_orders(0, [("start", p, 2) for p in ("p", "q", "r")]) == [
         "p",
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     "data, expected_error, more",
     [
-        (GOOD, OversizedError, {"most_size": 1000}),
+        (GOOD, OversizedError, {"max_build_bytes": 1000}),
         (b"x" * (9 << 20), OversizedError, {}),
         (replace_once(GOOD, b"-1 ", b"-1 9999"), OversizedError, {}),
         (GOOD[:15], TruncatedError, {}),
@@ -50,7 +50,7 @@
         (replace_once(GOOD, b'"build":42', b'"build":43'), BadSignatureError, {}),
         (GOOD[:-60] + b"A" * 59 + b"\n", BadSignatureError, {}),
         (GOOD, ExpiredError, {"now": 950}),
-        (GOOD, DowngradeError, {"least": 43}),
+        (GOOD, DowngradeError, {"min_build": 43}),
         (GOOD, WrongBuildError, {"ordered": 41}),
         (b"hello\nworld\n", MalformedError, {}),
         (replace_once(GOOD, b"sig one", b"sog one"), MalformedError, {}),
@@ -61,19 +61,21 @@
     ],
 )
 def test_each_invalid_manifest_raises_its_own_error(data, expected_error, more):
+    """A host reports why it rejects a manifest, so each reason has its own error."""
     with pytest.raises(ManifestError) as raised:
         read_manifest(data, RING, **{"now": 500, **more})
     assert type(raised.value) is expected_error, raised.value
 
 
 def test_valid_manifest_with_one_and_two_signatures():
-    assert read_manifest(GOOD, RING, 500, ordered=42, least=42).size == sum(map(len, FILES.values()))
+    assert read_manifest(GOOD, RING, 500, ordered=42, min_build=42).size == sum(map(len, FILES.values()))
     assert read_manifest(build(signers=("two", "one"))[0], RING, 500).build == 42
 
 
 @fixed
 @given(st.integers(0, len(GOOD) - 1), st.integers(0, 255))
 def test_manifest_with_a_flipped_byte_is_rejected(at, byte):
+    """No single changed byte may alter the signed part of an accepted manifest."""
     data = GOOD[:at] + bytes([byte]) + GOOD[at + 1 :]
     try:
         read_manifest(data, RING, 500)
@@ -84,6 +86,7 @@
 
 
 def test_key_ring_rotation_requires_a_trusted_key():
+    """A key ring is replaced neither by an untrusted or expired signer nor by an unusable ring."""
     new = KeyRing(2, [key("two", 0, 5000)])
     assert read_next_ring(RING, write_ring(new, {"one": KEYS["one"]}), 500) == new
     for ring, signer, now, error in (
@@ -174,6 +177,7 @@
 
 
 def test_store_is_consistent_after_power_loss_at_any_write(tmp_path):
+    """After a power loss the store must hold complete chunks and builds only, and all that it confirmed."""
     signed, chunks = build(chunk=8192)
     manifest = read_manifest(signed, RING, 500)
 
@@ -206,6 +210,8 @@
 
 
 def test_journal_keeps_synced_records_after_power_loss(tmp_path):
+    """A power loss may cost at most the record that was being written."""
+
     def work(kernel, folder, log):
         journal = Journal(kernel, folder)
         try:
@@ -238,6 +244,7 @@
 @fixed
 @given(st.integers(0, 400), st.one_of(st.none(), st.integers(0, 255)))
 def test_journal_recovers_up_to_a_torn_or_corrupt_record(tmp_path_factory, at, byte):
+    """Records before a torn or corrupt one must be recovered, and none after it."""
     folder = str(tmp_path_factory.mktemp("journal"))
     journal = Journal(EpollKernel(), folder)
     for n in range(20):
@@ -259,6 +266,7 @@
 
 
 def test_journal_refuses_second_owner_and_writes_after_failed_sync(tmp_path):
+    """Two writers would corrupt the log; after a failed sync the state on disk is unknown."""
     journal = Journal(EpollKernel(), str(tmp_path))
     with pytest.raises(RefusedError):
         Journal(EpollKernel(), str(tmp_path))
@@ -275,6 +283,7 @@
 
 
 def test_store_detects_corruption_and_enforces_its_size_limit(tmp_path):
+    """A corrupt chunk must not enter a build, and the store must not grow beyond its limit."""
     signed, chunks = build()
     store, manifest = Store(EpollKernel(), str(tmp_path), max_bytes=40_000), read_manifest(signed, RING, 500)
     name = next(iter(chunks))
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -74,6 +74,7 @@
 
 @pytest.mark.parametrize("layout", ["beside", "in place"])
 def test_votes_promote_build_through_all_stages(layout):
+    """Each stage needs the configured number of "on" votes; a released build then runs at every place."""
     fixture = ReleaseFixture(layout=layout)
     fixture.stages.offer_build(fixture.now, 2)
     fixture.run(1.5)
@@ -115,6 +116,7 @@
 
 
 def test_operator_can_roll_back_only_with_a_stable_build():
+    """A rollback without a stable build would empty the fleet, and a second one has nothing to roll back."""
     fixture = ReleaseFixture()
     with pytest.raises(ReleaseRefusedError, match="no build before 1"):
         fixture.stages.send_back(0, "try")
@@ -131,6 +133,7 @@
 
 
 def test_hold_votes_stop_the_stage_clock():
+    """With the clock gate, a stage must not end by time alone while gateways vote to hold it."""
     fixture = ReleaseFixture(gate="clock")
     fixture.stages.offer_build(fixture.now, 2)
     fixture.run(6, {0: "hold"})
@@ -140,6 +143,7 @@
 
 
 def test_invalid_excess_and_expired_votes_do_not_count():
+    """A vote counts only for the current build, stage and gate, below the vote rate, and until it expires."""
     fixture = ReleaseFixture(vote_rate=5.0)
     vote = fixture.stages.record_vote
     assert vote(0, 0, 1, 0, "back") == "moot"  # nothing to go back to
@@ -156,6 +160,7 @@
 
 
 def test_new_offer_rolls_back_the_build_on_trial():
+    """Two builds must never be on trial at once: the older one ends before the newer one starts."""
     fixture = ReleaseFixture()
     fixture.stages.offer_build(0, 2)
     fixture.run(2)
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -66,6 +66,7 @@
     ],
 )
 def test_fetch_succeeds_with_one_bad_and_one_good_source(tmp_path, fault, expected_failure):
+    """A source that fails or sends wrong data must not fail the fetch while another source works."""
     fixture = FetchFixture(tmp_path, servers=2)
     manifest = fixture.add(*build())
     fixture.servers[0].faults["*"] = [(fault, 1 << 30)]
@@ -74,6 +75,7 @@
 
 
 def test_interrupted_chunk_resumes_at_the_last_byte(tmp_path):
+    """A chunk that is interrupted again and again is transferred once in total."""
     fixture = FetchFixture(tmp_path)
     signed, chunks = build(files={"serve": bytes(range(250)) * 16})
     manifest, (name,) = fixture.add(signed, chunks), chunks
@@ -85,6 +87,7 @@
 
 
 def test_source_without_ranges_restarts_the_chunk(tmp_path):
+    """A source that ignores the range must not append a whole body to the part received before."""
     fixture = FetchFixture(tmp_path)
     signed, chunks = build(files={"serve": bytes(range(250)) * 16})
     manifest, (name,) = fixture.add(signed, chunks), chunks
@@ -94,6 +97,7 @@
 
 
 def test_fetch_without_usable_source_fails(tmp_path):
+    """A fetch from bad sources only must end with an error and store nothing."""
     fixture = FetchFixture(tmp_path)
     manifest = fixture.add(*build())
     fixture.servers[0].faults["*"] = [("junk", 1 << 30)]
@@ -103,6 +107,7 @@
 
 
 def test_shared_chunk_is_fetched_once(tmp_path):
+    """The second build fetches only the chunks that differ."""
     fixture = FetchFixture(tmp_path)
     body = seeded_random(5).randbytes(400_000)
     first = fixture.add(*build(41, files={"serve": body}))
@@ -123,6 +128,7 @@
 
 
 def test_fetch_respects_bandwidth_and_store_limits(tmp_path):
+    """A fetch must not exceed its bandwidth, nor start when the store has no space."""
     fixture = FetchFixture(tmp_path, rate=100_000)
     manifest = fixture.add(*build(files={"serve": bytes(50_000)[:1] + seeded_random(3).randbytes(50_000)}))
     started_at = fixture.loop.kernel.now()
@@ -141,6 +147,7 @@
     st.lists(st.sampled_from(["ok", "cut", "slow", "refused", "digest", "length"]), max_size=60),
 )
 def test_plan_terminates_and_excludes_sources_of_bad_chunks(seed, outcomes):
+    """Random failures cause no endless fetch, nor a second request to the source of a bad chunk."""
     plan = FetchPlan(
         {f"c{n}": 100 for n in range(6)}, ["a", "b", "c"], seeded_random(seed).randrange, max_in_flight=3
     )
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -205,6 +205,10 @@
     st.lists(st.booleans(), max_size=60),
 )
 def test_desk_and_agents_converge_to_the_last_order(layout, actions_drawn, faults, lost_messages):
+    """Crashes of the desk or agents, lost messages and failing instances leave no wrong build running.
+
+    No build may be started twice, and without faults of instances no place may be without a running one.
+    """
     cluster = DeskAndAgents(layout, [], [])
     cluster.stages.offer_build(0, 1)
     cluster.run(2)
@@ -213,22 +217,22 @@
     for agent in cluster.agents.values():
         agent.faults = list(faults)
     cluster.lost_messages = list(lost_messages)
-    for what, wait in actions_drawn:
+    for action, wait in actions_drawn:
         desk_up = (
             cluster.now >= cluster.desk_down_until and cluster.hosts.hosts["h0"].last_report_at is not None
         )
-        if what == "offer" and desk_up:
+        if action == "offer" and desk_up:
             cluster.stages.offer_build(cluster.now, max([cluster.stages.build, *cluster.stages.offered]) + 1)
             cluster.stored_state = json.dumps(cluster.stages.dump())
-        elif what in ("on", "back") and desk_up:
-            cluster.stages.record_vote(cluster.now, 0, cluster.stages.build, cluster.stages.stage, what)
+        elif action in ("on", "back") and desk_up:
+            cluster.stages.record_vote(cluster.now, 0, cluster.stages.build, cluster.stages.stage, action)
             cluster.stored_state = json.dumps(cluster.stages.dump())
-        elif what == "crash desk":
+        elif action == "crash desk":
             cluster.crash_desk()
-        elif what.startswith("crash h"):
-            cluster.agents[what[6:]].crash(cluster.now)
+        elif action.startswith("crash h"):
+            cluster.agents[action[6:]].crash(cluster.now)
         elif (
-            what == "end"
+            action == "end"
             and cluster.agents["h2"].processes
             and cluster.now >= cluster.agents["h2"].down_until
         ):
@@ -264,5 +268,5 @@
                 cluster.hosts.order_for(name, set()),
             )
     assert not any(agent.double_starts for agent in cluster.agents.values())
-    if "fail" not in faults and "hang" not in faults and "end" not in [what for what, _ in actions_drawn]:
+    if "fail" not in faults and "hang" not in faults and "end" not in [action for action, _ in actions_drawn]:
         assert cluster.longest_empty_time == 0  # without faults of instances no place may ever be empty
