--- a/tests/builders.py
+++ b/tests/builders.py
@@ -12,21 +12,21 @@
     name: Ed25519PrivateKey.from_private_bytes(bytes([n]) * 32)
     for n, name in enumerate(("one", "two", "old"))
 }
-fixed = settings(derandomize=True, deadline=None, max_examples=100)
+repeatable = settings(derandomize=True, deadline=None, max_examples=100)
 
 
-def key(name, since=0, until=1000):
+def signing_key(name, since=0, until=1000):
     return SigningKey(
         name, base64.b64encode(KEYS[name].public_key().public_bytes_raw()).decode(), since, until
     )
 
 
-RING = KeyRing(1, [key("one"), key("old", 0, 100)])
+RING = KeyRing(1, [signing_key("one"), signing_key("old", 0, 100)])
 FILES = {"serve": b"#!/bin/sh\n" * 900, "lib/a.bin": bytes(range(256)) * 64, "empty": b""}
 
 
-def build(number=42, signers=("one",), files=FILES, **more):
+def signed_build(number=42, signers=("one",), files=FILES, **more):
     return make_build(number, files, {s: KEYS[s] for s in signers}, 10, 900, **more)
 
 
-GOOD = build()[0]
+VALID_MANIFEST = signed_build()[0]
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -4,7 +4,7 @@
 import os
 
 import pytest
-from builders import FILES, GOOD, KEYS, RING, build, fixed, key
+from builders import FILES, KEYS, RING, VALID_MANIFEST, repeatable, signed_build, signing_key
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -38,26 +38,26 @@
 @pytest.mark.parametrize(
     "data, expected_error, more",
     [
-        (GOOD, OversizedError, {"max_build_bytes": 1000}),
+        (VALID_MANIFEST, OversizedError, {"max_build_bytes": 1000}),
         (b"x" * (9 << 20), OversizedError, {}),
-        (replace_once(GOOD, b"-1 ", b"-1 9999"), OversizedError, {}),
-        (GOOD[:15], TruncatedError, {}),
-        (GOOD[:300], TruncatedError, {}),
-        (GOOD[:-10], TruncatedError, {}),
-        (GOOD[: GOOD.index(b"sig ")], UnsignedError, {}),
-        (replace_once(GOOD, b"sig one", b"sig who"), UnknownKeyError, {}),
-        (build(signers=("old",))[0], KeyValidityError, {}),
-        (replace_once(GOOD, b'"build":42', b'"build":43'), BadSignatureError, {}),
-        (GOOD[:-60] + b"A" * 59 + b"\n", BadSignatureError, {}),
-        (GOOD, ExpiredError, {"now": 950}),
-        (GOOD, DowngradeError, {"min_build": 43}),
-        (GOOD, WrongBuildError, {"ordered": 41}),
+        (replace_once(VALID_MANIFEST, b"-1 ", b"-1 9999"), OversizedError, {}),
+        (VALID_MANIFEST[:15], TruncatedError, {}),
+        (VALID_MANIFEST[:300], TruncatedError, {}),
+        (VALID_MANIFEST[:-10], TruncatedError, {}),
+        (VALID_MANIFEST[: VALID_MANIFEST.index(b"sig ")], UnsignedError, {}),
+        (replace_once(VALID_MANIFEST, b"sig one", b"sig who"), UnknownKeyError, {}),
+        (signed_build(signers=("old",))[0], KeyValidityError, {}),
+        (replace_once(VALID_MANIFEST, b'"build":42', b'"build":43'), BadSignatureError, {}),
+        (VALID_MANIFEST[:-60] + b"A" * 59 + b"\n", BadSignatureError, {}),
+        (VALID_MANIFEST, ExpiredError, {"now": 950}),
+        (VALID_MANIFEST, DowngradeError, {"min_build": 43}),
+        (VALID_MANIFEST, WrongBuildError, {"ordered": 41}),
         (b"hello\nworld\n", MalformedError, {}),
-        (replace_once(GOOD, b"sig one", b"sog one"), MalformedError, {}),
-        (build(files={"../up": b"x"})[0], MalformedError, {}),
-        (build(files={"a": b"x", "a/b": b"y"})[0], MalformedError, {}),
-        (build(entry=["nope"])[0], MalformedError, {}),
-        (build(earlier=(42, "0" * 64))[0], MalformedError, {}),
+        (replace_once(VALID_MANIFEST, b"sig one", b"sog one"), MalformedError, {}),
+        (signed_build(files={"../up": b"x"})[0], MalformedError, {}),
+        (signed_build(files={"a": b"x", "a/b": b"y"})[0], MalformedError, {}),
+        (signed_build(entry=["nope"])[0], MalformedError, {}),
+        (signed_build(earlier=(42, "0" * 64))[0], MalformedError, {}),
     ],
 )
 def test_each_invalid_manifest_raises_its_own_error(data, expected_error, more):
@@ -68,26 +68,28 @@
 
 
 def test_valid_manifest_with_one_and_two_signatures():
-    assert read_manifest(GOOD, RING, 500, ordered=42, min_build=42).size == sum(map(len, FILES.values()))
-    assert read_manifest(build(signers=("two", "one"))[0], RING, 500).build == 42
+    assert read_manifest(VALID_MANIFEST, RING, 500, ordered=42, min_build=42).size == sum(
+        map(len, FILES.values())
+    )
+    assert read_manifest(signed_build(signers=("two", "one"))[0], RING, 500).build == 42
 
 
-@fixed
-@given(st.integers(0, len(GOOD) - 1), st.integers(0, 255))
+@repeatable
+@given(st.integers(0, len(VALID_MANIFEST) - 1), st.integers(0, 255))
 def test_manifest_with_a_flipped_byte_is_rejected(at, byte):
     """No single changed byte may alter the signed part of an accepted manifest."""
-    data = GOOD[:at] + bytes([byte]) + GOOD[at + 1 :]
+    data = VALID_MANIFEST[:at] + bytes([byte]) + VALID_MANIFEST[at + 1 :]
     try:
         read_manifest(data, RING, 500)
     except ManifestError:
         return
     # The unused last bits of base64 are ignored (RFC 4648, 3.5); the signed part must be unchanged.
-    assert data[: data.index(b"sig ")] == GOOD[: GOOD.index(b"sig ")]
+    assert data[: data.index(b"sig ")] == VALID_MANIFEST[: VALID_MANIFEST.index(b"sig ")]
 
 
 def test_key_ring_rotation_requires_a_trusted_key():
     """A key ring is replaced neither by an untrusted or expired signer nor by an unusable ring."""
-    new = KeyRing(2, [key("two", 0, 5000)])
+    new = KeyRing(2, [signing_key("two", 0, 5000)])
     assert read_next_ring(RING, write_ring(new, {"one": KEYS["one"]}), 500) == new
     for ring, signer, now, error in (
         (new, "two", 500, UnknownKeyError),
@@ -98,7 +100,7 @@
         with pytest.raises(error):
             read_next_ring(RING, write_ring(ring, {signer: KEYS[signer]}), now)
     with pytest.raises(UnknownKeyError):
-        read_manifest(GOOD, new, 500)
+        read_manifest(VALID_MANIFEST, new, 500)
 
 
 # --- power loss ---------------------------------------------------------------------------------------------
@@ -178,7 +180,7 @@
 
 def test_store_is_consistent_after_power_loss_at_any_write(tmp_path):
     """After a power loss the store must hold complete chunks and builds only, and all that it confirmed."""
-    signed, chunks = build(chunk=8192)
+    signed, chunks = signed_build(chunk=8192)
     manifest = read_manifest(signed, RING, 500)
 
     def work(kernel, folder, log):
@@ -241,7 +243,7 @@
     assert run_with_power_loss(work, check, lambda n: str(tmp_path / str(n))) > 15
 
 
-@fixed
+@repeatable
 @given(st.integers(0, 400), st.one_of(st.none(), st.integers(0, 255)))
 def test_journal_recovers_up_to_a_torn_or_corrupt_record(tmp_path_factory, at, byte):
     """Records before a torn or corrupt one must be recovered, and none after it."""
@@ -284,7 +286,7 @@
 
 def test_store_detects_corruption_and_enforces_its_size_limit(tmp_path):
     """A corrupt chunk must not enter a build, and the store must not grow beyond its limit."""
-    signed, chunks = build()
+    signed, chunks = signed_build()
     store, manifest = Store(EpollKernel(), str(tmp_path), max_bytes=40_000), read_manifest(signed, RING, 500)
     name = next(iter(chunks))
     with pytest.raises(DigestMismatchError):
@@ -327,7 +329,7 @@
     The store raises StoreFullError, keeps the chunks stored before, and completes the build once there is
     space.
     """
-    signed, chunks = build()
+    signed, chunks = signed_build()
     kernel = FullDiskKernel(at)
     store, manifest, stored_chunks = Store(kernel, str(tmp_path)), read_manifest(signed, RING, 500), []
     try:
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from builders import GOOD, RING, build, fixed
+from builders import RING, VALID_MANIFEST, repeatable, signed_build
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -68,7 +68,7 @@
 def test_fetch_succeeds_with_one_bad_and_one_good_source(tmp_path, fault, expected_failure):
     """A source that fails or sends wrong data must not fail the fetch while another source works."""
     fixture = FetchFixture(tmp_path, servers=2)
-    manifest = fixture.add(*build())
+    manifest = fixture.add(*signed_build())
     fixture.servers[0].faults["*"] = [(fault, 1 << 30)]
     fixture.run(manifest)
     assert fixture.store.missing_chunks(manifest) == {} and fixture.fetcher.failures.get(expected_failure)
@@ -77,7 +77,7 @@
 def test_interrupted_chunk_resumes_at_the_last_byte(tmp_path):
     """A chunk that is interrupted again and again is transferred once in total."""
     fixture = FetchFixture(tmp_path)
-    signed, chunks = build(files={"serve": bytes(range(250)) * 16})
+    signed, chunks = signed_build(files={"serve": bytes(range(250)) * 16})
     manifest, (name,) = fixture.add(signed, chunks), chunks
     fixture.servers[0].faults[f"/chunks/{name}"] = [(f"cut {n}", 1) for n in (0, 1, 999, 1, 2998)] + [
         ("cut 0", 1)
@@ -89,7 +89,7 @@
 def test_source_without_ranges_restarts_the_chunk(tmp_path):
     """A source that ignores the range must not append a whole body to the part received before."""
     fixture = FetchFixture(tmp_path)
-    signed, chunks = build(files={"serve": bytes(range(250)) * 16})
+    signed, chunks = signed_build(files={"serve": bytes(range(250)) * 16})
     manifest, (name,) = fixture.add(signed, chunks), chunks
     fixture.servers[0].faults[f"/chunks/{name}"] = [("cut 1000", 1), ("norange", 9)]
     fixture.run(manifest)
@@ -99,7 +99,7 @@
 def test_fetch_without_usable_source_fails(tmp_path):
     """A fetch from bad sources only must end with an error and store nothing."""
     fixture = FetchFixture(tmp_path)
-    manifest = fixture.add(*build())
+    manifest = fixture.add(*signed_build())
     fixture.servers[0].faults["*"] = [("junk", 1 << 30)]
     with pytest.raises(FetchError, match="no source left"):
         fixture.run(manifest)
@@ -110,8 +110,10 @@
     """The second build fetches only the chunks that differ."""
     fixture = FetchFixture(tmp_path)
     body = seeded_random(5).randbytes(400_000)
-    first = fixture.add(*build(41, files={"serve": body}))
-    second = fixture.add(*build(42, files={"serve": body[:360_000] + seeded_random(6).randbytes(40_000)}))
+    first = fixture.add(*signed_build(41, files={"serve": body}))
+    second = fixture.add(
+        *signed_build(42, files={"serve": body[:360_000] + seeded_random(6).randbytes(40_000)})
+    )
 
     def both():
         yield from fixture.fetcher.fetch_chunks(first)
@@ -130,18 +132,20 @@
 def test_fetch_respects_bandwidth_and_store_limits(tmp_path):
     """A fetch must not exceed its bandwidth, nor start when the store has no space."""
     fixture = FetchFixture(tmp_path, rate=100_000)
-    manifest = fixture.add(*build(files={"serve": bytes(50_000)[:1] + seeded_random(3).randbytes(50_000)}))
+    manifest = fixture.add(
+        *signed_build(files={"serve": bytes(50_000)[:1] + seeded_random(3).randbytes(50_000)})
+    )
     started_at = fixture.loop.kernel.now()
     fixture.run(manifest)
     assert fixture.loop.kernel.now() - started_at > 350_000
     fixture = FetchFixture(tmp_path / "other")
     fixture.store.max_bytes = 1000
     with pytest.raises(StoreFullError):
-        fixture.run(fixture.add(*build()))
+        fixture.run(fixture.add(*signed_build()))
     assert not fixture.servers[0].asked
 
 
-@fixed
+@repeatable
 @given(
     st.integers(0, 1 << 30),
     st.lists(st.sampled_from(["ok", "cut", "slow", "refused", "digest", "length"]), max_size=60),
@@ -176,5 +180,5 @@
 
 
 def test_manifest_json_has_the_documented_fields():
-    body = json.loads(GOOD.split(b"\n")[1])
+    body = json.loads(VALID_MANIFEST.split(b"\n")[1])
     assert set(body) == {"build", "made", "expires", "chunk", "files", "entry", "health", "earlier"}
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,6 +1,6 @@
 """Decisions of the desk and the agents in one model without I/O, with random orders, faults and crashes.
 
-`COBALTPOND_EXAMPLES=1000 bin/test tests/test_together.py` runs more examples.
+`COBALTPOND_EXAMPLES=1000 bin/test tests/test_desk_with_agents.py` runs more examples.
 """
 
 import json
