--- a/cobaltpond/builds/manifest.py
+++ b/cobaltpond/builds/manifest.py
@@ -110,7 +110,7 @@
     """The build that a host returns to when this one is rolled back."""
 
     build: Whole
-    content_digest: Digest
+    content_digest: Digest = msgspec.field(name="digest")
 
 
 class Manifest(Struct, frozen=True, forbid_unknown_fields=True):
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -3,26 +3,32 @@
 import errno
 import os
 
+import msgspec
 import pytest
 from builders import FILES, KEYS, RING, VALID_MANIFEST, repeatable, signed_build, signing_key
 from hypothesis import given
 from hypothesis import strategies as st
 
 from cobaltpond.builds.manifest import (
+    MAGIC,
     BadSignatureError,
     DowngradeError,
+    EarlierBuild,
     ExpiredError,
     KeyRing,
     KeyValidityError,
     MalformedError,
     ManifestError,
     OversizedError,
+    SigningKey,
     TruncatedError,
     UnknownKeyError,
     UnsignedError,
     WrongBuildError,
     read_manifest,
     read_next_ring,
+    sign_document,
+    write_manifest,
     write_ring,
 )
 from cobaltpond.builds.store import CorruptChunkError, DigestMismatchError, Store, StoreFullError
@@ -74,6 +80,26 @@
     assert read_manifest(signed_build(signers=("two", "one"))[0], RING, 500).build == 42
 
 
+MANIFEST_TEXT = (
+    '{"build":42,"made":10,"expires":900,"chunk":1024,'
+    '"files":[{"path":"serve","size":1,"chunks":["%s"],"mode":493}],'
+    '"entry":["serve"],"health":"/-/probe","earlier":{"build":41,"digest":"%s"}}'
+) % ("a" * 64, "b" * 64)
+RING_TEXT = '{"version":1,"keys":[{"id":"one","public":"AAAA","since":0,"until":1000}]}'
+
+
+def test_manifest_and_key_ring_keep_their_documented_json_keys():
+    """Releases must be able to read the documents that earlier and later ones sign."""
+    signers = {"one": KEYS["one"]}
+    signed = sign_document(MAGIC, MANIFEST_TEXT.encode(), signers)
+    manifest = read_manifest(signed, RING, 500)
+    assert manifest.earlier == EarlierBuild(41, "b" * 64)
+    assert write_manifest(manifest, signers) == signed
+    ring = msgspec.json.decode(RING_TEXT, type=KeyRing)
+    assert ring == KeyRing(1, [SigningKey("one", "AAAA", 0, 1000)])
+    assert msgspec.json.encode(ring).decode() == RING_TEXT
+
+
 @repeatable
 @given(st.integers(0, len(VALID_MANIFEST) - 1), st.integers(0, 255))
 def test_manifest_with_a_flipped_byte_is_rejected(at, byte):
