--- a/bench/leases_model.py
+++ b/bench/leases_model.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.leases.protocol import Holder, Owner, overshoot, owner_of  # noqa: E402
+from cobaltpond.leases.protocol import LeaseHolder, LeaseOwner, overshoot, owner_of  # noqa: E402
 
 LIFE, POOL, MEMBERS = 3, 6, 3
 MAX_IN_FLIGHT = 2  # messages at one moment; bounds the search
@@ -29,8 +29,8 @@
 
     def __init__(self, keys, apart):
         self.now, self.keys, self.apart = 0, keys, apart
-        self.owners = [Owner(n, MEMBERS, LIFE, 0) for n in range(MEMBERS)]
-        self.holders = [Holder(n, LIFE) for n in range(MEMBERS)]
+        self.owners = [LeaseOwner(n, MEMBERS, LIFE, 0) for n in range(MEMBERS)]
+        self.holders = [LeaseHolder(n, LIFE) for n in range(MEMBERS)]
         self.crashed, self.paused, self.partition, self.starts = [False] * 3, [False] * 3, 0, [0] * 3
         self.views = [tuple(range(MEMBERS))] * MEMBERS
         self.messages, self.faults = (), 0  # ("ask" or "grant", from, to, (key, wanted) or lease, at)
@@ -44,7 +44,7 @@
         new.__dict__.update(self.__dict__)
         new.owners = []
         for owner in self.owners:
-            other = Owner.__new__(Owner)
+            other = LeaseOwner.__new__(LeaseOwner)
             other.__dict__.update(owner.__dict__)
             other.views = list(owner.views)
             other.outstanding = {
@@ -54,14 +54,12 @@
             other.requests = {key: dict(row) for key, row in owner.requests.items()}
             new.owners.append(other)
         new.holders = [
-            Holder(holder.number, holder.lease_time, dict(holder.leases)) for holder in self.holders
+            LeaseHolder(holder.number, holder.lease_time, dict(holder.leases)) for holder in self.holders
         ]
-        new.crashed, new.paused, new.starts, new.views = (
-            list(self.crashed),
-            list(self.paused),
-            list(self.starts),
-            list(self.views),
-        )
+        new.crashed = list(self.crashed)
+        new.paused = list(self.paused)
+        new.starts = list(self.starts)
+        new.views = list(self.views)
         return new
 
     def reachable(self, n):
@@ -206,12 +204,12 @@
     def crash(self, n):
         self.faults += 1
         self.crashed[n] = True
-        self.holders[n] = Holder(n, LIFE)
+        self.holders[n] = LeaseHolder(n, LIFE)
         self.update_views()
 
     def restart(self, n):
         self.crashed[n], self.starts[n] = False, self.starts[n] + 1
-        self.owners[n] = Owner(n, MEMBERS, LIFE, self.starts[n])
+        self.owners[n] = LeaseOwner(n, MEMBERS, LIFE, self.starts[n])
         self.update_views()
 
     def pause(self, n):
@@ -323,24 +321,29 @@
 
 
 ORIGINAL_METHODS = {
-    "observe_members": Owner.observe_members,
-    "grant_lease": Owner.grant_lease,
-    "accept_lease": Holder.accept_lease,
-    "is_owner": Owner.is_owner,
+    "observe_members": LeaseOwner.observe_members,
+    "grant_lease": LeaseOwner.grant_lease,
+    "accept_lease": LeaseHolder.accept_lease,
+    "is_owner": LeaseOwner.is_owner,
 }
 IRRELEVANT_STEPS = ("is lost", "dies", "begins", "splits", "asks for 2")
 INJECTED_FAULTS = {  # name: class, method, replacement, steps to leave out
-    "no wait": (Owner, "is_owner", lend_without_waiting, ()),
-    "stands still unnoticed": (Owner, "observe_members", ignore_pause, IRRELEVANT_STEPS),
+    "no wait": (LeaseOwner, "is_owner", lend_without_waiting, ()),
+    "stands still unnoticed": (LeaseOwner, "observe_members", ignore_pause, IRRELEVANT_STEPS),
     "whole pool in a split": (
-        Owner,
+        LeaseOwner,
         "grant_lease",
         lend_whole_pool,
         ("is lost", "dies", "stopped", "asks for 2"),
     ),
-    "forgets what is out": (Owner, "grant_lease", forget_outstanding, ()),
-    "forgets an older lease": (Owner, "grant_lease", forget_older_lease, ("dies", "stopped", "splits")),
-    "counts from its coming": (Holder, "accept_lease", count_from_arrival, (*IRRELEVANT_STEPS, "stopped")),
+    "forgets what is out": (LeaseOwner, "grant_lease", forget_outstanding, ()),
+    "forgets an older lease": (LeaseOwner, "grant_lease", forget_older_lease, ("dies", "stopped", "splits")),
+    "counts from its coming": (
+        LeaseHolder,
+        "accept_lease",
+        count_from_arrival,
+        (*IRRELEVANT_STEPS, "stopped"),
+    ),
 }
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cobaltpond.leases.protocol import Holder, Owner, owner_of  # noqa: E402
+from cobaltpond.leases.protocol import LeaseHolder, LeaseOwner, owner_of  # noqa: E402
 from cobaltpond.limits.compiled import CompiledLimits  # noqa: E402
 from cobaltpond.limits.rules import HitAttributes, Limit  # noqa: E402
 from cobaltpond.loop.random_source import seeded_random  # noqa: E402
@@ -47,10 +47,8 @@
             )
             for n in range(count)
         ]
-        passing, exhausted = (
-            CompiledLimits(limits),
-            CompiledLimits([*limits[1:], Limit("t", "hits", "nothing", 1, 1, group="buy")]),
-        )
+        passing = CompiledLimits(limits)
+        exhausted = CompiledLimits([*limits[1:], Limit("t", "hits", "nothing", 1, 1, group="buy")])
         row = []
         for compiled in (passing, exhausted):
             for n in range(20_000):
@@ -94,15 +92,11 @@
     }[variant]
     limit = Limit("house", "hits", rate=RATE_PER_S * 1000, burst=RATE_PER_S // 10, fleet=variant != "central")
     evaluators = [CompiledLimits([limit], own_rate) for _ in range(1 if variant == "central" else count)]
-    owners, holders = (
-        [Owner(n, count, LEASE_TIME_US, 0) for n in range(count)],
-        [Holder(n, LEASE_TIME_US) for n in range(count)],
-    )
-    pool, living, key = (
-        RATE_PER_S * 1000 - count * (RATE_PER_S * 1000 // OWN_DIVISOR // count),
-        list(range(count)),
-        "house",
-    )
+    owners = [LeaseOwner(n, count, LEASE_TIME_US, 0) for n in range(count)]
+    holders = [LeaseHolder(n, LEASE_TIME_US) for n in range(count)]
+    pool = RATE_PER_S * 1000 - count * (RATE_PER_S * 1000 // OWN_DIVISOR // count)
+    living = list(range(count))
+    key = "house"
     owner, in_flight, messages, wanted, passed_at = owner_of(key, living), [], 0, [0.0] * count, []
     hit = HitAttributes("look", "repeatable")
     for at in range(0, seconds * S, STEP_US):
@@ -111,7 +105,7 @@
         load = 1.5 * RATE_PER_S if shape != "idle then all" else 1.5 * RATE_PER_S * min(1.0, share[0])
         for n in range(count):
             for _ in range(int(load * share[n] / total_weight * STEP_US / S + random_source.random())):
-                if evaluators[0 if variant == "central" else n].check(at, hit).by is None:
+                if evaluators[0 if variant == "central" else n].check(at, hit).rejected_by is None:
                     passed_at.append(at)
         if variant != "leases":
             continue
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -38,12 +38,10 @@
     """
 
     def __init__(self, port, options, pid):
-        self.loop, self.address, self.options, self.pid = (
-            Loop(EpollKernel()),
-            ("127.0.0.1", port),
-            options,
-            pid,
-        )
+        self.loop = Loop(EpollKernel())
+        self.address = ("127.0.0.1", port)
+        self.options = options
+        self.pid = pid
         self.latencies, self.lost, self.not_ok, self.memory = [], 0, 0, []
 
     def resident_mib(self):
--- a/bench/town.py
+++ b/bench/town.py
@@ -32,10 +32,8 @@
 
 
 def kills(loop, words):
-    chance, done = (
-        seeded_random(words.seed),
-        {"kills": 0, "releases": 0, "back": 0, "repeats": 0, "orphans": 0},
-    )
+    chance = seeded_random(words.seed)
+    done = {"kills": 0, "releases": 0, "back": 0, "repeats": 0, "orphans": 0}
     town = HostCluster(loop, tempfile.mkdtemp(prefix="cobaltpond-town-"), words.hosts, words.layout)
     going = [True]
 
--- a/cobaltpond/desk/state_recovery.py
+++ b/cobaltpond/desk/state_recovery.py
@@ -85,7 +85,7 @@
             self.recovery.add_state(reporter, seen_state)
             return
         stages = self.desk.stages
-        verdict = self.recovery.late_state(reporter, seen_state, stages.build, self.desk.epoch)
+        verdict = self.recovery.classify_late_report(reporter, seen_state, stages.build, self.desk.epoch)
         if verdict == "back" and stages.phase in ("trial", "released") and not self.is_waiting:
             self.log.error(
                 "late report of a rollback; rolling back",
@@ -129,14 +129,14 @@
         self.log.info(
             "collected",
             state=state,
-            why=self.recovery.why,
+            why=self.recovery.reason,
             spoke=len(self.recovery.states),
             missing=[list(reporter) for reporter in self.recovery.missing()][:20],
         )
         if state == RESUMED:
             try:
                 self.desk.stages.resume(
-                    self.loop.now(), self.recovery.plan, f"after a loss: {self.recovery.why}"
+                    self.loop.now(), self.recovery.plan, f"after a loss: {self.recovery.reason}"
                 )
             except ReleaseRefusedError as refusal:
                 self.recovery.resolve(WAITING, self.recovery.plan, str(refusal))
@@ -145,7 +145,7 @@
 
     def wait_for_operator(self) -> None:
         """Publishes a safe state (a trial at stage 0) and leaves the decision to an operator."""
-        self.log.error("waiting for the operator", why=self.recovery.why)
+        self.log.error("waiting for the operator", why=self.recovery.reason)
         plan, stages = self.recovery.plan, self.desk.stages
         if plan is not None and plan.build >= stages.build:
             stages.build, stages.stage, stages.phase, stages.votes = plan.build, 0, "trial", {}
@@ -169,4 +169,4 @@
         """State, reason and missing reporters, as JSON for the status page."""
         recovery = self.recovery
         missing = [list(reporter) for reporter in recovery.missing()] if self.is_collecting else []
-        return {"state": recovery.state, "why": recovery.why, "missing": missing}
+        return {"state": recovery.state, "why": recovery.reason, "missing": missing}
--- a/cobaltpond/edge/client_connection.py
+++ b/cobaltpond/edge/client_connection.py
@@ -21,13 +21,11 @@
         self.frontend, self.loop, self.connection = frontend, frontend.loop, connection
         self.parser, self.queued_commands, self.hit = pg.ClientMessageParser(), [], None
         self.connected_at = self.last_active = frontend.loop.now()
-        self.has_asked, self.unsent, self.writer, self.closing_since, self.discarded_bytes = (
-            False,
-            b"",
-            None,
-            None,
-            0,
-        )
+        self.has_asked = False
+        self.unsent = b""
+        self.writer = None
+        self.closing_since = None
+        self.discarded_bytes = 0
 
     @property
     def is_idle(self) -> bool:
@@ -79,7 +77,7 @@
                 self.writer = self.loop.spawn(self.write_rest(), "door-rest")
         # a client that sends commands and never reads would fill the memory
         if len(self.unsent) > MAX_UNSENT_BYTES:
-            self.frontend.count("unread")
+            self.frontend.increment("unread")
             self.connection.abort()
 
     def write_rest(self):
@@ -113,7 +111,7 @@
 
     def refuse(self, code: str, text: str) -> None:
         """Sends one FATAL error and closes. A hit that is open here gets it as its final response."""
-        self.frontend.count("unfit")
+        self.frontend.increment("unfit")
         self.abandon_open_hit()
         if self.closing_since is None:
             self.send_data(pg.error_response(code, text, fatal=True))
@@ -174,7 +172,7 @@
             return
         time_left = min(statement.time_left, group["client_timeout"], frontend.time_remaining())
         if frontend.host.is_full() or time_left <= 0:
-            frontend.count("turned away")
+            frontend.increment("turned away")
             self.send_data(
                 pg.error_response(
                     "53300", "no room for a further hit" if time_left > 0 else "this gateway ends"
@@ -185,7 +183,7 @@
         self.hit = PgHit(self, statement)
         frontend.open_ids[statement.id] = self.hit
         customer = statement.customer if statement.customer in frontend.customers else None
-        slack = frontend.host.slack
+        answer_slack = frontend.host.answer_slack
         frontend.host.accept_hit(
             self.hit,
             statement.group,
@@ -194,7 +192,7 @@
             time_left,
             None,
             statement.is_retry,
-            time_left - slack // 2,
+            time_left - answer_slack // 2,
         )
 
     def finish_query(self) -> None:
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -83,21 +83,17 @@
         """`reports_every_response`: the decisions poll the list, so they are told of responses without a
         change too.
         """
-        self.loop, self.host, self.address, self.log, self.reports_every_response = (
-            loop,
-            host,
-            address,
-            log,
-            reports_every_response,
-        )
-        self.instances, self.has_heard, self.source_switch = (
-            DiscoveredInstances(),
-            False,
-            SourceSwitch(loop, "discovery"),
-        )
+        self.loop = loop
+        self.host = host
+        self.address = address
+        self.log = log
+        self.reports_every_response = reports_every_response
+        self.instances = DiscoveredInstances()
+        self.has_received = False
+        self.source_switch = SourceSwitch(loop, "discovery")
         self.counts = {"applied": 0, "errors": 0}
 
-    def apply_answer(self, response) -> int:
+    def apply_response(self, response) -> int:
         """Applies a response and returns its version. Raises JsonLineError."""
         whole, rows = self.instances.apply(self.loop.now(), self.loop.kernel.wall_clock(), response)
         if rows or whole:
@@ -120,7 +116,7 @@
         """
         if known_list:
             try:
-                self.apply_answer({**known_list, "whole": True})
+                self.apply_response({**known_list, "whole": True})
             except JsonLineError as error:
                 self.log.warning("known list unreadable", why=str(error))
             self.instances.seq = 0
@@ -140,16 +136,12 @@
         asked by the version that it reported itself (None: for the whole list), so that its changes apply on
         top of every newer version, whichever source reported that.
         """
-        backoff, version, stale_since = (
-            Backoff(20_000, MAX_RETRY_DELAY_US, self.loop.kernel.random_seed()),
-            None,
-            None,
-        )
+        backoff = Backoff(20_000, MAX_RETRY_DELAY_US, self.loop.kernel.random_seed())
+        version = None
+        stale_since = None
         while True:
-            requested_at, target = (
-                self.loop.now(),
-                f"{HOSTS_PATH}?after={version}&wait_ms={WATCH_TIME_US // 1000}",
-            )
+            requested_at = self.loop.now()
+            target = f"{HOSTS_PATH}?after={version}&wait_ms={WATCH_TIME_US // 1000}"
             try:
                 if version is None:
                     status, body = yield from self.whole_list(address)
@@ -160,8 +152,8 @@
                         )
                 if status != 200:
                     raise JsonLineError(f"status {status}")
-                previous, version = version, self.apply_answer(parse_object(body))
-                self.has_heard = True
+                previous, version = version, self.apply_response(parse_object(body))
+                self.has_received = True
                 self.source_switch.source_answered()
                 stale_since = (
                     (self.loop.now() if stale_since is None else stale_since)
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -45,26 +45,26 @@
 
     def __init__(self, loop, endpoints, is_current):
         self.loop, self.endpoints, self.is_current = loop, endpoints, is_current
-        self.observations = dict.fromkeys(FORWARD_RESULTS, 0)
+        self.result_counts = dict.fromkeys(FORWARD_RESULTS, 0)
 
     def run_forward(
-        self, hit, number: int, endpoint: InstanceEndpoint, time_out: int, send_within: int | None, on_result
+        self, hit, number: int, endpoint: InstanceEndpoint, timeout: int, send_within: int | None, on_result
     ):
         """Task of one forward. Times in microseconds; `send_within` None: no limit on when the statement is
         written.
 
-        `on_result(outcome, duration, hit_closed, report)` is called exactly once, also where the task is
+        `on_result(result, duration, hit_final, report)` is called exactly once, also where the task is
         cancelled.
         """
         attempt = ForwardAttempt(
-            self, endpoint, hit.statement.with_time_left, hit.statement.tag, time_out, send_within
+            self, endpoint, hit.statement.with_time_left, hit.statement.tag, timeout, send_within
         )
         yield from attempt.run(lambda: not hit.final, hit.deliver, on_result)
 
     def run_probe(self, endpoint: InstanceEndpoint, on_result):
         """Task of one probe, a cheap query to an instance.
 
-        Calls `on_result(outcome, duration, report)` once.
+        Calls `on_result(result, duration, report)` once.
         """
         attempt = ForwardAttempt(
             self, endpoint, lambda time_left_ms: b"SHOW gauges", SHOW_TAG, self.endpoints.limits.dial_time
@@ -72,7 +72,7 @@
         yield from attempt.run(
             lambda: True,
             None,
-            lambda outcome, duration, hit_closed, report: on_result(outcome, duration, report),
+            lambda result, duration, hit_final, report: on_result(result, duration, report),
         )
 
 
@@ -85,17 +85,15 @@
         endpoint: InstanceEndpoint,
         statement,
         tag: bytes,
-        time_out: int,
+        timeout: int,
         send_within=None,
     ):
-        self.forwards, self.loop, self.endpoint, self.statement, self.tag = (
-            forwards,
-            forwards.loop,
-            endpoint,
-            statement,
-            tag,
-        )
-        self.started_at, self.time_out = forwards.loop.now(), time_out
+        self.forwards = forwards
+        self.loop = forwards.loop
+        self.endpoint = endpoint
+        self.statement = statement
+        self.tag = tag
+        self.started_at, self.timeout = forwards.loop.now(), timeout
         self.send_by = None if send_within is None else self.started_at + send_within
         self.connection, self.partly_written, self.fully_written = None, False, False
 
@@ -105,10 +103,10 @@
         `is_wanted()` says whether the hit is still open. `deliver(value)` gets the complete response; None
         for a probe.
         """
-        result_key, hit_closed, report = "called off", False, {}
+        result_key, hit_final, report = "called off", False, {}
         try:
             try:
-                with Deadline(self.loop, self.time_out):
+                with Deadline(self.loop, self.timeout):
                     result_key = yield from self.exchange(is_wanted)
             except DeadlineExceededError:
                 result_key = "too late" if self.fully_written else "dial too slow"
@@ -118,7 +116,7 @@
                 # row.
                 report = pg.parse_gauges(parser.shown_value if self.tag == SHOW_TAG else parser.gauges)
             if result_key == "answer" and deliver is not None and is_wanted():
-                hit_closed = True
+                hit_final = True
                 deliver(parser.value)
             if result_key in ("answer", "refusal", "server error") and not parser.ready and parser.is_clean:
                 self.loop.spawn(self.read_to_end(self.endpoint, self.connection), "settle")
@@ -126,11 +124,11 @@
         finally:
             # closed before the decisions hear of it, so no second copy of the hit is in progress
             self.close(result_key)
-            self.forwards.observations[result_key] += 1
+            self.forwards.result_counts[result_key] += 1
             on_result(
                 FORWARD_RESULTS[result_key][0],
                 self.loop.now() - self.started_at,
-                hit_closed or not is_wanted(),
+                hit_final or not is_wanted(),
                 report,
             )
 
@@ -146,7 +144,7 @@
                 return str(error)
             parser = self.connection.parser
             parser.expect(self.tag)
-            time_left_ms = max(1, (self.started_at + self.time_out - self.loop.now()) // 1000)
+            time_left_ms = max(1, (self.started_at + self.timeout - self.loop.now()) // 1000)
             try:
                 if (
                     failure_key := (
@@ -192,7 +190,7 @@
                 return None
             self.partly_written = True
             write_deadline = Deadline(
-                self.loop, self.time_out if self.send_by is None else self.send_by - self.loop.now()
+                self.loop, self.timeout if self.send_by is None else self.send_by - self.loop.now()
             )
             try:
                 with write_deadline:
--- a/cobaltpond/edge/frontend.py
+++ b/cobaltpond/edge/frontend.py
@@ -27,13 +27,11 @@
         """`connection_limit()` gives the current maximum of client connections, `max_connections` the highest
         one.
         """
-        self.loop, self.host, self.log, self.connection_limit, self.max_connections = (
-            loop,
-            host,
-            log,
-            connection_limit,
-            max_connections,
-        )
+        self.loop = loop
+        self.host = host
+        self.log = log
+        self.connection_limit = connection_limit
+        self.max_connections = max_connections
         self.groups = {row["name"]: row for row in policy_settings["path_groups"]}
         self.customers = {row["name"] for row in policy_settings["customers"]}
         self.may_cancel = bool(policy_settings.get("may_cancel"))
@@ -41,7 +39,7 @@
         # answer_deadline: by when all responses are sent, once the gateway drains
         self.listener, self.answer_deadline = None, None
 
-    def count(self, name: str) -> None:
+    def increment(self, name: str) -> None:
         """Increments a counter."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
@@ -51,7 +49,7 @@
 
     def hit_ended(self, hit: PgHit) -> None:
         """Called once by each hit when it becomes final."""
-        self.count(hit.outcome)
+        self.increment(hit.outcome)
         self.open_ids.pop(hit.statement.id, None)
         self.host.hit_ended(hit)
 
@@ -102,13 +100,13 @@
             )
             if evictable and not client.connection.closed:
                 if client.is_quiet():
-                    self.count("evicted")
+                    self.increment("evicted")
                     if not client.has_asked:
                         client.send_data(TOO_MANY_CONNECTIONS)
                     client.connection.close()  # no byte is unread, so this ends like a half-close
                     return True
                 if client.parser.has_partial and client.last_active < now and not turned_away:
-                    self.count("evicted")
+                    self.increment("evicted")
                     turned_away = True
                     client.refuse_connection(
                         TOO_MANY_CONNECTIONS
@@ -167,7 +165,7 @@
                 and now - client.last_active > IDLE_TIMEOUT_US
             ):
                 if client.is_quiet():
-                    self.count("evicted")
+                    self.increment("evicted")
                     client.half_close()
 
     def half_close_idle(self, idle_time: int) -> None:
--- a/cobaltpond/gateway/client_connection.py
+++ b/cobaltpond/gateway/client_connection.py
@@ -58,7 +58,7 @@
         view = memoryview(data)
         while view:
             with Deadline(self.loop, self.frontend.settings.door.write_time):
-                piece = view[: http1.PIECE]
+                piece = view[: http1.MAX_WRITE_BYTES]
                 yield from self.connection.write(piece)
                 view = view[len(piece) :]
         self.last_active = self.loop.now()
@@ -161,17 +161,15 @@
     def break_off(self, reason: str) -> None:
         """Aborts the client's connection in a streamed response, so that the client sees it as truncated."""
         self.outcome, self.streaming = "cut", False
-        self.client.frontend.count("cut")
+        self.client.frontend.increment("cut")
         self.client.frontend.log.warning("answer cut", hit=self.name, why=reason)
         self.client.connection.abort()
         self.answered.set()
 
     def reject(self, retry_after: int) -> None:
         """Bounces the hit; `retry_after`: advice in microseconds, 0 for none."""
-        keep_alive, over_share = (
-            self.may_keep_connection,
-            self.frontend.shares.is_over_share(self.route.customer),
-        )
+        keep_alive = self.may_keep_connection
+        over_share = self.frontend.shares.is_over_share(self.route.customer)
         self.finalize("bounced")
         self.client.send_data(
             responses.bounce_response(self.name, retry_after, over_share, keep_alive), not keep_alive
--- a/cobaltpond/gateway/frontend.py
+++ b/cobaltpond/gateway/frontend.py
@@ -24,11 +24,9 @@
 
     def __init__(self, loop, settings, host, log, status, members=None):
         self.loop, self.settings, self.host, self.log, self.status = loop, settings, host, log, status
-        self.members, self.admission_limits = (
-            members,
-            None,
-        )  # `gateway.admission_limits.AdmissionLimits`, None where the settings have no limits
-        self.routes, self.visits, self.half_closed = Routes(settings), {}, {}
+        self.members = members
+        self.admission_limits = None
+        self.routes, self.clients, self.half_closed = Routes(settings), {}, {}
         self.draining, self.counts = False, {}
         self.shares = CustomerShares(
             {c.name: c.share for c in settings.customers}, 2 * settings.release.exposure_window
@@ -38,13 +36,13 @@
             section.head_limit, section.target_limit, section.field_limit, section.body_limit
         )
 
-    def count(self, name: str) -> None:
+    def increment(self, name: str) -> None:
         """Adds one to a counter of `/-/status`."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def hit_ended(self, hit: HttpHit) -> None:
         """Counts the outcome of a hit that has become final and reports it to the host."""
-        self.count(hit.outcome)
+        self.increment(hit.outcome)
         self.host.hit_ended(hit)
 
     def start_accepting(self, listener):
@@ -71,7 +69,7 @@
         """
         idle = [
             client
-            for client in self.visits
+            for client in self.clients
             if client not in self.half_closed
             and not client.reading_head
             and not client.connection.closed
@@ -79,7 +77,7 @@
             and (client.writer is None or client.writer.done)
         ]
         if idle and self.loop.now() - idle[0].last_active > MIN_EVICTION_IDLE_US:
-            self.count("evicted")
+            self.increment("evicted")
             idle[0].connection.close()  # nothing from it is unread, so it sees an end of file and no reset
             return True
         return self.host.endpoints.evict()
@@ -90,7 +88,7 @@
         It reads all the time, also while a hit is open, and so notices a client that disconnects.
         """
         client, parser = ClientConnection(self, connection), http1.RequestParser(self.limits)
-        self.visits[client] = True
+        self.clients[client] = True
         events = []
         try:
             while True:
@@ -114,9 +112,9 @@
                 if client in self.half_closed:
                     continue  # discarded until the client closes
                 events = parser.feed(data)
-                client.reading_head = parser.in_head and parser.begun
+                client.reading_head = parser.in_head and parser.message_begun
         except http1.HttpMessageError as error:
-            self.count("unfit")
+            self.increment("unfit")
             if client.hit is not None and not client.hit.final:
                 # its body is malformed: the error response below is its final answer
                 self.host.abandon_hit(client.hit)
@@ -125,7 +123,7 @@
             client.send_data(responses.invalid_request_response(error.status, str(error)), True)
             yield from self.linger(client)
         finally:
-            self.visits.pop(client, None)
+            self.clients.pop(client, None)
             self.half_closed.pop(client, None)
             hit = client.hit
             if hit is not None:
@@ -166,16 +164,17 @@
         route = self.routes.read(head)
         request_body = BodyBuffer(self.settings.door.hold)
         if self.host.is_full():
-            self.count("turned away")
+            self.increment("turned away")
             client.send_data(responses.bounce_response("none", 0, False, False), True)
             return
         if self.admission_limits is not None:
             verdict = self.admission_limits.check(route.group, route.customer, route.key, route.is_retry)
-            if verdict.by is not None:
-                self.count("limited")
+            if verdict.rejected_by is not None:
+                self.increment("limited")
                 client.hit, keep_alive = None, head.keep_alive and expect is None and not self.draining
                 client.send_data(
-                    responses.over_limit_response(verdict.by, verdict.wait, keep_alive), not keep_alive
+                    responses.over_limit_response(verdict.rejected_by, verdict.wait_us, keep_alive),
+                    not keep_alive,
                 )
                 return
         if expect is not None:
@@ -210,7 +209,9 @@
         elif page == b"prefer":
             # For load balancers that can choose among gateways. `ready` does not depend on this: if all
             # gateways were isolated, none would stay in service.
-            isolated = self.members is not None and (self.members.is_alone or self.members.is_island)
+            isolated = self.members is not None and (
+                self.members.is_isolated or self.members.is_on_minority_side
+            )
             text = (
                 b"stopping\n" if self.draining else b"cut off from other gateways\n" if isolated else b"ok\n"
             )
@@ -230,7 +231,7 @@
         while True:
             yield Sleep(min(section.idle_time, section.head_time) // 4)
             now = self.loop.now()
-            for client in list(self.visits):
+            for client in list(self.clients):
                 idle_for = now - client.last_active
                 has_no_open_hit = client.hit is None or client.hit.final and not client.hit.streaming
                 if client in self.half_closed:
@@ -249,17 +250,17 @@
         self.draining = True
         self.accepting.cancel()
         yield Sleep(linger)  # requests that are already on their way still get their answers
-        for client in list(self.visits):
+        for client in list(self.clients):
             if client not in self.half_closed and (
                 client.hit is None or client.hit.final and not client.hit.streaming
             ):
                 client.half_close()
         longest = max(g.client_timeout for g in self.settings.path_groups)
         end = self.loop.now() + longest + self.settings.door.write_time
-        while any(v.hit is not None and (not v.hit.final or v.hit.streaming) for v in self.visits):
+        while any(v.hit is not None and (not v.hit.final or v.hit.streaming) for v in self.clients):
             if self.loop.now() > end:
                 break
             yield Sleep(10_000)
         end = self.loop.now() + 500_000
-        while self.visits and self.loop.now() < end:
+        while self.clients and self.loop.now() < end:
             yield Sleep(10_000)
--- a/cobaltpond/members/trial_evidence.py
+++ b/cobaltpond/members/trial_evidence.py
@@ -1,9 +1,8 @@
-"""Lets a gateway that starts in mid-trial ask other members for their counts of the trial. Free of I/O.
+"""Lets a gateway that starts in mid-trial ask other members for their counts of the trial. Does no I/O.
 
-Two present members are asked, chosen at random. An answer is weighted by its age and posted as a tally,
-which the decisions never take for hits of their own. Both members may have counted the same hits, since a
-judge also counts what others report to it: of two answers the larger count is used, and they are not added
-up.
+Two present members are asked, chosen at random. An answer is weighted by its age and posted as a tally, which
+the decisions never take for hits of their own. Both members may have counted the same hits, since a judge
+also counts what others report to it: of two answers the larger count is used, and they are not added up.
 """
 
 # Members asked; requests to each of them; microseconds between two requests to one that has not answered.
@@ -13,19 +12,23 @@
 class TrialEvidence:
     """The requests and answers of one gateway.
 
-    `window`: age in microseconds from which a count is worth nothing; `post`: as
+    `max_evidence_age`: age in microseconds from which a count is worth nothing; `post`: as
     `GatewayDecisionHost.post_event`; `began`: when this gateway started, in microseconds."""
 
-    def __init__(self, window: int, post, chance, began: int):
-        self.window, self.post_event, self.chance, self.began = window, post, chance, began
+    def __init__(self, max_evidence_age: int, post, chance, began: int):
+        self.max_evidence_age = max_evidence_age
+        self.post_event = post
+        self.chance = chance
+        self.began = began
         # requests: number of a member -> how often it was asked, None once it has answered;
         # counted: (build, path group) -> (hits, errored) that were posted
         self.build, self.requests, self.next_at, self.counted = None, {}, None, {}
         self.counts = {"asked": 0, "answers": 0, "tallies": 0}
 
     def update_release(self, now: int, build: int, phase: str, age: int) -> None:
-        """Takes the desk's release state, `age` microseconds old. Requests start if the trial began before
-        this gateway did, which then has missed its first part."""
+        """Takes the desk's release state, whose stage began `age` microseconds ago. Requests start if the
+        stage in which a trial is first seen began before this gateway did, which then has missed a part of
+        the trial."""
         if phase != "trial":
             self.build, self.requests, self.next_at = None, {}, None
         elif build != self.build:
@@ -34,7 +37,8 @@
             self.next_at = now if missed else None
 
     def due_requests(self, now: int, living) -> list[int]:
-        """Numbers of the members to ask now. One that is no longer among the `living` is replaced."""
+        """Returns the numbers of the members to ask now. One that is no longer among the `living` is
+        replaced."""
         if self.next_at is None or now < self.next_at:
             return []
         self.next_at = now + RETRY_INTERVAL_US
@@ -51,7 +55,7 @@
         self.counts["asked"] += len(receivers)
         return receivers
 
-    def apply_answer(self, sender: int, rows: list[tuple]) -> None:
+    def apply_response(self, sender: int, rows: list[tuple]) -> None:
         """Posts tallies from the first answer of each member that was asked.
 
         `rows`: (build, path group, hits, errored, age of the newest hit in microseconds)."""
@@ -60,12 +64,18 @@
         self.requests[sender] = None
         self.counts["answers"] += 1
         for build, group, hits, errored, age in rows:
-            weight = max(0.0, 1 - age / self.window)
+            weight = max(0.0, 1 - age / self.max_evidence_age)
             count, errored_count = int(hits * weight), int(min(errored, hits) * weight)
             known, known_errored = self.counted.get((build, group), (0, 0))
             if count > known:
                 self.counted[build, group] = count, max(errored_count, known_errored)
                 self.counts["tallies"] += 1
                 self.post_event(
-                    "on_tally", build, group, count - known, max(0, errored_count - known_errored), 0, age
+                    "on_platform_counts",
+                    build,
+                    group,
+                    count - known,
+                    max(0, errored_count - known_errored),
+                    0,
+                    age,
                 )
--- a/cobaltpond/recovery/desk_state.py
+++ b/cobaltpond/recovery/desk_state.py
@@ -1,14 +1,15 @@
-"""Detects state loss of a restarted release desk and chooses the state to resume from. Free of I/O.
+"""Detects state loss of a restarted release desk and chooses the state to resume from. Does no I/O.
 
 Each gateway and agent keeps the newest mark (epoch, turn) of the desk state that it acted on, and reports it
-when it reaches the desk again. The desk's journal holds the mark that the desk published last. A reported
-mark that is later than the journal's, or that belongs to an epoch the journal does not know, shows that the
-journal was lost, truncated or restored from a copy.
-
-Until enough members have reported, the desk publishes no news, accepts no vote and gives no order. Then it
-does one of three things: it carries on from the journal; or, where the journal is older, it resumes from the
-safest state that is consistent with all reports; or, where reports contradict each other, it waits for the
-operator.
+when it reaches the desk again. A mark is the position of a state in the desk's history: it rises with each
+published state. The desk's journal holds the mark that the desk published last. A reported mark that is later
+than the journal's, or that belongs to an epoch the journal does not know, shows that the journal was lost,
+truncated or restored from a copy.
+
+Until enough members have reported, the desk publishes no release state, accepts no vote and gives no order.
+Then it does one of three things: it carries on from the journal; or, where the journal is older, it resumes
+from the safest state that is consistent with all reports; or, where reports contradict each other, it waits
+for the operator.
 """
 
 from dataclasses import dataclass, field
@@ -26,7 +27,7 @@
     """The newest desk state that one gateway or agent acted on.
 
     `mark` is (epoch, turn), `cap` a share from 0 to 1, `stable` the build to roll back to (None: not known),
-    and `gone` holds the builds that this member saw being rolled back.
+    and `rolled_back_builds` holds the builds that this member saw being rolled back.
     """
 
     mark: tuple[int, int]
@@ -35,7 +36,7 @@
     phase: str = RELEASED
     cap: float = 1.0
     stable: int | None = None
-    gone: tuple[int, ...] = ()
+    rolled_back_builds: tuple[int, ...] = ()
 
     @property
     def state(self) -> tuple:
@@ -53,10 +54,8 @@
         return None
     try:
         epoch, turn = document["mark"]
-        stable, gone = (
-            document.get("stable"),
-            [int(build) for build in document.get("gone", ())][:MAX_GONE_BUILDS],
-        )
+        stable = document.get("stable")
+        rolled_back_builds = [int(build) for build in document.get("gone", ())][:MAX_GONE_BUILDS]
         if document["phase"] not in PHASES:
             raise ValueError(f"phase {document['phase']!r}")
         return SeenState(
@@ -66,7 +65,7 @@
             document["phase"],
             min(1.0, max(0.0, float(document["cap"]))),
             None if stable is None else int(stable),
-            tuple(gone),
+            tuple(rolled_back_builds),
         )
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"malformed seen state: {error!r}") from None
@@ -106,7 +105,7 @@
     state: str = COLLECTING
     states: dict = field(default_factory=dict)
     plan: ResumePlan | None = None
-    why: str = ""
+    reason: str = ""
     collect_deadline: int = 0
 
     def __post_init__(self):
@@ -122,15 +121,15 @@
             self.states[reporter] = seen
 
     def missing(self) -> list:
-        """The expected members that have not reported yet."""
+        """Returns the expected members that have not reported yet."""
         return [reporter for reporter in self.expected if reporter not in self.states]
 
     def is_due(self, now: int) -> bool:
-        """Whether collecting can end: all members have reported, or the deadline has passed."""
+        """Returns whether collecting can end: all members have reported, or the deadline has passed."""
         return self.state == COLLECTING and (now >= self.collect_deadline or not self.missing())
 
     def newer_states(self) -> dict:
-        """The reports, by member, with a later mark than the journal published last."""
+        """Returns the reports, by member, with a later mark than the journal published last."""
         journal_last = self.journal_mark or NO_MARK
         return {
             reporter: seen
@@ -139,7 +138,9 @@
         }
 
     def highest_epoch(self) -> int:
-        """The highest epoch in any report, 0 without one. It and all lower epochs must never be reused."""
+        """Returns the highest epoch in any report, 0 without one. It and all lower epochs must never be
+        reused.
+        """
         return max([seen.mark[0] for seen in self.states.values() if seen is not None], default=0)
 
     # --- concluding -----------------------------------------------------------------------------------------
@@ -174,12 +175,15 @@
         newest_reports = {
             reporter: seen for reporter, seen in newer_reports.items() if seen.mark == newest_mark
         }
-        gone = sorted(
+        rolled_back_builds = sorted(
             {
                 build
                 for seen in self.states.values()
                 if seen is not None
-                for build in (*seen.gone, *([seen.build] if seen.phase in ROLLBACK_PHASES else []))
+                for build in (
+                    *seen.rolled_back_builds,
+                    *([seen.build] if seen.phase in ROLLBACK_PHASES else []),
+                )
             }
         )
         states = sorted({seen.state for seen in newest_reports.values()})
@@ -193,7 +197,7 @@
         later_builds = {
             reporter: seen
             for reporter, seen in newer_reports.items()
-            if seen.build > newest_state.build and seen.build not in gone
+            if seen.build > newest_state.build and seen.build not in rolled_back_builds
         }
         if later_builds:
             return self.resolve(
@@ -210,14 +214,16 @@
             )
         return self.resolve(
             RESUMED,
-            self.safest_plan(newest_state, stable_builds[0] if stable_builds else None, gone, newer_reports),
+            self.safest_plan(
+                newest_state, stable_builds[0] if stable_builds else None, rolled_back_builds, newer_reports
+            ),
             f"{len(newer_reports)} reports are newer than the journal, up to mark {list(newest_mark)}",
         )
 
     def safest_plan(
-        self, newest_state: SeenState, stable: int | None, gone: list, newer_reports: dict
+        self, newest_state: SeenState, stable: int | None, rolled_back_builds: list, newer_reports: dict
     ) -> ResumePlan:
-        """The plan with no cap above the lowest reported one for that build.
+        """Returns the plan with no cap above the lowest reported one for that build.
 
         Its stage is not above what this cap allows. A build that any member saw being rolled back is rolled
         back.
@@ -227,25 +233,31 @@
             default=newest_state.cap,
         )
         phase, stage = newest_state.phase, min(newest_state.stage, len(self.caps) - 1)
-        if newest_state.build in gone and phase not in ROLLBACK_PHASES:
+        if newest_state.build in rolled_back_builds and phase not in ROLLBACK_PHASES:
             phase = GOING_BACK
         if phase == TRIAL:
             allowed_stages = [n for n in range(stage + 1) if self.caps[n] <= lowest_cap + 1e-6]
             stage = allowed_stages[-1] if allowed_stages else 0
             phase = TRIAL if allowed_stages else GOING_BACK
         return ResumePlan(
-            newest_state.build, stage, phase, stable, tuple(gone), lowest_cap if phase == TRIAL else 1.0
+            newest_state.build,
+            stage,
+            phase,
+            stable,
+            tuple(rolled_back_builds),
+            lowest_cap if phase == TRIAL else 1.0,
         )
 
     def contested_plan(self, newer_reports: dict) -> ResumePlan:
-        """What is published while the desk waits for the operator: the newest build on trial.
+        """Returns what is published while the desk waits for the operator: the newest build on trial.
 
         Its cap is the lowest that was reported for any build, or 0 if a report is of a rollback or saw this
         build being rolled back.
         """
         build = max(seen.build for seen in newer_reports.values())
         rolled_back = any(
-            seen.phase in ROLLBACK_PHASES or build in seen.gone for seen in newer_reports.values()
+            seen.phase in ROLLBACK_PHASES or build in seen.rolled_back_builds
+            for seen in newer_reports.values()
         )
         stable_builds = [
             seen.stable for seen in newer_reports.values() if seen.stable is not None and seen.stable < build
@@ -259,13 +271,13 @@
             0.0 if rolled_back else min(seen.cap for seen in newer_reports.values()),
         )
 
-    def resolve(self, state: str, plan: ResumePlan | None, why: str) -> str:
+    def resolve(self, state: str, plan: ResumePlan | None, reason: str) -> str:
         """Sets the outcome and its reason, which the operator reads; returns `state`."""
-        self.state, self.plan, self.why = state, plan, why
+        self.state, self.plan, self.reason = state, plan, reason
         return state
 
     def describe(self, reports: dict) -> str:
-        """At most eight reports as one line of text for the operator."""
+        """Formats at most eight reports as one line of text for the operator."""
         rows = [
             f"{reporter}: build {w.build} stage {w.stage} {w.phase}"
             for reporter, w in sorted(reports.items(), key=str)
@@ -274,7 +286,7 @@
 
     # --- afterwards -----------------------------------------------------------------------------------------
 
-    def late_state(self, reporter, seen: SeenState | None, build: int, epoch: int) -> str:
+    def classify_late_report(self, reporter, seen: SeenState | None, build: int, epoch: int) -> str:
         """Evaluates a report that arrives after collecting has ended, from a member that was unreachable.
 
         Returns "" if it holds nothing new or comes from this desk itself (`epoch`: the desk's epoch since its
@@ -290,7 +302,7 @@
             return ""
         newest_before = max([w.mark for w in self.states.values() if w is not None], default=NO_MARK)
         self.add_state(reporter, seen)
-        if build in seen.gone or seen.build == build and seen.phase in ROLLBACK_PHASES:
+        if build in seen.rolled_back_builds or seen.build == build and seen.phase in ROLLBACK_PHASES:
             return "back"
         if seen.mark <= newest_before or seen.build < build:
             return ""
--- a/cobaltpond/recovery/service.py
+++ b/cobaltpond/recovery/service.py
@@ -26,7 +26,7 @@
 from cobaltpond.recovery.rate_limiter import AnswerRateLimiter, DialRateLimiter, RecentStarts, StartJitter
 from cobaltpond.recovery.warm_start import SILENT, WarmStart, notable_rows, start_mark
 
-TICK_US, SETTLED_TICK_US = 20_000, 100_000  # the interval between checks; the one once settled
+TICK_US, SETTLED_TICK_US = 20_000, 100_000  # the interval between checks, before and after settling
 VALIDITY_COLD_TIMES = 3  # observations and snapshots older than this many cold times are useless
 LISTEN_US = 100_000  # time to hear of other members before the first calls
 
@@ -38,12 +38,10 @@
     """
 
     def __init__(self, gateway, random_source):
-        self.gateway, self.loop, self.log, self.random_source = (
-            gateway,
-            gateway.loop,
-            gateway.log,
-            random_source,
-        )
+        self.gateway = gateway
+        self.loop = gateway.loop
+        self.log = gateway.log
+        self.random_source = random_source
         deployment, self.recovery_settings = gateway.settings, gateway.settings.recovery
         self.validity_us, self.started_at = VALIDITY_COLD_TIMES * deployment.rules.cold_time, self.loop.now()
         self.settings_digest, self.service_window = deployment.digest(), ServiceWindow()
@@ -57,10 +55,8 @@
             },
             self.phase_changed,
         )
-        self.recent_starts, self.answer_limiter = (
-            RecentStarts(len(deployment.gateways)),
-            AnswerRateLimiter(self.recovery_settings.asks),
-        )
+        self.recent_starts = RecentStarts(len(deployment.gateways))
+        self.answer_limiter = AnswerRateLimiter(self.recovery_settings.asks)
         self.start_jitter = (
             StartJitter(self.recovery_settings.calls, random_source) if self.recovery_settings.calls else None
         )
@@ -68,19 +64,11 @@
             gateway.endpoints.dial_limiter = DialRateLimiter(
                 self.recovery_settings.dials, self.recent_starts.member_count, random_source
             )
-        (
-            self.warm_start,
-            self.loaded_snapshot,
-            self.snapshot_refusal,
-            self.written_at,
-            self.last_tick_at,
-        ) = (
-            None,
-            None,
-            None,
-            None,
-            self.started_at,
-        )
+        self.warm_start = None
+        self.loaded_snapshot = None
+        self.snapshot_refusal = None
+        self.written_at = None
+        self.last_tick_at = self.started_at
         self.counts = {"told": 0, "held votes": 0, "held samples": 0, "recalled": 0, "kept": 0, "not kept": 0}
         gateway.host.is_allowed = self.is_allowed
         if gateway.members is not None:
@@ -97,9 +85,10 @@
         )
 
     def is_allowed(self, action: str, verdict: str = "") -> bool:
-        """Whether the phase permits a "vote" with this verdict, or else a sample; counts what is held back.
+        """Returns whether the phase permits an action, and counts what it denies.
 
-        The decision host asks before it casts a vote or sends a sample.
+        `action` is "vote", for a vote with this `verdict`, or "tell", for a sample to other gateways. The
+        decision host asks before it sends either.
         """
         if action == "vote":
             is_held = not self.phase_machine.is_allowed(VOTE_ON if verdict in ("on", "hold") else VOTE_BACK)
@@ -112,7 +101,7 @@
     # --- start jitter ---------------------------------------------------------------------------------------
 
     def jittered(self, generator):
-        """Runs `generator`, which calls the list or the desk, after a random delay; retries have none."""
+        """Runs `generator`, which calls the list or the desk, after a random delay; its retries have none."""
         if self.start_jitter is not None:
             if self.gateway.members is not None:
                 yield Sleep(LISTEN_US)
@@ -122,7 +111,7 @@
     # --- main loop ------------------------------------------------------------------------------------------
 
     def run(self):
-        """Runs for ever; must be started before the gateway accepts connections."""
+        """Runs until cancelled; must be started before the gateway accepts connections."""
         self.read_snapshot()
         last_sampled_at = 0
         while True:
@@ -147,7 +136,9 @@
             yield from self.write_snapshot(now)
 
     def observe(self, now: int) -> None:
-        """Updates the phase by what has been heard, and detects a process that was paused meanwhile."""
+        """Updates the phase by which sources have answered, and detects a process that was paused
+        meanwhile.
+        """
         gateway = self.gateway
         if gateway.members is not None:
             self.recent_starts.update(
@@ -157,7 +148,7 @@
             # All knowledge is as old as the pause, which equals a restart.
             self.phase_machine.apply_cause(now, PROCESS_STALLED)
         self.last_tick_at = now
-        sources_known = gateway.list_follower.has_heard, gateway.desk_client.has_heard
+        sources_known = gateway.list_follower.has_received, gateway.desk_client.has_received
         if all(sources_known):
             self.phase_machine.apply_cause(now, ALL_SOURCES_KNOWN)
         elif any(sources_known):
@@ -168,7 +159,7 @@
     # --- warm start -----------------------------------------------------------------------------------------
 
     def donors(self) -> list[int]:
-        """The numbers of the present members that report themselves as settled."""
+        """Returns the numbers of the present members that report themselves as settled."""
         view = self.gateway.members.view
         return [
             n
@@ -190,7 +181,7 @@
             self.phase_machine.apply_cause(now, WARM_START_DONE)
             return
         for number in self.warm_start.due_requests(now, self.donors()):
-            members.view.send(wire.WARM_ASK, number, 0)
+            members.view.send(wire.WARM_REQUEST, number, 0)
         members.flush()
         if self.warm_start.is_over(now):
             self.phase_machine.apply_cause(now, WARM_START_DONE)
@@ -198,7 +189,7 @@
     def handle_message(self, kind: int, sender: int, sequence: int, rows: list) -> None:
         """Answers a warm-start request, or applies an answer to this gateway's own request."""
         now = self.loop.now()
-        if kind == wire.WARM_ASK:
+        if kind == wire.WARM_REQUEST:
             if self.phase_machine.is_allowed(ANSWER_WARM_START) and self.answer_limiter.try_acquire(
                 now, sender
             ):
@@ -208,24 +199,24 @@
                         for id, build, start, *rest in self.instance_rows(now)
                     ]
                 )
-                for at in range(0, max(1, len(rows_to_send)), wire.WARM_MOST):
+                for at in range(0, max(1, len(rows_to_send)), wire.MAX_WARM_ROWS):
                     self.gateway.members.view.send(
                         wire.WARM_REPLY,
                         sender,
                         sequence,
-                        more=wire.warm_field(rows_to_send[at : at + wire.WARM_MOST]),
+                        extra_fields=wire.encode_warm(rows_to_send[at : at + wire.MAX_WARM_ROWS]),
                     )
                 self.counts["told"] += 1
         elif self.warm_start is not None:
-            self.warm_start.apply_answer(sender, rows)
+            self.warm_start.apply_response(sender, rows)
             instance_list = self.gateway.list_follower.instance_list
             marks = {start_mark(id, row["build"], row["start"]): id for id, row in instance_list.rows.items()}
             self.restore(self.warm_start.accepted_rows(marks), [])
 
     def instance_rows(self, now: int) -> list[tuple]:
-        """What this gateway itself has observed of each instance.
+        """Returns what this gateway itself has observed of each instance.
 
-        Each row is (id, build, the list's mark of its start, latency ratio, load, faults, flags, age in
+        Each row is (id, build, the list's value of its start, latency ratio, load, faults, flags, age in
         microseconds).
         """
         fleet, listed_rows = self.gateway.host.decisions.fleet, self.gateway.list_follower.instance_list.rows
@@ -254,7 +245,7 @@
         """Hands accepted rows and sticky keys to the decisions, if there are any."""
         if rows or keys:
             self.counts["recalled"] += len(rows)
-            self.gateway.host.post_event("on_recalled", rows, keys)
+            self.gateway.host.post_event("on_warm_start", rows, keys)
 
     # --- snapshot -------------------------------------------------------------------------------------------
 
@@ -286,7 +277,7 @@
         self.log.info("snapshot refused", why=str(why))
 
     def apply_snapshot(self) -> None:
-        """Applies the loaded snapshot; only once the list is known, since its epoch must match."""
+        """Applies the loaded snapshot. The list must be known by then, since its epoch must match."""
         content, instance_list = self.loaded_snapshot, self.gateway.list_follower.instance_list
         if content is None:
             return
@@ -306,7 +297,7 @@
     def write_snapshot(self, now: int):
         """Writes the snapshot when it is due, line by line with a turn of the event loop after each.
 
-        It does not sync: a reader finds out by the last line whether the file is complete. A full or failing
+        The file is not synced: a reader finds out by the last line whether it is complete. A full or failing
         disk costs the snapshot, nothing else.
         """
         path, kernel = self.gateway.gateway_settings.snapshot, self.loop.kernel
@@ -353,7 +344,7 @@
     # --- status ---------------------------------------------------------------------------------------------
 
     def status(self) -> dict:
-        """The fields of the status page."""
+        """Returns the fields of the status page."""
         now, turns = self.loop.now(), self.gateway.endpoints.dial_limiter
         return {
             **self.phase_machine.status(now),
--- a/cobaltpond/sim/campaign.py
+++ b/cobaltpond/sim/campaign.py
@@ -11,7 +11,7 @@
 
 # The states that a fault can meet: of a hit, of an instance, of the release.
 STATES = (
-    *(f"hit {state}" for state in (HitState.TAKEN, HitState.HELD, HitState.OUT)),
+    *(f"hit {state}" for state in (HitState.TAKEN, HitState.HELD, HitState.FORWARDED)),
     *(f"instance {state} {warmth}" for state in ("up", "draining") for warmth in ("cold", "warm")),
     *(f"release {phase}" for phase in ("trial", "going back", "released", "withdrawn")),
 )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -81,7 +81,7 @@
         client.connection.close()
         yield from world.until(lambda: not world.edge.frontend.clients)
         world.client_left = True
-        yield from world.until(lambda: not world.edge.host.hits)
+        yield from world.until(lambda: not world.edge.host.pending_hits)
 
     world.run(go())
     assert world.received == [] and world.forward_results() == {"changed meanwhile": 1}
@@ -126,10 +126,8 @@
     half = len(statement(7)) // 2
 
     def go():
-        idle, client = (
-            (yield from idle_client(world, statement(1))),
-            (yield from idle_client(world, statement(2))),
-        )
+        idle = yield from idle_client(world, statement(1))
+        client = yield from idle_client(world, statement(2))
         whole = pg.query_message(statement(7))
         yield from client.connection.write(whole[:half])
         yield from world.until(lambda: any(c.parser.has_partial for c in world.edge.frontend.clients))
@@ -211,9 +209,9 @@
         clients.append(client)
         yield from client.send(statement(1, "pay"), start=True)
         yield from world.until(lambda: world.received)
-        yield from world.until(lambda: not world.edge.host.hits and not world.edge.frontend.clients)
+        yield from world.until(lambda: not world.edge.host.pending_hits and not world.edge.frontend.clients)
         yield Sleep(20 * MS)
 
     world.run(go())
     decisions = world.edge.host.decisions
-    assert decisions.hits == {} and [i.out for i in decisions.fleet.by_id.values()] == [0, 0]
+    assert decisions.hits == {} and [i.own_inflight for i in decisions.fleet.by_id.values()] == [0, 0]
--- a/tests/test_desk_state_loss.py
+++ b/tests/test_desk_state_loss.py
@@ -73,7 +73,7 @@
         yield from cluster.wait_until(lambda: cluster.runs_only(3))
 
     run.go(scenario())
-    assert not run.deaths
+    assert not run.task_failures
 
 
 def test_desk_with_lost_journal_keeps_instances_and_trial_stage(tmp_path):
@@ -101,7 +101,7 @@
         yield from cluster.wait_until(lambda: cluster.runs_only(2))
 
     run.go(scenario())
-    assert not run.deaths
+    assert not run.task_failures
 
 
 def test_agent_with_lost_journal_adopts_running_instances(tmp_path):
@@ -133,4 +133,4 @@
         yield from cluster.wait_until(lambda: cluster.runs_only(2))
 
     run.go(scenario())
-    assert not run.deaths
+    assert not run.task_failures
--- a/tests/test_edge_list.py
+++ b/tests/test_edge_list.py
@@ -63,19 +63,17 @@
 
 
 def test_start_time_is_fixed_per_start_and_invalid_lists_change_nothing():
-    instances, host = (
-        DiscoveredInstances(),
-        {
-            "host": "a",
-            "dial": "1.2.3.4:5",
-            "site": "z",
-            "block": 1,
-            "health": "up",
-            "share": 1.0,
-            "born_ms": 1000,
-            "revision_no": 3,
-        },
-    )
+    instances = DiscoveredInstances()
+    host = {
+        "host": "a",
+        "dial": "1.2.3.4:5",
+        "site": "z",
+        "block": 1,
+        "health": "up",
+        "share": 1.0,
+        "born_ms": 1000,
+        "revision_no": 3,
+    }
     whole, ((row_, address),) = instances.apply(
         50_000_000, 3_000_000, {"seq": 4, "whole": True, "hosts": [host]}
     )
@@ -137,7 +135,7 @@
     world = PgWorld(answer_script(lambda text, _: good_answer(text)))
 
     def go():
-        yield from world.until(lambda: len(world.feeds) == 1 and world.edge.platform.has_heard)
+        yield from world.until(lambda: len(world.feeds) == 1 and world.edge.platform.has_received)
         world.feeds[0].send_object({})
         world.feeds[0].send_object(line)
         yield from world.until(lambda: len(world.feeds) == 2)
@@ -151,7 +149,7 @@
     world = PgWorld(answer_script(lambda text, _: good_answer(text)), tmp=tmp_path)
 
     def go():
-        yield from world.until(lambda: world.edge.platform.has_heard)
+        yield from world.until(lambda: world.edge.platform.has_received)
         (tmp_path / "config.json").write_text("{")
         world.edge.stop("HUP")  # the file is read again for a while, as it may be partly written
         yield from world.until(lambda: any(level == "error" for level, _, _ in world.log.lines))
--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -137,8 +137,8 @@
     cluster.run_until(
         lambda: zone_states(cluster, 1)["zone-0"] == GONE
         and zone_states(cluster, 0)["zone-1"] == CUT_OFF
-        and cluster.parts[0].members.is_island
-        and not cluster.parts[1].members.is_island,
+        and cluster.parts[0].members.is_on_minority_side
+        and not cluster.parts[1].members.is_on_minority_side,
         60 * FAST.period,
     )
     assert zone_states(cluster, 1) == {"zone-0": GONE, "zone-1": REACHABLE, "zone-2": REACHABLE}
@@ -148,7 +148,7 @@
     )
     cluster.cut(zone0, rest, False)
     cluster.run_until(
-        lambda: cluster.all_agree() and not cluster.parts[0].members.is_island, 40 * FAST.period
+        lambda: cluster.all_agree() and not cluster.parts[0].members.is_on_minority_side, 40 * FAST.period
     )
 
 
@@ -176,10 +176,12 @@
     """Its own network is at fault, not all the other members."""
     cluster = make_cluster(5, 11)
     cluster.cut([2], [0, 1, 3, 4], True)
-    cluster.run_until(lambda: cluster.parts[2].members.is_alone, 30 * FAST.period)
-    assert set(zone_states(cluster, 2).values()) == {ALONE} and not cluster.parts[0].members.is_alone
+    cluster.run_until(lambda: cluster.parts[2].members.is_isolated, 30 * FAST.period)
+    assert set(zone_states(cluster, 2).values()) == {ALONE} and not cluster.parts[0].members.is_isolated
     cluster.cut([2], [0, 1, 3, 4], False)
-    cluster.run_until(lambda: not cluster.parts[2].members.is_alone and cluster.all_agree(), 40 * FAST.period)
+    cluster.run_until(
+        lambda: not cluster.parts[2].members.is_isolated and cluster.all_agree(), 40 * FAST.period
+    )
 
 
 def test_flapping_link_causes_no_member_failure():
