--- a/cobaltpond/audit/__init__.py
+++ b/cobaltpond/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules, decided from what passed over sockets; apart from all gateway code."""
+"""Checks the five invariants on events recorded outside the gateway, without any gateway code."""
--- a/cobaltpond/audit/check.py
+++ b/cobaltpond/audit/check.py
@@ -1,193 +1,256 @@
-"""Decides the five rules from the records of clients, instances, list, relays and the day's own acts.
+"""Checks the five invariants on records of clients, instances, instance list, relays and scenario actions.
 
-Nothing here is imported from the gateway, and nothing a gateway believes of itself is read. Times are on one
-clock. A forward was sent no later than it was read, and no earlier than `since` (when its connection was last
-seen empty); a rule counts as broken only if it is so for every time between the two. `EPS` covers the way
-over loopback and the turns of the loops at both ends.
+Nothing is imported from the gateway, and no state that a gateway reports about itself is read. All times are
+in microseconds on one clock. A forward was sent no later than it was read, and no earlier than `since`, when
+its connection was last seen empty; a rule counts as broken only if it is broken for every send time between
+the two. `TOLERANCE_US` covers the delay over loopback and the event loop iterations at both ends.
 """
 
 from collections import defaultdict
 
-from cobaltpond.audit.exposure import exposure_kept
+from cobaltpond.audit.exposure import check_exposure
 from cobaltpond.audit.findings import RULES, Findings
-from cobaltpond.audit.lives import ProcessLifetimes
+from cobaltpond.audit.lifetimes import ProcessLifetimes
 
-EPS = 50_000  # microseconds; see docs/audit.md
+TOLERANCE_US = 50_000  # see docs/audit.md
 
 
-def check_rules(crowd: list, yard: list, acts: list, sheet: dict, eps: int = EPS) -> Findings:
-    """`sheet`: a runsheet map and under "rules" the figures tip_time, overload_factor and answer_slack.
-    `eps`: less where the records' times are exact, see `sim/wire_observer.py`."""
-    found, lives, sheet = Findings(), ProcessLifetimes(acts, eps), {**sheet, "eps": eps}
-    answers = {(e["op"], e["number"]): e for e in crowd if e["kind"] == "answer"}
-    arrivals = [e for e in yard if e["kind"] == "arrive" and e["hit"] and e["hit"] != "probe"]
-    no_hit_lost(found, lives, crowd, answers, arrivals, sheet)
-    no_effect_twice(found, lives, crowd, yard, answers, arrivals, sheet)
-    drains_kept(found, lives, yard, arrivals, sheet)
-    cold_kept(found, yard, sheet)
-    exposure_kept(found, lives, crowd, yard, answers, arrivals, sheet)
-    return found
+def check_rules(
+    client_records: list,
+    instance_records: list,
+    actions: list,
+    rule_settings: dict,
+    tolerance: int = TOLERANCE_US,
+) -> Findings:
+    """Checks all rules and returns the findings.
 
+    `rule_settings` is a map of policy settings with `tip_time`, `overload_factor` and `answer_slack` under
+    "rules". `tolerance` is smaller where the recorded times are exact, see `sim/wire_observer.py`.
+    """
+    findings, lifetimes, rule_settings = (
+        Findings(),
+        ProcessLifetimes(actions, tolerance),
+        {**rule_settings, "tolerance": tolerance},
+    )
+    answers = {(event["op"], event["number"]): event for event in client_records if event["kind"] == "answer"}
+    arrivals = [
+        event
+        for event in instance_records
+        if event["kind"] == "arrive" and event["hit"] and event["hit"] != "probe"
+    ]
+    check_answers(findings, lifetimes, client_records, answers, arrivals, rule_settings)
+    check_effects(findings, lifetimes, client_records, instance_records, answers, arrivals, rule_settings)
+    check_drains(findings, lifetimes, instance_records, arrivals, rule_settings)
+    check_cold_instances(findings, instance_records, rule_settings)
+    check_exposure(findings, lifetimes, client_records, instance_records, answers, arrivals, rule_settings)
+    return findings
 
-def no_hit_lost(found, lives, crowd, answers, arrivals, sheet):
-    eps = sheet["eps"]
-    rule, slack = RULES[0], sheet["rules"]["answer_slack"]
+
+def check_answers(findings, lifetimes, client_records, answers, arrivals, rule_settings):
+    """Checks that every hit gets one answer, in time, and that no forward follows the answer."""
+    tolerance = rule_settings["tolerance"]
+    rule, slack = RULES[0], rule_settings["rules"]["answer_slack"]
     by_hit = defaultdict(list)
-    for e in arrivals:
-        by_hit[e["hit"]].append(e)
-    for t in crowd:
-        if t["kind"] == "stray":
-            found.record(rule, False, f"a second answer of {t['bytes']} bytes from gateway {t['gateway']}")
-        if t["kind"] != "try":
+    for event in arrivals:
+        by_hit[event["hit"]].append(event)
+    for attempt in client_records:
+        if attempt["kind"] == "stray":
+            findings.record(
+                rule, False, f"a second answer of {attempt['bytes']} bytes from gateway {attempt['gateway']}"
+            )
+        if attempt["kind"] != "try":
             continue
         answer, name = (
-            answers.get((t["op"], t["number"])),
-            f"hit {t['op']} try {t['number']} at {t['gateway']}",
+            answers.get((attempt["op"], attempt["number"])),
+            f"hit {attempt['op']} try {attempt['number']} at {attempt['gateway']}",
         )
-        due = t["sent"] + t["left"] + slack
+        deadline = attempt["sent"] + attempt["left"] + slack
         if answer is None:
-            found.record(
-                rule, lives.ended_in(t["gateway"], t["sent"], 1 << 62), f"{name}: the record ends without it"
+            findings.record(
+                rule,
+                lifetimes.ended_in(attempt["gateway"], attempt["sent"], 1 << 62),
+                f"{name}: the record ends without it",
             )
         elif answer["seen"] in ("lost", "late"):
-            excused = (
-                lives.ended_in(t["gateway"], t["sent"] - eps, answer["at"])
-                or lives.stopping_in(t["gateway"], t["sent"], answer["at"])
-                and not any(a["op"] == t["op"] for a in arrivals)
+            lost_with_process = (
+                lifetimes.ended_in(attempt["gateway"], attempt["sent"] - tolerance, answer["at"])
+                or lifetimes.stopping_in(attempt["gateway"], attempt["sent"], answer["at"])
+                and not any(a["op"] == attempt["op"] for a in arrivals)
+            )
+            stalled = answer["seen"] == "late" and lifetimes.stalled_in(
+                attempt["gateway"], attempt["sent"], deadline
             )
-            stalled = answer["seen"] == "late" and lives.stalled_in(t["gateway"], t["sent"], due)
-            found.record(rule, excused or stalled, f"{name}: {answer['seen']}, no answer")
+            findings.record(rule, lost_with_process or stalled, f"{name}: {answer['seen']}, no answer")
         elif answer["seen"] != "gave up":
-            late = answer["from"] > due and not lives.stalled_in(t["gateway"], t["sent"], answer["at"])
-            found.record(rule, not late, f"{name}: {answer['seen']} {answer['from'] - due} us after its time")
-            after = [a for a in by_hit.get(answer.get("hit"), ()) if a["since"] > answer["at"] + eps]
-            found.record(rule, not after, f"{name}: forwarded after its answer ({answer['seen']})")
+            late = answer["from"] > deadline and not lifetimes.stalled_in(
+                attempt["gateway"], attempt["sent"], answer["at"]
+            )
+            findings.record(
+                rule, not late, f"{name}: {answer['seen']} {answer['from'] - deadline} us after its time"
+            )
+            after = [a for a in by_hit.get(answer.get("hit"), ()) if a["since"] > answer["at"] + tolerance]
+            findings.record(rule, not after, f"{name}: forwarded after its answer ({answer['seen']})")
 
 
-def no_effect_twice(found, lives, crowd, yard, answers, arrivals, sheet):
-    eps = sheet["eps"]
-    rule, groups = RULES[1], {g["name"]: g for g in sheet["path_groups"]}
+def check_effects(findings, lifetimes, client_records, instance_records, answers, arrivals, rule_settings):
+    """Checks that no hit takes effect twice and that retries keep to the limits of their path group."""
+    tolerance = rule_settings["tolerance"]
+    rule, groups = RULES[1], {g["name"]: g for g in rule_settings["path_groups"]}
     effects = defaultdict(list)
-    for e in yard:
-        if e["kind"] == "effect":
-            effects[e["op"]].append(e)
+    for event in instance_records:
+        if event["kind"] == "effect":
+            effects[event["op"]].append(event)
     for op, rows in effects.items():
-        found.record(
+        findings.record(
             rule,
             len(rows) == 1,
             f"hit {op} ({rows[0]['group']}): {len(rows)} effects at "
             f"{[(r['instance'], r['hit']) for r in rows]}",
         )
-    refused = {(e["hit"], e["forward"]) for e in yard if e["kind"] == "refused"}
-    ended = {}  # work may go on after the gateway has left: the first counts
-    for e in yard:
-        if e["kind"] in ("end", "left"):
-            ended.setdefault((e["hit"], e["forward"]), e)
-    where = {(e["instance"], e["start"]): (e["zone"], e["cell"]) for e in yard if e["kind"] == "up"}
+    refused = {(event["hit"], event["forward"]) for event in instance_records if event["kind"] == "refused"}
+    ended = {}  # work may go on after the gateway has disconnected, so the first end counts
+    for event in instance_records:
+        if event["kind"] in ("end", "left"):
+            ended.setdefault((event["hit"], event["forward"]), event)
+    placement_of = {
+        (event["instance"], event["start"]): (event["zone"], event["cell"])
+        for event in instance_records
+        if event["kind"] == "up"
+    }
     by_hit = defaultdict(list)
-    for e in arrivals:
-        by_hit[e["hit"]].append(e)
+    for event in arrivals:
+        by_hit[event["hit"]].append(event)
     answered = {a["hit"]: a for a in answers.values() if a.get("hit")}
     for hit, rows in by_hit.items():
-        rows.sort(key=lambda e: e["forward"])
+        rows.sort(key=lambda event: event["forward"])
         group = groups[rows[0]["group"]]
-        risky = [e for e in rows if (hit, e["forward"]) not in refused]
-        found.record(rule, len(rows) <= sheet["most_forwards"], f"hit {hit}: {len(rows)} forwards")
+        may_have_run = [event for event in rows if (hit, event["forward"]) not in refused]
+        findings.record(rule, len(rows) <= rule_settings["most_forwards"], f"hit {hit}: {len(rows)} forwards")
         for before, after in zip(rows, rows[1:], strict=False):
             end = ended.get((hit, before["forward"]))
-            both = end is not None and end["from"] > after["at"] + eps and before["since"] and after["since"]
-            both = both and not lives.frozen_in(before["instance"], before["at"], end["from"])
-            found.record(rule, not both, f"hit {hit}: two forwards at once")
-        if group["kind"] != "repeatable" and risky:
-            first, later = risky[0], [e for e in rows if e["forward"] > risky[0]["forward"]]
-            for e in later:
+            overlapping = (
+                end is not None
+                and end["from"] > after["at"] + tolerance
+                and before["since"]
+                and after["since"]
+            )
+            overlapping = overlapping and not lifetimes.frozen_in(
+                before["instance"], before["at"], end["from"]
+            )
+            findings.record(rule, not overlapping, f"hit {hit}: two forwards at once")
+        if group["kind"] != "repeatable" and may_have_run:
+            first, later_forwards = (
+                may_have_run[0],
+                [event for event in rows if event["forward"] > may_have_run[0]["forward"]],
+            )
+            for event in later_forwards:
                 if group["kind"] == "mutating":
-                    found.record(rule, False, f"mutating hit {hit}: sent again after it may have run")
+                    findings.record(rule, False, f"mutating hit {hit}: sent again after it may have run")
                 else:
-                    found.record(
+                    findings.record(
                         rule,
-                        e["since"] <= first["at"] + group["repeat_window"] + eps,
+                        event["since"] <= first["at"] + group["repeat_window"] + tolerance,
                         f"tagged hit {hit}: sent again after its window",
                     )
-                    one, other = (where[x["instance"], x["start"]] for x in (first, e))
-                    same = {"all": True, "zone": one[0] == other[0], "cell": one == other}[group["scope"]]
-                    found.record(rule, same, f"tagged hit {hit}: sent again outside its {group['scope']}")
-        harmless = group["kind"] == "repeatable" or group["kind"] == "tagged" and group["scope"] == "all"
+                    first_placement, later_placement = (
+                        placement_of[x["instance"], x["start"]] for x in (first, event)
+                    )
+                    within_scope = {
+                        "all": True,
+                        "zone": first_placement[0] == later_placement[0],
+                        "cell": first_placement == later_placement,
+                    }[group["scope"]]
+                    findings.record(
+                        rule, within_scope, f"tagged hit {hit}: sent again outside its {group['scope']}"
+                    )
+        retry_is_safe = group["kind"] == "repeatable" or group["kind"] == "tagged" and group["scope"] == "all"
         answer = answered.get(hit)
-        if answer is not None and not harmless:
-            before = [e for e in risky if e["at"] <= answer["at"]]
-            found.record(
+        if answer is not None and not retry_is_safe:
+            before = [event for event in may_have_run if event["at"] <= answer["at"]]
+            findings.record(
                 rule, not (answer.get("promise") and before), f"hit {hit}: bounced after it may have run"
             )
 
 
-def drains_kept(found, lives, yard, arrivals, sheet):
-    eps = sheet["eps"]
-    rule, grace = RULES[2], sheet["drain_grace"]
-    # (gateway, life, id, start) -> [when told of its end, when told that it is up again], the last one open
-    told, known = defaultdict(list), defaultdict(dict)
+def check_drains(findings, lifetimes, instance_records, arrivals, rule_settings):
+    """Checks that no forward goes to an instance once its drain, or its end, is known for the drain grace."""
+    tolerance = rule_settings["tolerance"]
+    rule, grace = RULES[2], rule_settings["drain_grace"]
+    # (gateway, process, id, start) -> [[time of the drain or end, time up again or None], ...]
+    drain_spans, listed_by_process = defaultdict(list), defaultdict(dict)
 
-    def ends(name, at):
-        if not told[name] or told[name][-1][1] is not None:
-            told[name].append([at, None])
+    def mark_draining(name, at):
+        if not drain_spans[name] or drain_spans[name][-1][1] is not None:
+            drain_spans[name].append([at, None])
 
-    for e in yard:
-        if e["kind"] != "list":
+    for event in instance_records:
+        if event["kind"] != "list":
             continue
-        number = int(e["gateway"])
-        at = e["at"] if e.get("exact") else lives.read_time(number, e["at"])
-        life = lives.life(number, e["at"])
-        listed = known[number, life]
-        rows = {row["id"]: row for row in e["rows"]}
-        if e["base"] is None:
+        number = int(event["gateway"])
+        at = event["at"] if event.get("exact") else lifetimes.read_time(number, event["at"])
+        life = lifetimes.life(number, event["at"])
+        listed = listed_by_process[number, life]
+        rows = {row["id"]: row for row in event["rows"]}
+        if event["base"] is None:
             for id, start in list(listed.items()):
                 if id not in rows:
-                    ends((number, life, id, start), at)
+                    mark_draining((number, life, id, start), at)
                     del listed[id]
         for id, row in rows.items():
             if row["state"] == "up":
                 if listed.get(id) not in (None, row["start"]):
-                    ends((number, life, id, listed[id]), at)
-                again = told.get((number, life, id, row["start"]))
-                if again and again[-1][1] is None:  # its drain was taken back
+                    mark_draining((number, life, id, listed[id]), at)
+                again = drain_spans.get((number, life, id, row["start"]))
+                if again and again[-1][1] is None:  # the drain was revoked
                     again[-1][1] = at
                 listed[id] = row["start"]
             else:
-                ends((number, life, id, row["start"]), at)
+                mark_draining((number, life, id, row["start"]), at)
                 listed.pop(id, None)
-    for e in arrivals:
-        number = int(e["gateway"])
-        spans = told.get((number, lives.life(number, e["at"]), e["instance"], e["start"]), ())
+    for event in arrivals:
+        number = int(event["gateway"])
+        spans = drain_spans.get(
+            (number, lifetimes.life(number, event["at"]), event["instance"], event["start"]), ()
+        )
         late = [
-            e["since"] - at
+            event["since"] - at
             for at, up in spans
-            if e["since"] > at + grace + eps and (up is None or e["at"] < up - eps)
+            if event["since"] > at + grace + tolerance and (up is None or event["at"] < up - tolerance)
         ]
-        found.record(
+        findings.record(
             rule,
             not late,
-            f"hit {e['hit']}: sent to {e['instance']} {max(late, default=0)} us after "
+            f"hit {event['hit']}: sent to {event['instance']} {max(late, default=0)} us after "
             f"gateway {number} was told that it drains or is gone",
         )
 
 
-def cold_kept(found, yard, sheet):
-    rule, tip, factor = RULES[3], sheet["rules"]["tip_time"], sheet["rules"]["overload_factor"]
-    ups = {(e["instance"], e["start"]): e for e in yard if e["kind"] == "up" and not e["warm"]}
+def check_cold_instances(findings, instance_records, rule_settings):
+    """Checks that no cold instance gets more work than the overload factor allows."""
+    rule, tip, factor = (
+        RULES[3],
+        rule_settings["rules"]["tip_time"],
+        rule_settings["rules"]["overload_factor"],
+    )
+    cold_starts = {
+        (event["instance"], event["start"]): event
+        for event in instance_records
+        if event["kind"] == "up" and not event["warm"]
+    }
     work = defaultdict(list)
-    for e in yard:
-        if e["kind"] == "arrive":
-            work[e["instance"], e["start"]].append(e)
-        if e["kind"] == "fell":
-            found.record(rule, False, f"{e['instance']} fell over at {e['at']}")
-    for name, up in ups.items():
+    for event in instance_records:
+        if event["kind"] == "arrive":
+            work[event["instance"], event["start"]].append(event)
+        if event["kind"] == "fell":
+            findings.record(rule, False, f"{event['instance']} fell over at {event['at']}")
+    for name, up in cold_starts.items():
         began = up.get("began", up["start"])
-        rows = [e for e in work[name] if e["at"] - began < up["cold_time"]]
+        rows = [event for event in work[name] if event["at"] - began < up["cold_time"]]
         worst = 0.0
         for n, last in enumerate(rows):
-            window = [e["work"] for e in rows[: n + 1] if e["at"] > last["at"] - tip]
+            window = [event["work"] for event in rows[: n + 1] if event["at"] > last["at"] - tip]
             age = last["at"] - began
             warmth = up["cold_share"] + (1 - up["cold_share"]) * min(1.0, age / up["cold_time"])
-            bearable = factor * up["cores"] * up["speed"] * warmth * min(tip, max(1, age))
-            worst = max(worst, (sum(window) - 2 * max(window)) / bearable)
-        found.record(rule, worst <= 1.1, f"{name[0]}: sent {worst:.2f} times what a cold instance bears")
+            max_work = factor * up["cores"] * up["speed"] * warmth * min(tip, max(1, age))
+            worst = max(worst, (sum(window) - 2 * max(window)) / max_work)
+        findings.record(rule, worst <= 1.1, f"{name[0]}: sent {worst:.2f} times what a cold instance bears")
--- a/cobaltpond/audit/exposure.py
+++ b/cobaltpond/audit/exposure.py
@@ -1,4 +1,4 @@
-"""Checks the exposure rule: forwards to a build on trial stay within the cap, kept keys with their build."""
+"""Checks the exposure rule: forwards to a build on trial stay within the cap, keys stay with their build."""
 
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
@@ -7,7 +7,8 @@
 from cobaltpond.audit.findings import RULES
 
 
-def by_gateway(entries, kind):
+def group_by_gateway(entries, kind):
+    """Gateway number -> the entries of this kind that name the gateway."""
     rows = defaultdict(list)
     for entry in entries:
         if entry["kind"] == kind and entry.get("gateway") is not None:
@@ -16,131 +17,178 @@
 
 
 class CapHistory:
-    """What one start of a gateway was told: news by time."""
+    """The release state known to one gateway process over time.
 
-    def __init__(self, rows, sheet):
-        self.rows, self.settings, self.eps = sorted(rows, key=lambda r: r[0]), sheet, sheet["eps"]
+    Each row is (time, build, stage, phase, cap).
+    """
+
+    def __init__(self, rows, rule_settings):
+        self.rows, self.settings, self.tolerance = (
+            sorted(rows, key=lambda r: r[0]),
+            rule_settings,
+            rule_settings["tolerance"],
+        )
         self.times = [r[0] for r in self.rows]
-        self.grace = sheet["drain_grace"]
+        self.grace = rule_settings["drain_grace"]
 
     def state_at(self, at):
+        """The last row received up to `at`; None before the first."""
         n = bisect_right(self.times, at)
         return self.rows[n - 1] if n else None
 
-    def cap(self, build, news):
-        """None where the build is not on trial for who was told this."""
+    def cap(self, build, state):
+        """The cap for a build under a known state; None where the build is not on trial in it."""
         first = (self.settings.get("stage_caps") or [0.0])[0]
-        if news is None or build > news[1]:
+        if state is None or build > state[1]:
             return first
-        return news[4] if build == news[1] and news[3] != "released" else None
+        return state[4] if build == state[1] and state[3] != "released" else None
 
     def allowed(self, build, since, at):
-        """The highest cap that can have held between the two times, and from when forwards count; None: no
-        cap."""
-        caps = [self.cap(build, self.state_at(since - self.eps))]
+        """The highest cap that can have applied between the two times, and the time forwards count from.
+
+        The cap is None where there may have been none.
+        """
+        caps = [self.cap(build, self.state_at(since - self.tolerance))]
         caps += [
             self.cap(build, row)
             for row in self.rows
-            if since - self.eps - self.grace - self.eps <= row[0] <= at
+            if since - self.tolerance - self.grace - self.tolerance <= row[0] <= at
         ]
-        caps.append(self.cap(build, self.state_at(since - self.eps - self.grace - self.eps)))
+        caps.append(self.cap(build, self.state_at(since - self.tolerance - self.grace - self.tolerance)))
         if None in caps:
             return None, 0
-        lowered = 0
+        counted_from = 0
         for before, row in zip([None, *self.rows], self.rows, strict=False):
             old, new = self.cap(build, before), self.cap(build, row)
             if new is not None and (old is None or new < old) and row[0] + self.grace <= since:
-                lowered = row[0] + self.grace
-        return max(caps), lowered
+                counted_from = row[0] + self.grace
+        return max(caps), counted_from
 
 
-def exposure_kept(found, lives, crowd, yard, answers, arrivals, sheet):
-    eps = sheet["eps"]
-    rule, window, free = RULES[4], sheet["exposure_window"], sheet["exposure_free"]
+def check_exposure(findings, lifetimes, client_records, instance_records, answers, arrivals, rule_settings):
+    """Checks forwards to builds on trial against the cap, shielded stages and, if set, key affinity."""
+    tolerance = rule_settings["tolerance"]
+    rule, window, free_forwards = RULES[4], rule_settings["exposure_window"], rule_settings["exposure_free"]
     by_group, kinds = (
-        sheet["exposure_by"] == "path group",
-        {g["name"]: g["kind"] for g in sheet["path_groups"]},
+        rule_settings["exposure_by"] == "path group",
+        {g["name"]: g["kind"] for g in rule_settings["path_groups"]},
     )
-    news, tries, sent, kept = defaultdict(list), defaultdict(list), defaultdict(list), {}
-    for number, rows in by_gateway(yard, "news").items():
-        for e in rows:
-            at = e["at"] if e.get("exact") else lives.read_time(number, e["at"])
-            news[number, lives.life(number, e["at"])].append(
-                (at, e["build"], e["stage"], e["phase"], e["cap"])
+    release_news, tries_by_ledger, forwards_by_ledger, builds_by_key = (
+        defaultdict(list),
+        defaultdict(list),
+        defaultdict(list),
+        {},
+    )
+    for number, rows in group_by_gateway(instance_records, "news").items():
+        for event in rows:
+            at = event["at"] if event.get("exact") else lifetimes.read_time(number, event["at"])
+            release_news[number, lifetimes.life(number, event["at"])].append(
+                (at, event["build"], event["stage"], event["phase"], event["cap"])
+            )
+    for event in client_records:
+        if event["kind"] == "try":
+            life = lifetimes.life(event["gateway"], event["sent"])
+            tries_by_ledger[event["gateway"], life, event["group"] if by_group else "all"].append(
+                event["sent"]
             )
-    for e in crowd:
-        if e["kind"] == "try":
-            life = lives.life(e["gateway"], e["sent"])
-            tries[e["gateway"], life, e["group"] if by_group else "all"].append(e["sent"])
-    for times in tries.values():
+    for times in tries_by_ledger.values():
         times.sort()
-    for e in arrivals:
-        life = lives.life(int(e["gateway"]), e["at"])
-        sent[int(e["gateway"]), life, e["build"], e["group"] if by_group else "all"].append(e)
-    for (number, life, build, ledger), rows in sent.items():
-        caps, (shortest, longest) = CapHistory(news[number, life], sheet), lives.window(number, window)
-        rows.sort(key=lambda e: e["at"])
-        order, taken = sorted(rows, key=lambda e: e["since"]), tries[number, life, ledger]
-        sinces, latest = [e["since"] for e in order], list(accumulate((e["at"] for e in order), max))
-        for e in rows:
-            if not e["since"]:
-                continue  # held on its way: nothing certain can be said
-            cap, counted = caps.allowed(build, e["since"], e["at"])
+    for event in arrivals:
+        life = lifetimes.life(int(event["gateway"]), event["at"])
+        forwards_by_ledger[
+            int(event["gateway"]), life, event["build"], event["group"] if by_group else "all"
+        ].append(event)
+    for (number, life, build, ledger), rows in forwards_by_ledger.items():
+        cap_history, (shortest, longest) = (
+            CapHistory(release_news[number, life], rule_settings),
+            lifetimes.window(number, window),
+        )
+        rows.sort(key=lambda event: event["at"])
+        by_earliest_send, try_times = (
+            sorted(rows, key=lambda event: event["since"]),
+            tries_by_ledger[number, life, ledger],
+        )
+        earliest_sends, latest_arrivals = (
+            [event["since"] for event in by_earliest_send],
+            list(accumulate((event["at"] for event in by_earliest_send), max)),
+        )
+        for event in rows:
+            if not event["since"]:
+                continue  # delayed on its way, so its send time is unknown
+            cap, counted_from = cap_history.allowed(build, event["since"], event["at"])
             if cap is None:
                 continue
-            before = bisect_right(sinces, e["since"])
-            # counted anew since the cap fell, or over the whole window: a second fall may have come
-            # meanwhile, and what the window allows as a whole is within the cap
-            for anew in (counted, 0) if counted else (0,):
-                count = before - bisect_left(sinces, max(e["at"] - shortest, anew + eps if anew else 0))
-                # one that is counted may have been sent after this one, when more hits had been taken
-                room = bisect_right(taken, latest[before - 1]) - bisect_left(
-                    taken, max(e["since"] - longest, anew) - eps - stall_time(lives, number, e["since"])
+            before = bisect_right(earliest_sends, event["since"])
+            # Counts since the cap was lowered, then over the whole window: the cap may have been lowered
+            # a second time meanwhile, and what the whole window allows is within the cap.
+            for count_start in (counted_from, 0) if counted_from else (0,):
+                count = before - bisect_left(
+                    earliest_sends, max(event["at"] - shortest, count_start + tolerance if count_start else 0)
+                )
+                # A counted forward may be sent after this one, when the gateway has accepted more hits.
+                tries_counted = bisect_right(try_times, latest_arrivals[before - 1]) - bisect_left(
+                    try_times,
+                    max(event["since"] - longest, count_start)
+                    - tolerance
+                    - stall_time(lifetimes, number, event["since"]),
                 )
-                if count <= free + cap * room + 1e-9:
+                if count <= free_forwards + cap * tries_counted + 1e-9:
                     break
-            found.record(
+            findings.record(
                 rule,
-                count <= free + cap * room + 1e-9,
+                count <= free_forwards + cap * tries_counted + 1e-9,
                 f"gateway {number}: {count} forwards to build {build} on trial, "
-                f"{free:g} + {cap:.2f} x {room} allowed at {e['at']}",
+                f"{free_forwards:g} + {cap:.2f} x {tries_counted} allowed at {event['at']}",
             )
-            told = caps.state_at(e["at"])
-            stage = told[2] if told and told[1] == build else 0
-            shielded = stage < sheet.get("shielded_stages", 0) and kinds[e["group"]] != "repeatable"
-            surely = shielded and caps.state_at(e["since"] - eps) == told
-            found.record(
-                rule, not surely, f"hit {e['hit']}: {kinds[e['group']]}, to build {build} in stage {stage}"
+            known_state = cap_history.state_at(event["at"])
+            stage = known_state[2] if known_state and known_state[1] == build else 0
+            is_shielded = (
+                stage < rule_settings.get("shielded_stages", 0) and kinds[event["group"]] != "repeatable"
             )
-    if sheet.get("keys_stay"):
-        keys_kept(found, rule, lives, answers, arrivals, news, sheet, kept)
+            shield_violated = is_shielded and cap_history.state_at(event["since"] - tolerance) == known_state
+            findings.record(
+                rule,
+                not shield_violated,
+                f"hit {event['hit']}: {kinds[event['group']]}, to build {build} in stage {stage}",
+            )
+    if rule_settings.get("keys_stay"):
+        check_key_affinity(
+            findings, rule, lifetimes, answers, arrivals, release_news, rule_settings, builds_by_key
+        )
 
 
-def stall_time(lives, number, at):
-    """Hits sent to a gateway that stands still are taken when it goes on."""
-    return sum(b - a for a, b in lives.stalls[number] if b - lives.eps <= at <= b + 10_000_000)
+def stall_time(lifetimes, number, at):
+    """Microseconds of suspension to add: hits sent to a suspended gateway are accepted when it resumes."""
+    return sum(b - a for a, b in lifetimes.stalls[number] if b - lifetimes.tolerance <= at <= b + 10_000_000)
 
 
-def keys_kept(found, rule, lives, answers, arrivals, news, sheet, kept):
-    eps = sheet["eps"]
-    keyed = {e["hit"]: e["key"] for e in arrivals if e.get("key")}
+def check_key_affinity(
+    findings, rule, lifetimes, answers, arrivals, release_news, rule_settings, builds_by_key
+):
+    """Checks that a key answered by the build on trial or released is not sent to an older one later."""
+    tolerance = rule_settings["tolerance"]
+    keyed = {event["hit"]: event["key"] for event in arrivals if event.get("key")}
     for a in sorted(answers.values(), key=lambda a: a["at"]):
         key = keyed.get(a.get("hit"))
         if a["seen"] == "delivered" and key is not None:
-            name = a["gateway"], lives.life(a["gateway"], a["at"]), key
-            kept.setdefault(name, []).append((a["at"], a["build"]))
-    for e in arrivals:
-        number = int(e["gateway"])
-        life = lives.life(number, e["at"])
-        caps = CapHistory(news[number, life], sheet)
-        told = {caps.state_at(e["since"] - eps), caps.state_at(e["at"])}
-        if e.get("key") is None or not e["since"] or len(told) != 1 or None in told:
+            name = a["gateway"], lifetimes.life(a["gateway"], a["at"]), key
+            builds_by_key.setdefault(name, []).append((a["at"], a["build"]))
+    for event in arrivals:
+        number = int(event["gateway"])
+        life = lifetimes.life(number, event["at"])
+        cap_history = CapHistory(release_news[number, life], rule_settings)
+        known_state = {cap_history.state_at(event["since"] - tolerance), cap_history.state_at(event["at"])}
+        if event.get("key") is None or not event["since"] or len(known_state) != 1 or None in known_state:
             continue
-        ((_, build, _, phase, _),) = told
+        ((_, build, _, phase, _),) = known_state
         answered = [
-            b for at, b in kept.get((number, life, e["key"]), []) if at + eps < e["since"] and b == build
+            b
+            for at, b in builds_by_key.get((number, life, event["key"]), [])
+            if at + tolerance < event["since"] and b == build
         ]
-        wrong = answered and phase in ("trial", "released") and e["build"] < build
-        found.record(
-            rule, not wrong, f"hit {e['hit']}: its key was answered by build {build}, sent to {e['build']}"
+        went_to_older_build = answered and phase in ("trial", "released") and event["build"] < build
+        findings.record(
+            rule,
+            not went_to_older_build,
+            f"hit {event['hit']}: its key was answered by build {build}, sent to {event['build']}",
         )
