--- a/cobaltpond/scenario/__init__.py
+++ b/cobaltpond/scenario/__init__.py
@@ -1,1 +1,1 @@
-"""A scripted day over real sockets: processes started, troubles played, rules checked, a table printed."""
+"""Runs a scripted scenario over real sockets: processes, injected faults, invariant checks and a report."""
--- a/cobaltpond/scenario/events.py
+++ b/cobaltpond/scenario/events.py
@@ -1,28 +1,31 @@
-"""The scheduled events of a day: builds offered and sent back, injected faults, killed processes."""
+"""The scheduled events of a scenario: builds offered and sent back, injected faults, killed processes."""
 
 from cobaltpond.loop import Sleep
 
 
 class Events:
-    """A part of `runner.ScenarioRun`, which has the state."""
+    """Mixin of `runner.ScenarioRun`, which holds the state; `begin` is the start of the scenario."""
 
     def script(self, begin):
+        """Generates one generator for each scheduled event, to be run as a task."""
         plan = self.plan
         for offer in plan["offers"]:
             if offer["at"] < plan["length"]:
                 yield self.offer_build(begin, offer)
-        for trouble in plan["troubles"]:
-            if trouble["kind"] == "balancer_stall":
-                yield self.stall_gateway(begin, trouble)
-            elif trouble["kind"] not in ("burst", "tenant_burst", "heavy_tail", "bad_requests", "give_up"):
-                yield self.inject_fault(begin, trouble)
+        for fault in plan["troubles"]:
+            if fault["kind"] == "balancer_stall":
+                yield self.stall_gateway(begin, fault)
+            elif fault["kind"] not in ("burst", "tenant_burst", "heavy_tail", "bad_requests", "give_up"):
+                yield self.inject_fault(begin, fault)
         for kill in plan["kills"]:
             yield self.kill_component(begin, kill)
 
     def sleep_until(self, at):
+        """Sleeps until `at` on the common clock, in microseconds."""
         yield Sleep(at - self.loop.kernel.now())
 
     def offer_build(self, begin, offer):
+        """Offers a build to the desk at its time and sends it back if the offer says so."""
         yield from self.sleep_until(begin + offer["at"])
         self.on_progress(
             f"{offer['at'] / 1e6:5.1f} s  build {offer['build']} offered "
@@ -33,11 +36,13 @@
             yield from self.send_back(begin, offer)
 
     def send_back(self, begin, offer):
-        """As an operator does: after a time, or when a stage is seen on trial. A build that is back by then,
-        by votes or by a later offer, is left alone."""
-        build, due = offer["build"], offer.get("back_after")
-        if due is not None:
-            yield from self.sleep_until(begin + offer["at"] + due)
+        """Sends a build back as an operator does: after a time, or when a stage is on trial.
+
+        Does nothing where the build has already gone back, by votes or because of a later offer.
+        """
+        build, back_after = offer["build"], offer.get("back_after")
+        if back_after is not None:
+            yield from self.sleep_until(begin + offer["at"] + back_after)
         while self.loop.kernel.now() < begin + self.plan["length"]:
             status = yield from self.call_until_answered("GET", "/v1/status")
             news = status["news"]
@@ -47,8 +52,8 @@
                 and news["phase"] in ("going back", "withdrawn")
             ):
                 return
-            trial = news["phase"] == "trial" and news["stage"] == offer.get("back_in")
-            if news["build"] == build and (due is not None or trial):
+            on_trial = news["phase"] == "trial" and news["stage"] == offer.get("back_in")
+            if news["build"] == build and (back_after is not None or on_trial):
                 at = (self.loop.kernel.now() - begin) / 1e6
                 self.on_progress(
                     f"{at:5.1f} s  build {build} sent back in stage {news['stage']}; missing: "
@@ -59,27 +64,29 @@
                 return
             yield Sleep(50_000)
 
-    def inject_fault(self, begin, trouble):
-        for begins, at in ((True, trouble["at"]), (False, trouble["at"] + trouble["len"])):
+    def inject_fault(self, begin, fault):
+        """Starts and ends a fault in the process of the simulated instances."""
+        for begins, at in ((True, fault["at"]), (False, fault["at"] + fault["len"])):
             yield from self.sleep_until(begin + at)
-            self.on_progress(f"{at / 1e6:5.1f} s  {trouble['kind']} {'begins' if begins else 'is over'}")
+            self.on_progress(f"{at / 1e6:5.1f} s  {fault['kind']} {'begins' if begins else 'is over'}")
             yield from self.call_until_answered(
-                "POST", "/v1/trouble", {**trouble, "begins": begins}, "troubles"
+                "POST", "/v1/trouble", {**fault, "begins": begins}, "troubles"
             )
 
-    def stall_gateway(self, begin, trouble):
-        """A gateway that stands still."""
-        number = trouble["which"] % len(self.plan["gateways"])
-        yield from self.sleep_until(begin + trouble["at"])
+    def stall_gateway(self, begin, fault):
+        """Suspends a gateway process for the length of the fault."""
+        number = fault["which"] % len(self.plan["gateways"])
+        yield from self.sleep_until(begin + fault["at"])
         self.on_progress(
-            f"{trouble['at'] / 1e6:5.1f} s  gateway {number} stands still for {trouble['len'] / 1e6:.1f} s"
+            f"{fault['at'] / 1e6:5.1f} s  gateway {number} is suspended for {fault['len'] / 1e6:.1f} s"
         )
-        self.record_act("stalled", gateway=number, len=trouble["len"])
+        self.record_act("stalled", gateway=number, len=fault["len"])
         self.gateways[number].signal("STOP")
-        yield from self.sleep_until(begin + trouble["at"] + trouble["len"])
+        yield from self.sleep_until(begin + fault["at"] + fault["len"])
         self.gateways[number].signal("CONT")
 
     def kill_component(self, begin, kill):
+        """Kills a process at its time and starts it again, except for a killed instance."""
         number = kill["gateway"]
         yield from self.sleep_until(begin + kill["at"])
         if kill.get("what", "gateway") != "gateway":
@@ -93,23 +100,27 @@
         self.start_gateway(number)
 
     def kill_other_component(self, kill):
-        what, place = kill["what"], self.plan["places"][kill["gateway"] % len(self.plan["places"])]["name"]
-        if what == "instance":
-            for pid, where, _ in self.instances_running():
-                if where == place:
+        """Kills an instance, agent or desk now; agent and desk are started again."""
+        component, place = (
+            kill["what"],
+            self.plan["places"][kill["gateway"] % len(self.plan["places"])]["name"],
+        )
+        if component == "instance":
+            for pid, instance_place, _ in self.instances_running():
+                if instance_place == place:
                     self.on_progress(f"{kill['at'] / 1e6:5.1f} s  an instance of {place} killed")
                     self.loop.kernel.kill_process(pid)
                     break
             return
-        name = "desk" if what == "desk" else f"agent-{place}"
+        name = "desk" if component == "desk" else f"agent-{place}"
         self.on_progress(f"{kill['at'] / 1e6:5.1f} s  {name} killed")
         self.record_act("killed", part=name)
         self.children[name].signal("KILL")
         yield Sleep(kill["back_after"])
         self.on_progress(f"{(kill['at'] + kill['back_after']) / 1e6:5.1f} s  {name} started again")
-        words = (
+        arguments = (
             ["desk", self.settings_path]
-            if what == "desk"
+            if component == "desk"
             else ["agent", self.settings_path, "--place", place]
         )
-        self.spawn(name, *words)
+        self.spawn(name, *arguments)
--- a/cobaltpond/scenario/report.py
+++ b/cobaltpond/scenario/report.py
@@ -1,4 +1,4 @@
-"""The figures of a played day, and the table that says them."""
+"""Computes the figures of a finished scenario and formats them as a report."""
 
 from collections import Counter, defaultdict
 
@@ -6,60 +6,71 @@
 
 from cobaltpond.audit.findings import RULES
 
-WINDOW = 10_000_000
+WINDOW_US = 10_000_000
 
 
 def compute_figures(result: dict) -> dict:
-    """Service (the share of benefit answered within target latency), its worst parts, G after the bench's
-    manner as far as it can be had here, forwards a hit, latencies in milliseconds."""
-    crowd, yard, plan = result["crowd"], result["yard"], result["plan"]
-    asked = {e["op"]: e for e in crowd if e["kind"] == "asked"}
-    answers = [e for e in crowd if e["kind"] == "answer"]
-    tries = [e for e in crowd if e["kind"] == "try"]
-    arrivals = [e for e in yard if e["kind"] == "arrive" and e["hit"] and e["hit"] != "probe"]
+    """The figures of a result, by name.
+
+    Service (the share of benefit answered within target latency), its worst parts, the bench's score G as far
+    as it can be computed here, forwards a hit, and latencies in milliseconds.
+    """
+    client_records, instance_records, plan = result["crowd"], result["yard"], result["plan"]
+    hits = {event["op"]: event for event in client_records if event["kind"] == "asked"}
+    answers = [event for event in client_records if event["kind"] == "answer"]
+    tries = [event for event in client_records if event["kind"] == "try"]
+    arrivals = [
+        event
+        for event in instance_records
+        if event["kind"] == "arrive" and event["hit"] and event["hit"] != "probe"
+    ]
     groups = {g["name"]: g for g in plan["groups"]}
-    earned, latency, served_by = defaultdict(float), HdrHistogram(1, 120_000_000, 3), defaultdict(float)
-    wrong = 0.0
-    for a in answers:
-        if a["seen"] != "delivered":
+    earned_benefits, latency_histogram, served_by = (
+        defaultdict(float),
+        HdrHistogram(1, 120_000_000, 3),
+        defaultdict(float),
+    )
+    wrong_benefit = 0.0
+    for answer in answers:
+        if answer["seen"] != "delivered":
             continue
-        ask = asked[a["op"]]
-        took = a["at"] - ask["begun"]
-        latency.record_value(max(1, took))
-        if a.get("wrong") or a["status"] >= 500:
-            wrong += ask["benefit"] * bool(a.get("wrong"))
+        hit = hits[answer["op"]]
+        latency_us = answer["at"] - hit["begun"]
+        latency_histogram.record_value(max(1, latency_us))
+        if answer.get("wrong") or answer["status"] >= 500:
+            wrong_benefit += hit["benefit"] * bool(answer.get("wrong"))
             continue
-        served_by[a["build"], a["at"] - result["begin"]] += ask["benefit"]
-        if took <= ask["target"]:
-            earned[a["op"]] = ask["benefit"]
+        served_by[answer["build"], answer["at"] - result["begin"]] += hit["benefit"]
+        if latency_us <= hit["target"]:
+            earned_benefits[answer["op"]] = hit["benefit"]
         else:
-            earned[a["op"]] = ask["benefit"] * groups[ask["group"]].get("late_benefit", 0.0)
+            earned_benefits[answer["op"]] = hit["benefit"] * groups[hit["group"]].get("late_benefit", 0.0)
 
-    def share(ops):
-        whole = sum(asked[op]["benefit"] for op in ops)
-        return sum(earned[op] for op in ops) / whole if whole else 1.0
+    def service_of(ops):
+        total_benefit = sum(hits[op]["benefit"] for op in ops)
+        return sum(earned_benefits[op] for op in ops) / total_benefit if total_benefit else 1.0
 
     windows = []
-    for start in range(0, max(1, plan["length"] - WINDOW + 1), 1_000_000):
-        ops = [op for op, e in asked.items() if start <= e["day"] < start + WINDOW]
-        windows.append((share(ops), start))
-    by_group = {g: share([op for op, e in asked.items() if e["group"] == g]) for g in groups}
+    for start in range(0, max(1, plan["length"] - WINDOW_US + 1), 1_000_000):
+        ops = [op for op, event in hits.items() if start <= event["day"] < start + WINDOW_US]
+        windows.append((service_of(ops), start))
+    by_group = {g: service_of([op for op, event in hits.items() if event["group"] == g]) for g in groups}
     by_customer = {
-        c["name"]: share([op for op, e in asked.items() if e["customer"] == c["name"]])
+        c["name"]: service_of([op for op, event in hits.items() if event["customer"] == c["name"]])
         for c in plan["customers"]
     }
-    goal, service = plan["goal"], share(asked)
+    goal, service = plan["goal"], service_of(hits)
     weight = sum(goal.values())
-    mixed = (
+    weighted_service = (
         goal["whole"] * service
         + goal["worst_window"] * min(windows)[0]
         + goal["worst_group"] * min(by_group.values())
         + goal["worst_customer"] * min(by_customer.values(), default=1.0)
     ) / weight
-    prices = prices_of(result, asked, arrivals, served_by, wrong)
-    lags = [s["lag_us"] for s in result["statuses"]]
+    prices = compute_prices(result, hits, arrivals, served_by, wrong_benefit)
+    loop_lags = [s["lag_us"] for s in result["statuses"]]
     return {
-        "hits": len(asked),
+        "hits": len(hits),
         "tries": len(tries),
         "forwards": len(arrivals),
         "service": service,
@@ -67,68 +78,74 @@
         "worst 10 s": min(windows),
         "by group": by_group,
         "by customer": by_customer,
-        "G": mixed - sum(prices.values()),
+        "G": weighted_service - sum(prices.values()),
         "prices": prices,
-        "p50": latency.get_value_at_percentile(50) / 1000,
-        "p99": latency.get_value_at_percentile(99) / 1000,
-        "answers": Counter(a["seen"] for a in answers),
-        "lag p99 us": max(lag["p99"] for lag in lags),
+        "p50": latency_histogram.get_value_at_percentile(50) / 1000,
+        "p99": latency_histogram.get_value_at_percentile(99) / 1000,
+        "answers": Counter(answer["seen"] for answer in answers),
+        "lag p99 us": max(lag["p99"] for lag in loop_lags),
         "endings": sum((Counter(s["endings"]) for s in result["statuses"]), Counter()),
     }
 
 
-def prices_of(result, asked, arrivals, served_by, wrong):
-    plan, first = result["plan"], max(1, len(asked))
+def compute_prices(result, hits, arrivals, served_by, wrong_benefit):
+    """The deductions from the score G, by name."""
+    plan, hit_count = result["plan"], max(1, len(hits))
     zones = {str(n): g["zone"] for n, g in enumerate(plan["gateways"])}
     places = {name: p["zone"] for p in plan["places"] for name in (p["id"], p["name"])}
-    crossed = sum(
-        zones[e["gateway"]] != places[e["instance"].rpartition("." if "." in e["instance"] else "-")[0]]
-        for e in arrivals
+    zone_crossings = sum(
+        zones[event["gateway"]]
+        != places[event["instance"].rpartition("." if "." in event["instance"] else "-")[0]]
+        for event in arrivals
     )
-    whole = sum(e["benefit"] for e in asked.values()) or 1.0
-    good = [
+    total_benefit = sum(event["benefit"] for event in hits.values()) or 1.0
+    good_offers = [
         (o["at"], o["build"])
         for o in plan["offers"]
         if not plan["flaws"][str(o["build"])]["how"] and o.get("back_in") is None
     ]
-    behind = sum(
-        worth
-        for (build, at), worth in served_by.items()
-        if build < max([b for when, b in good if when <= at], default=0)
+    delayed_benefit = sum(
+        earned
+        for (build, at), earned in served_by.items()
+        if build < max([b for seconds, b in good_offers if seconds <= at], default=0)
     )
     benefit = {g["name"]: g["benefit"] for g in plan["groups"]}
-    flawed = {int(b) for b, f in plan["flaws"].items() if f["how"]}
-    harm = wrong + sum(
-        benefit[e["group"]]
-        for e in result["yard"]
-        if e["kind"] == "end" and e["how"] == "error" and e["build"] in flawed and e["type"] != "repeatable"
+    flawed_builds = {int(b) for b, figures in plan["flaws"].items() if figures["how"]}
+    harmed_benefit = wrong_benefit + sum(
+        benefit[event["group"]]
+        for event in result["yard"]
+        if event["kind"] == "end"
+        and event["how"] == "error"
+        and event["build"] in flawed_builds
+        and event["type"] != "repeatable"
     )
     release, prices = plan["release"], plan["prices"]
     probes = sum(s["host"]["probes"] for s in result["statuses"])
     return {
-        "crossing": prices.get("crossing", 0) * crossed / first,
-        "delay": release.get("delay_price", 0) * behind / whole,
-        "harm": release.get("harm_price", 0) * harm / whole,
-        "probes": prices.get("probe", 0) * probes / first,
+        "crossing": prices.get("crossing", 0) * zone_crossings / hit_count,
+        "delay": release.get("delay_price", 0) * delayed_benefit / total_benefit,
+        "harm": release.get("harm_price", 0) * harmed_benefit / total_benefit,
+        "probes": prices.get("probe", 0) * probes / hit_count,
     }
 
 
-def releases(result: dict) -> list:
-    """When the desk's news changed: (seconds into the day, build, stage, phase)."""
+def release_changes(result: dict) -> list:
+    """The changes of the release state: (seconds into the scenario, build, stage, phase)."""
     rows, last = [], None
-    for e in result["yard"]:
-        if e["kind"] == "news":
-            mark = e["build"], e["stage"], e["phase"]
-            if mark != last and (not rows or (e["at"] - e["age_us"]) / 1e6 >= rows[-1][0]):
-                last = mark
-                when = (e["at"] - e["age_us"] - result["begin"]) / 1e6
-                if all(row[1:] != mark for row in rows):
-                    rows.append((max(when, 0.0), *mark))
+    for event in result["yard"]:
+        if event["kind"] == "news":
+            state = event["build"], event["stage"], event["phase"]
+            if state != last and (not rows or (event["at"] - event["age_us"]) / 1e6 >= rows[-1][0]):
+                last = state
+                seconds = (event["at"] - event["age_us"] - result["begin"]) / 1e6
+                if all(row[1:] != state for row in rows):
+                    rows.append((max(seconds, 0.0), *state))
     return sorted(rows)
 
 
 def format_report(result: dict) -> str:
-    f, found, plan = compute_figures(result), result["found"], result["plan"]
+    """The report of a result as text, for an operator."""
+    figures, findings, plan = compute_figures(result), result["found"], result["plan"]
     lines = [
         f"day {plan['name']}, seed {plan['seed']}: {len(plan['gateways'])} gateways, {len(plan['places'])} "
         f"instances, {len(plan['zone_names'])} zones, {plan['length'] / 1e6:.0f} s, {plan['rate']:.0f} hits/s"
@@ -137,22 +154,26 @@
     lines.append("")
     lines.append(f"{'rule':<18}{'checked':>9}{'broken':>8}")
     for rule in RULES:
-        lines.append(f"{rule:<18}{found.checked[rule]:>9}{len(found.broken[rule]):>8}")
-        lines += [f"    {text}" for text in found.broken[rule][:5]]
+        lines.append(f"{rule:<18}{findings.checked[rule]:>9}{len(findings.broken[rule]):>8}")
+        lines += [f"    {text}" for text in findings.broken[rule][:5]]
     lines.append("")
-    window, at = f["worst 10 s"]
+    window, at = figures["worst 10 s"]
     lines.append(
-        f"hits {f['hits']}, tries {f['tries']}, forwards {f['forwards']} ({f['forwards a hit']:.3f} a try)"
+        f"hits {figures['hits']}, tries {figures['tries']}, forwards {figures['forwards']} "
+        f"({figures['forwards a hit']:.3f} a try)"
     )
-    lines.append("answers: " + ", ".join(f"{seen} {n}" for seen, n in sorted(f["answers"].items())))
-    lines.append("endings: " + ", ".join(f"{seen} {n}" for seen, n in sorted(f["endings"].items())))
+    lines.append("answers: " + ", ".join(f"{seen} {n}" for seen, n in sorted(figures["answers"].items())))
+    lines.append("endings: " + ", ".join(f"{seen} {n}" for seen, n in sorted(figures["endings"].items())))
     lines.append(
-        f"service {f['service']:.4f}, worst 10 s {window:.4f} (from {at / 1e6:.0f} s), "
-        f"p50 {f['p50']:.0f} ms, p99 {f['p99']:.0f} ms, loop lag p99 {f['lag p99 us'] / 1000:.1f} ms"
+        f"service {figures['service']:.4f}, worst 10 s {window:.4f} (from {at / 1e6:.0f} s), "
+        f"p50 {figures['p50']:.0f} ms, p99 {figures['p99']:.0f} ms, "
+        f"loop lag p99 {figures['lag p99 us'] / 1000:.1f} ms"
     )
-    lines.append("by path group: " + ", ".join(f"{g} {x:.3f}" for g, x in f["by group"].items()))
+    lines.append("by path group: " + ", ".join(f"{g} {x:.3f}" for g, x in figures["by group"].items()))
     lines.append(
-        f"G {f['G']:.3f} (prices: " + ", ".join(f"{k} {v:.3f}" for k, v in f["prices"].items()) + ")"
+        f"G {figures['G']:.3f} (prices: "
+        + ", ".join(f"{k} {v:.3f}" for k, v in figures["prices"].items())
+        + ")"
     )
     if result["final"]:
         for row in result["final"]["history"]:
@@ -167,6 +188,7 @@
             )
         )
     lines += [
-        f"{at:6.1f} s  build {build} stage {stage}: {phase}" for at, build, stage, phase in releases(result)
+        f"{at:6.1f} s  build {build} stage {stage}: {phase}"
+        for at, build, stage, phase in release_changes(result)
     ]
     return "\n".join(lines)
--- a/cobaltpond/scenario/runner.py
+++ b/cobaltpond/scenario/runner.py
@@ -1,5 +1,7 @@
-"""Plays a plan: starts yard, desk, gateways and clients as processes of their own, and does to them what the
-day says; then has the records checked."""
+"""Runs a scenario plan and checks the records afterwards.
+
+Simulated instances, desk, gateways and clients run as processes of their own; faults are injected as planned.
+"""
 
 import json
 import os
@@ -11,92 +13,109 @@
 from cobaltpond.scenario.events import Events
 from cobaltpond.scenario.shutdown import Shutdown
 from cobaltpond.scenario.startup import Startup
-from cobaltpond.scenario.time_limits import CALL_TIME, READY, ScenarioError
+from cobaltpond.scenario.time_limits import CALL_TIME_US, READY_TIME_US, ScenarioError
 
 
 class ScenarioRun(Startup, Events, Shutdown):
-    def __init__(self, loop, plan, folder, say, extra=None):
-        """`extra`: gateway number -> more words for its command line (gateways broken on purpose, in
-        tests)."""
-        self.loop, self.plan, self.folder, self.on_progress, self.extra = loop, plan, folder, say, extra or {}
-        self.python = sys.executable  # what builds of agents are started with
-        self.is_ending = False  # from now on parts are ended, and are not to come back
+    """One run of a plan; `run()` is its task. All its files are in `folder`."""
+
+    def __init__(self, loop, plan, folder, on_progress, extra_arguments=None):
+        """`extra_arguments`: gateway number -> more command line arguments (in tests, for faulty gateways).
+
+        Raises ScenarioError if the folder holds the records of another run.
+        """
+        self.loop, self.plan, self.folder, self.on_progress, self.extra_arguments = (
+            loop,
+            plan,
+            folder,
+            on_progress,
+            extra_arguments or {},
+        )
+        self.python = sys.executable  # interpreter that the builds of agents are started with
+        self.is_ending = False  # processes are being stopped and must not be started again
         self.acts, self.children, self.gateways, self.statuses = [], {}, {}, []
         loop.kernel.make_folder(folder)
         if loop.kernel.file_size(self.path("plan.json")) is not None:
             raise ScenarioError(f"{folder} holds another day's records")
 
     def path(self, name):
+        """The path of a file of this run."""
         return os.path.join(self.folder, name)
 
     def write(self, name, value):
+        """Writes text, or any other value as JSON, to a file of this run; returns its path."""
         data = value if isinstance(value, str) else json.dumps(value)
         self.loop.kernel.replace_file(self.path(name), data.encode(), sync=False)
         return self.path(name)
 
-    def spawn(self, name, *words):
-        argv = [sys.executable, "-m", "cobaltpond", *words]
+    def spawn(self, name, *arguments):
+        """Starts `python -m cobaltpond` with these arguments, logging to `name`.log; returns the child."""
+        argv = [sys.executable, "-m", "cobaltpond", *arguments]
         child = self.children[name] = self.loop.kernel.spawn(argv, self.path(f"{name}.log"))
         return child
 
-    def ports(self):
-        """A run of free ports, held while the day lasts."""
-        need = (
+    def assign_ports(self):
+        """Reserves consecutive free ports for the whole run and assigns them; raises ScenarioError."""
+        port_count = (
             8 * len(self.plan["places"]) + 2 * len(self.plan["gateways"]) + len(self.plan["zone_names"]) + 9
         )
         try:
-            self.lock, base = reserve_ports(self.loop.kernel, need)
-        except UnreachableError as trouble:
-            raise ScenarioError(str(trouble)) from None
-        names = iter(range(base + 8 * len(self.plan["places"]), base + need))
+            self.lock, base = reserve_ports(self.loop.kernel, port_count)
+        except UnreachableError as error:
+            raise ScenarioError(str(error)) from None
+        free_ports = iter(range(base + 8 * len(self.plan["places"]), base + port_count))
         ports = {
             "machines": base,
-            "list": next(names),
-            "platform": next(names),
-            "troubles": next(names),
-            "desk": next(names),
-            "builds": next(names),
-            "relays": {zone: next(names) for zone in self.plan["zone_names"]},
+            "list": next(free_ports),
+            "platform": next(free_ports),
+            "troubles": next(free_ports),
+            "desk": next(free_ports),
+            "builds": next(free_ports),
+            "relays": {zone: next(free_ports) for zone in self.plan["zone_names"]},
         }
-        ports["doors"] = next(names)
+        ports["doors"] = next(free_ports)
         ports["peers"] = ports["doors"] + len(self.plan["gateways"])
         return ports
 
-    def record_act(self, kind, **more):
-        self.acts.append({"kind": kind, "at": self.loop.kernel.now(), **more})
+    def record_act(self, kind, **fields):
+        """Records an action of the scenario, with the time, for the audit."""
+        self.acts.append({"kind": kind, "at": self.loop.kernel.now(), **fields})
 
     def http_call(self, port, method, target, body=None):
-        with Deadline(self.loop, CALL_TIME):
+        """One call: (status, parsed JSON answer, {} where it is not JSON)."""
+        with Deadline(self.loop, CALL_TIME_US):
             status, text = yield from call(
                 self.loop,
                 ("127.0.0.1", port),
                 method,
                 target,
                 json.dumps(body).encode() if body is not None else b"",
-                CALL_TIME,
+                CALL_TIME_US,
             )
         return status, json.loads(text) if text[:1] in (b"{", b"[") else {}
 
     def call_until_answered(self, method, target, body=None, at="desk"):
-        """As an operator does with a part that may be down: asks again until there is an answer, within a
-        bound."""
-        end = self.loop.now() + READY
+        """Repeats a call until there is an answer, as an operator does with a process that may be down.
+
+        Raises the last error after `READY_TIME_US`.
+        """
+        give_up_at = self.loop.now() + READY_TIME_US
         while True:
             try:
-                status, told = yield from self.http_call(self.port[at], method, target, body)
-                return told
+                status, answer = yield from self.http_call(self.port[at], method, target, body)
+                return answer
             except (*CALL_ERRORS, DeadlineExceededError):
-                if self.loop.now() > end:
+                if self.loop.now() > give_up_at:
                     raise
             yield Sleep(100_000)
 
-    def wait_until_ready(self, what, ask, good):
-        """Asks again and again until the answer is good, within a bound."""
-        end = self.loop.now() + READY
-        while self.loop.now() < end:
+    def wait_until_ready(self, description, send_request, is_ready):
+        """Repeats a request until its answer is accepted; raises ScenarioError after `READY_TIME_US`."""
+        give_up_at = self.loop.now() + READY_TIME_US
+        while self.loop.now() < give_up_at:
             try:
-                status, body = yield from ask()
-                if status == 200 and good(body):
+                status, body = yield from send_request()
+                if status == 200 and is_ready(body):
                     return body
             except (*CALL_ERRORS, DeadlineExceededError, ValueError):
                 pass
@@ -106,21 +125,21 @@
                         f"{name} has ended with {child.ended()}: see {self.path(name + '.log')}"
                     )
             yield Sleep(30_000)
-        raise ScenarioError(f"{what} did not come up: see {self.folder}")
+        raise ScenarioError(f"{description} did not come up: see {self.folder}")
 
     def run(self):
-        """Gives the day's whole result: a plain map."""
+        """Runs the scenario and returns its result, a plain map."""
         plan, loop = self.plan, self.loop
-        self.port = ports = self.ports()
+        self.port = ports = self.assign_ports()
         try:
             yield from self.start_components(ports)
             begin = loop.kernel.now() + 700_000
-            crowds = self.start_crowds(ports, begin)
+            client_processes = self.start_clients(ports, begin)
             for generator in self.script(begin):
                 loop.spawn(generator, "script")
-            yield from self.wait_for_clients(begin, crowds)
+            yield from self.wait_for_clients(begin, client_processes)
             for number in range(len(plan["gateways"])):
-                # one that was killed near the end may be starting still
+                # a gateway that was killed near the end may still be starting
                 self.statuses.append(
                     (
                         yield from self.wait_until_ready(
@@ -138,12 +157,13 @@
                 child.signal("CONT")
                 child.signal("KILL")
             self.end_instances()
-        return self.result(begin)
+        return self.build_result(begin)
 
-    def wait_for_clients(self, begin, crowds):
-        end = begin + self.plan["length"] + 40_000_000
-        while any(c.ended() is None for c in crowds):
-            if self.loop.kernel.now() > end:
+    def wait_for_clients(self, begin, client_processes):
+        """Waits for the clients to end; raises ScenarioError if they do not, or if a process has failed."""
+        give_up_at = begin + self.plan["length"] + 40_000_000
+        while any(c.ended() is None for c in client_processes):
+            if self.loop.kernel.now() > give_up_at:
                 raise ScenarioError("the clients did not end")
             for name, child in self.children.items():
                 if child.ended() not in (None, 0) and not any(
@@ -156,23 +176,27 @@
             yield Sleep(50_000)
 
     def stop(self, name=""):
-        """Told to stop: the day ends where it is, without a verdict."""
+        """Ends the scenario at once, without a result."""
         self.loop.stop()
 
-    # --- afterwards -----------------------------------------------------------------------------------------
+    # --- results -------------------------------------------------------------------------------------------
 
-    def records(self, name):
+    def read_records(self, name):
+        """The records of a file of this run."""
         lines = (self.loop.kernel.read_file(self.path(name)) or b"").split(b"\n")
-        return [json.loads(line) for line in lines[:-1]]  # what is not ended was cut off by a kill
-
-    def result(self, begin):
-        crowd = [e for n in range(self.plan["crowds"]) for e in self.records(f"crowd-{n}.records")]
-        yard = self.records("yard.records")
+        return [json.loads(line) for line in lines[:-1]]  # a last line without newline was cut off by a kill
+
+    def build_result(self, begin):
+        """Reads all records, checks the rules and returns the result."""
+        client_records = [
+            e for n in range(self.plan["crowds"]) for e in self.read_records(f"crowd-{n}.records")
+        ]
+        instance_records = self.read_records("yard.records")
         for name in self.loop.kernel.list_folder(self.folder):
             if name.endswith(".solo"):
-                yard += self.records(name)
-        yard.sort(key=lambda e: e["at"])
-        runsheet = {
+                instance_records += self.read_records(name)
+        instance_records.sort(key=lambda e: e["at"])
+        rule_settings = {
             **self.settings.policy_settings(0),
             "rules": {
                 "tip_time": self.settings.rules.tip_time,
@@ -183,9 +207,9 @@
         self.write("acts.json", self.acts)
         self.write("statuses.json", self.statuses)
         return {
-            "found": check_rules(crowd, yard, self.acts, runsheet),
-            "crowd": crowd,
-            "yard": yard,
+            "found": check_rules(client_records, instance_records, self.acts, rule_settings),
+            "crowd": client_records,
+            "yard": instance_records,
             "begin": begin,
             "statuses": self.statuses,
             "desk": self.desk_status,
--- a/cobaltpond/scenario/settings_text.py
+++ b/cobaltpond/scenario/settings_text.py
@@ -1,10 +1,10 @@
-"""Writes the sheets that the desk and the gateways of a day are started with."""
+"""Writes the settings files that the desk and the gateways of a scenario are started with."""
 
-from cobaltpond.settings import sections as p
+from cobaltpond.settings import sections
 
 
 def starlark_literal(value) -> str:
-    """A plain value as Starlark text."""
+    """A plain value as Starlark text; None values of maps are left out."""
     if isinstance(value, list | tuple):
         return "[" + ", ".join(map(starlark_literal, value)) + "]"
     if isinstance(value, dict):
@@ -23,13 +23,20 @@
 
 
 def starlark_call(name: str, fields: dict) -> str:
+    """A Starlark call with keyword arguments; fields that are None are left out."""
     return f"{name}({', '.join(f'{k} = {starlark_literal(v)}' for k, v in fields.items() if v is not None)})"
 
 
 def settings_text(plan: dict, zone: str, ports: dict, folder: str) -> str:
-    """The sheet that the desk, and the gateways of one zone, are started with."""
-    known = set(p.PathGroupSettings.__struct_fields__)
-    lines = [starlark_call("path_group", {k: v for k, v in g.items() if k in known}) for g in plan["groups"]]
+    """The settings for the gateways of one zone, or for the desk where `zone` is empty.
+
+    The gateways of a zone reach the desk through the relay of that zone.
+    """
+    path_group_fields = set(sections.PathGroupSettings.__struct_fields__)
+    lines = [
+        starlark_call("path_group", {k: v for k, v in g.items() if k in path_group_fields})
+        for g in plan["groups"]
+    ]
     lines += [
         starlark_call("route", {"method": g["method"], "path": f"/{g['name']}", "group": g["name"]})
         for g in plan["groups"]
@@ -47,12 +54,12 @@
             },
         )
     )
-    desk = ports["relays"][zone] if zone else ports["desk"]
+    desk_port = ports["relays"][zone] if zone else ports["desk"]
     lines.append(
         starlark_call(
             "desk",
             {
-                "address": f"127.0.0.1:{desk}",
+                "address": f"127.0.0.1:{desk_port}",
                 "platform": f"127.0.0.1:{ports['platform']}",
                 "journal": f"{folder}/desk.journal",
             },
@@ -83,8 +90,8 @@
             )
             for n, place in enumerate(plan["places"])
         ]
-    back = dict(plan.get("recovery") or {})
-    snapshots = back.pop("snapshots", False)
+    recovery = dict(plan.get("recovery") or {})
+    with_snapshots = recovery.pop("snapshots", False)
     for n, g in enumerate(plan["gateways"]):
         lines.append(
             starlark_call(
@@ -95,13 +102,13 @@
                     "door": f"127.0.0.1:{ports['doors'] + n}",
                     "peers": f"127.0.0.1:{ports['peers'] + n}",
                     "memory": f"{folder}/list-{n}.kept",
-                    "snapshot": f"{folder}/learned-{n}" if snapshots else None,
+                    "snapshot": f"{folder}/learned-{n}" if with_snapshots else None,
                 },
             )
         )
     if plan.get("members"):
         lines.append(starlark_call("members", plan["members"]))
-    if back:
-        lines.append(starlark_call("recovery", back))
+    if recovery:
+        lines.append(starlark_call("recovery", recovery))
     lines += [starlark_call("limit", limit) for limit in plan.get("limits", ())]
     return "\n".join(lines) + "\n"
--- a/cobaltpond/scenario/startup.py
+++ b/cobaltpond/scenario/startup.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a day: stand-ins, desk, agents, gateways and clients."""
+"""Starts the processes of a scenario: simulated instances, desk, agents, gateways and clients."""
 
 from cobaltpond.loop import Sleep
 from cobaltpond.scenario.settings_text import settings_text
@@ -6,9 +6,10 @@
 
 
 class Startup:
-    """A part of `runner.ScenarioRun`, which has the state."""
+    """Mixin of `runner.ScenarioRun`, which holds the state."""
 
     def start_gateway(self, number):
+        """Starts a gateway process with the settings of its zone."""
         self.record_act("started", gateway=number)
         zone = self.plan["gateways"][number]["zone"]
         self.gateways[number] = self.spawn(
@@ -17,23 +18,26 @@
             self.path(f"sheet-{zone}.star"),
             "--number",
             str(number),
-            *self.extra.get(number, ()),
+            *self.extra_arguments.get(number, ()),
         )
 
-    def gateway_ready(self, number):
-        def ask():
+    def wait_for_gateway(self, number):
+        """Waits until a gateway has the release state and an instance list; raises ScenarioError."""
+
+        def send_request():
             return (yield from self.http_call(self.port["doors"] + number, "GET", "/-/status"))
 
         yield from self.wait_until_ready(
-            f"gateway {number}", ask, lambda b: b["desk"]["news"] and b["list"]["revision"]
+            f"gateway {number}", send_request, lambda b: b["desk"]["news"] and b["list"]["revision"]
         )
 
     def start_components(self, ports):
+        """Starts all processes but the clients and waits until they are ready."""
         plan = self.plan
         zones = {n: g["zone"] for n, g in enumerate(plan["gateways"])}
         if plan.get("agents"):
             self.write_builds()
-        yard = {
+        fleet_plan = {
             **{
                 k: plan[k]
                 for k in (
@@ -65,15 +69,15 @@
         self.settings_path = self.write("sheet-desk.star", settings_text(plan, "", ports, self.folder))
         self.settings = read_settings(self.settings_path, settings_text(plan, "", ports, self.folder))
         if plan.get("agents"):
-            yard["places"] = []
+            fleet_plan["places"] = []
             self.spawn("builds", "standin", "builds", self.path("builds.json"), str(ports["builds"]))
-        self.spawn("yard", "standin", "yard", self.write("yard.json", yard), self.path("yard.records"))
+        self.spawn("yard", "standin", "yard", self.write("yard.json", fleet_plan), self.path("yard.records"))
         yield from self.wait_until_ready(
             "the yard",
             lambda: self.http_call(ports["platform"], "GET", "/v1/machines"),
-            lambda b: len(b["machines"]) == len(yard["places"]),
+            lambda b: len(b["machines"]) == len(fleet_plan["places"]),
         )
-        # its list starts whole: instances that ran before the day
+        # the instance list starts complete: the instances ran before the scenario
         yield from self.http_call(
             ports["troubles"], "POST", "/v1/trouble", {"kind": "list_begins", "begins": True}
         )
@@ -86,19 +90,19 @@
         for number in range(len(plan["gateways"])):
             self.start_gateway(number)
         for number in range(len(plan["gateways"])):
-            yield from self.gateway_ready(number)
+            yield from self.wait_for_gateway(number)
 
     def write_builds(self):
-        """Every build of the plan as a tree that starts a stand-in instance, signed by the day's own key."""
+        """Describes every build of the plan: a signed file tree that starts a simulated instance."""
         plan = self.plan
-        solo = {
+        instance_plan = {
             **{k: plan[k] for k in ("seed", "kind", "report", "flaws")},
             "folder": self.folder,
             "places": {p["name"]: p for p in plan["places"]},
             "groups": {g["name"]: {} for g in plan["groups"]},
             "rules": {"factor": plan["rules"]["overload_factor"], "tip_time": plan["rules"]["tip_time"]},
         }
-        self.write("solo.json", solo)
+        self.write("solo.json", instance_plan)
         self.write(
             "builds.json",
             {
@@ -111,7 +115,7 @@
         )
 
     def start_agents(self, ports):
-        """All places up with the first build, and warm, before the day begins."""
+        """Starts the agents and waits until all places run the first build and are warm."""
         plan = self.plan
         yield from self.wait_until_ready(
             "the desk", lambda: self.http_call(ports["desk"], "GET", "/v1/status"), lambda b: True
@@ -126,10 +130,11 @@
         )
         yield Sleep(plan["kind"]["cold_time"])
 
-    def start_crowds(self, ports, begin):
-        plan, crowds = self.plan, []
+    def start_clients(self, ports, begin):
+        """Starts the client processes, which begin at `begin`; returns them."""
+        plan, client_processes = self.plan, []
         for n in range(plan["crowds"]):
-            crowd = {
+            client_plan = {
                 "seed": plan["seed"],
                 "number": n,
                 "rate": plan["rate"] / plan["crowds"],
@@ -146,13 +151,13 @@
                 "desk": ["127.0.0.1", ports["desk"]],
                 "wrong_reported": plan["release"].get("wrong_reported", 0.0),
             }
-            crowds.append(
+            client_processes.append(
                 self.spawn(
                     f"crowd-{n}",
                     "standin",
                     "crowd",
-                    self.write(f"crowd-{n}.json", crowd),
+                    self.write(f"crowd-{n}.json", client_plan),
                     self.path(f"crowd-{n}.records"),
                 )
             )
-        return crowds
+        return client_processes
--- a/cobaltpond/scenario/time_limits.py
+++ b/cobaltpond/scenario/time_limits.py
@@ -1,7 +1,7 @@
-"""The time limits of a simulated day's processes, and the error raised where a day cannot be finished."""
+"""Time limits for the processes of a scenario, and the error raised when a scenario cannot finish."""
 
-READY, CALL_TIME = 15_000_000, 2_000_000  # microseconds
+READY_TIME_US, CALL_TIME_US = 15_000_000, 2_000_000  # microseconds
 
 
 class ScenarioError(Exception):
-    """The day could not be played to its end; the text says why."""
+    """The scenario could not be run to its end; the text says why."""
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""Whole days over sockets, short ones: kept rules, gateways broken on purpose, a day file of the bench."""
+"""Short scenarios over sockets: invariants kept, deliberately faulty gateways detected, bench files read."""
 
 import json
 
@@ -32,123 +32,137 @@
 gateway(zone = "north")
 gateway(zone = "south")
 offer(at = ms(1500))
-%(more)s
+%(extra_script)s
 """
 
 
-def play(days, tmp_path, extra=None):
-    """All days at once, one loop; their results by name."""
-    deaths = []
-    loop = Loop(EpollKernel(), lambda task, trouble: deaths.append((task.name, trouble)))
+def run_scenarios(plans, tmp_path, extra_arguments=None):
+    """Runs all plans at once on one event loop; returns their results by name."""
+    failed_tasks = []
+    loop = Loop(EpollKernel(), lambda task, error: failed_tasks.append((task.name, error)))
     runs = {
-        name: ScenarioRun(loop, plan, str(tmp_path / name), lambda text: None, (extra or {}).get(name))
-        for name, plan in days.items()
+        name: ScenarioRun(
+            loop, plan, str(tmp_path / name), lambda text: None, (extra_arguments or {}).get(name)
+        )
+        for name, plan in plans.items()
     }
     tasks = {name: loop.spawn(run.run(), name) for name, run in runs.items()}
 
-    def all_of_them():
+    def join_all():
         results = {}
         for name, task in tasks.items():
             results[name] = yield from task.join()
         return results
 
     try:
-        return loop.run(loop.spawn(all_of_them(), "days"))
+        return loop.run(loop.spawn(join_all(), "days"))
     finally:
         loop.close()
 
 
-def day(layout="beside", length=7, rate=40.0, more="", cores=2, agents=False):
+def read_test_plan(layout="beside", length=7, rate=40.0, extra_script="", cores=2, agents=False):
     return read_plan(
         "test.star",
         SCRIPT
-        % {"layout": layout, "length": length, "rate": rate, "more": more, "cores": cores, "agents": agents},
+        % {
+            "layout": layout,
+            "length": length,
+            "rate": rate,
+            "extra_script": extra_script,
+            "cores": cores,
+            "agents": agents,
+        },
     )
 
 
-def broken_day(rule):
-    slow = 'trouble(kind = "slow", at = s(1), length = s(5), size = 4.0, on = [0, 1, 2, 3])'
+def plan_for_faulty_gateway(rule):
+    slow_instances = 'trouble(kind = "slow", at = s(1), length = s(5), size = 4.0, on = [0, 1, 2, 3])'
     return {
-        "cold instances": day("in place", rate=70.0, cores=1),
-        "no effect twice": day(more=slow),
-        "drains kept": day("in place", length=9),
-    }.get(rule, day())
+        "cold instances": read_test_plan("in place", rate=70.0, cores=1),
+        "no effect twice": read_test_plan(extra_script=slow_instances),
+        "drains kept": read_test_plan("in place", length=9),
+    }.get(rule, read_test_plan())
 
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """The five broken gateways and the sound days."""
+    """The results of the five faulty gateways and of the correct ones."""
     import os
 
     os.environ["PYTHONPATH"] = os.pathsep.join(["tests", os.environ.get("PYTHONPATH", "")])
-    names = dict(
+    faulty_decisions = dict(
         zip(RULES, ("LosesHits", "RunsTwice", "ForgetsDrains", "CrushesCold", "IgnoresCaps"), strict=True)
     )
-    days = {rule: broken_day(rule) for rule in RULES}
-    extra = {rule: {n: ("--decisions", f"broken:{name}") for n in range(2)} for rule, name in names.items()}
-    days["sound"] = day(
-        more="kill(gateway = 1, at = s(3), back_after = s(1))\n"
+    plans = {rule: plan_for_faulty_gateway(rule) for rule in RULES}
+    extra_arguments = {
+        rule: {n: ("--decisions", f"broken:{name}") for n in range(2)}
+        for rule, name in faulty_decisions.items()
+    }
+    plans["correct"] = read_test_plan(
+        extra_script="kill(gateway = 1, at = s(3), back_after = s(1))\n"
         'trouble(kind = "balancer_stall", which = 0, at = s(5), length = ms(400))'
     )
-    days["sound, in place"] = day(
-        "in place", more='trouble(kind = "vanish", at = s(4), length = s(2), on = [5])'
+    plans["correct, in place"] = read_test_plan(
+        "in place", extra_script='trouble(kind = "vanish", at = s(4), length = s(2), on = [5])'
     )
-    days["sound, with agents"] = day(
+    plans["correct, with agents"] = read_test_plan(
         length=8,
         agents=True,
-        more="""
+        extra_script="""
 kill(what = "agent", gateway = 0, at = ms(1700), back_after = s(1))
 kill(what = "desk", at = s(3), back_after = ms(500))
 kill(what = "instance", gateway = 3, at = s(4))""",
     )
-    # hosts that start a dozen programs at once hold up whatever runs beside them: sound gateways stood still
-    # for half a second and answered late. So the two that are timed to the millisecond are played by
-    # themselves.
-    alone = {name: days.pop(name) for name in ("sound", "sound, in place")}
-    return play(days, tmp_path_factory.mktemp("days"), extra) | play(
-        alone, tmp_path_factory.mktemp("alone"), extra
+    # A machine that starts a dozen processes at once delays everything else on it: correct gateways were
+    # stalled for half a second and answered late. The two scenarios with limits in milliseconds therefore run
+    # on their own.
+    plans_run_alone = {name: plans.pop(name) for name in ("correct", "correct, in place")}
+    return run_scenarios(plans, tmp_path_factory.mktemp("days"), extra_arguments) | run_scenarios(
+        plans_run_alone, tmp_path_factory.mktemp("alone"), extra_arguments
     )
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_a_gateway_broken_on_purpose_is_caught(results, rule):
-    broken = results[rule]["found"].broken
-    assert broken[rule], (rule, {r: len(b) for r, b in broken.items()})
+def test_a_faulty_gateway_is_detected(results, rule):
+    violations = results[rule]["found"].broken
+    assert violations[rule], (rule, {r: len(b) for r, b in violations.items()})
 
 
-@pytest.mark.parametrize("name", ["sound", "sound, in place", "sound, with agents"])
-def test_a_sound_gateway_keeps_all_rules(results, name):
-    found = results[name]["found"]
-    assert found.all_kept, "\n".join(
-        f"{rule}: {text}" for rule, rows in found.broken.items() for text in rows
+@pytest.mark.parametrize("name", ["correct", "correct, in place", "correct, with agents"])
+def test_a_correct_gateway_keeps_all_rules(results, name):
+    findings = results[name]["found"]
+    assert findings.all_kept, "\n".join(
+        f"{rule}: {text}" for rule, rows in findings.broken.items() for text in rows
     )
-    assert all(found.checked[rule] > 0 for rule in RULES), found.checked
-    got = compute_figures(results[name])
-    assert got["service"] > 0.8 and got["hits"] > 150 and "exposure" in format_report(results[name])
+    assert all(findings.checked[rule] > 0 for rule in RULES), findings.checked
+    outcome = compute_figures(results[name])
+    assert outcome["service"] > 0.8 and outcome["hits"] > 150 and "exposure" in format_report(results[name])
 
 
-def test_the_release_went_out_over_sockets(results):
-    assert results["sound, in place"]["desk"]["news"]["phase"] == "released"
-    assert {m["build"] for m in results["sound, in place"]["desk"]["machines"] if m["state"] == "up"} == {42}
+def test_a_release_completes_over_sockets(results):
+    assert results["correct, in place"]["desk"]["news"]["phase"] == "released"
+    assert {m["build"] for m in results["correct, in place"]["desk"]["machines"] if m["state"] == "up"} == {
+        42
+    }
 
 
 def test_every_hit_of_a_killed_gateway_is_accounted_for(results):
-    seen = compute_figures(results["sound"])["answers"]
+    seen = compute_figures(results["correct"])["answers"]
     assert seen["delivered"] > 150 and seen["lost"] + seen["not sent"] > 0
 
 
-def test_what_is_no_day_of_the_bench_says_so():
+def test_a_file_that_is_no_bench_day_file_is_rejected():
     with pytest.raises(BenchFileError, match="no day file"):
         import_bench_file({"fam": {}}, "x.json")
 
 
-def test_the_command_line_names_file_and_line(tmp_path):
+def test_command_line_errors_name_file_and_line(tmp_path):
     from click.testing import CliRunner
 
     bad = tmp_path / "bad.star"
     bad.write_text("path_group(name = 'x', target_latency = 5, client_timeout = ms(9))\n")
-    got = CliRunner().invoke(main, ["check", str(bad)])
-    assert got.exit_code == 2 and "bad.star:1: path_group: target_latency" in got.output
+    outcome = CliRunner().invoke(main, ["check", str(bad)])
+    assert outcome.exit_code == 2 and "bad.star:1: path_group: target_latency" in outcome.output
     good = CliRunner().invoke(main, ["check", "examples/resale.star"])
     assert good.exit_code == 0 and "3 gateways" in good.output
     assert CliRunner().invoke(main, ["day"]).exit_code == 2
