--- a/cobaltpond/standins/__init__.py
+++ b/cobaltpond/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Peers for tests and days: instances that work on time instead of CPU, the list, a relay, clients."""
+"""Simulated peers for tests and scenarios: instances that use time instead of CPU, clients, a relay."""
--- a/cobaltpond/standins/clients.py
+++ b/cobaltpond/standins/clients.py
@@ -1,7 +1,8 @@
-"""Clients: hits arrive in open loop, tries are repeated as the contract allows, all that is seen is recorded.
+"""An open-loop load generator that retries as the contract allows and records every outcome.
 
-What a client may repeat: a repeatable hit after anything; a tagged one whose repeats all instances drop,
-while a try can end within the window from its first; else only after a bounce, or where no byte got through.
+A client may retry a repeatable hit after any outcome; a tagged hit whose repeats all instances drop, as long
+as the try can end within the repeat window from the first; any other hit only after a bounce, or where no
+byte was sent.
 """
 
 import json
@@ -25,90 +26,106 @@
 from cobaltpond.wire import http1
 
 LIMITS = http1.MessageLimits(body=64 << 20)
-LEAST_LEFT = 200_000  # a try with less time than this is not begun
+MIN_TRY_TIME_US = 200_000  # a try with less time left is not started
 
 
 class ClientLoad:
-    """`plan`: seed, number (of this process), rate, length, gateways, groups, customers, keys, clients,
-    troubles, begin (when the day began, on the common clock)."""
+    """The clients of one process; all times are in microseconds.
+
+    `plan` has seed, number (of this process), rate, length, gateways, groups, customers, keys, clients,
+    troubles and begin (start of the scenario on the common clock).
+    """
 
     def __init__(self, loop, plan, path):
         self.loop, self.plan, self.record = loop, plan, RecordWriter(loop, path)
-        self.chance = seeded_random(plan["seed"] * 1000 + plan["number"])
-        self.idle, self.serial, self.open, self.stop_asked = {}, 0, 0, False
+        self.random_source = seeded_random(plan["seed"] * 1000 + plan["number"])
+        self.idle_connections, self.hits_started, self.open_hits, self.stop_asked = {}, 0, 0, False
         self.weights = [g["weight"] for g in plan["gateways"]]
         keys = plan.get("keys") or 0
         self.key_weights = [1 / (n + 1) ** 0.8 for n in range(keys)] if keys else None
-        self.late = 0
+        self.max_lateness = 0
 
-    def now_in_day(self):
+    def scenario_time(self):
+        """Microseconds since the scenario began."""
         return self.loop.now() - self.plan["begin"]
 
-    def factor(self, at, customer=None):
-        """What bursts make of the rate at this moment of the day."""
+    def rate_factor(self, at, customer=None):
+        """The factor that bursts apply to the rate at this time, for all or for one customer (an index)."""
         rate = 1.0
-        for t in self.plan["troubles"]:
-            if not t["at"] <= at < t["at"] + t["len"]:
+        for fault in self.plan["troubles"]:
+            if not fault["at"] <= at < fault["at"] + fault["len"]:
                 continue
-            if t["kind"] == "burst" and customer is None:
-                rate *= t["size"]
-            elif t["kind"] == "tenant_burst" and customer == t["which"]:
-                rate *= t["size"]
+            if fault["kind"] == "burst" and customer is None:
+                rate *= fault["size"]
+            elif fault["kind"] == "tenant_burst" and customer == fault["which"]:
+                rate *= fault["size"]
         return rate
 
-    def active(self, kind):
-        at = self.now_in_day()
-        return [t for t in self.plan["troubles"] if t["kind"] == kind and t["at"] <= at < t["at"] + t["len"]]
+    def active_faults(self, kind):
+        """The faults of a kind that are active now."""
+        at = self.scenario_time()
+        return [
+            fault
+            for fault in self.plan["troubles"]
+            if fault["kind"] == kind and fault["at"] <= at < fault["at"] + fault["len"]
+        ]
 
     def run(self):
-        plan, chance = self.plan, self.chance
+        """Starts hits by a Poisson process until the scenario ends, then waits up to 15 s for open ones."""
+        plan, random_source = self.plan, self.random_source
         customers = plan["customers"] or [{"name": None, "traffic": 1.0}]
-        at, most = 0, 1 + sum(t["size"] for t in plan["troubles"] if t["kind"] in ("burst", "tenant_burst"))
+        at, max_factor = (
+            0,
+            1
+            + sum(fault["size"] for fault in plan["troubles"] if fault["kind"] in ("burst", "tenant_burst")),
+        )
         while at < plan["length"] and not self.stop_asked:
-            at += max(1, int(chance.expovariate(plan["rate"] * most) * 1e6))
+            at += max(1, int(random_source.expovariate(plan["rate"] * max_factor) * 1e6))
             draw, customer = (
-                chance.random() * most,
-                chance.choices(range(len(customers)), [c["traffic"] for c in customers])[0],
+                random_source.random() * max_factor,
+                random_source.choices(range(len(customers)), [c["traffic"] for c in customers])[0],
             )
-            if draw >= self.factor(at) * self.factor(at, customer):
+            if draw >= self.rate_factor(at) * self.rate_factor(at, customer):
                 continue
             wait = plan["begin"] + at - self.loop.kernel.now()
             if wait > 0:
                 yield Sleep(wait)
-            self.late = max(self.late, self.loop.kernel.now() - plan["begin"] - at)
-            self.open += 1
+            self.max_lateness = max(self.max_lateness, self.loop.kernel.now() - plan["begin"] - at)
+            self.open_hits += 1
             self.loop.spawn(self.run_hit(customers[customer]["name"], at), "hit")
         end = self.loop.now() + 15_000_000
-        while self.open and self.loop.now() < end:
+        while self.open_hits and self.loop.now() < end:
             yield Sleep(20_000)
-        self.record("end", open=self.open, late=self.late)
+        self.record("end", open=self.open_hits, late=self.max_lateness)
 
     def run_hit(self, customer, at):
+        """Runs one hit; `at` is its start in the scenario."""
         try:
-            yield from self.tries(customer, at)
+            yield from self.run_tries(customer, at)
         finally:
-            self.open -= 1
+            self.open_hits -= 1
 
     def work(self, group):
-        """Lognormal or exponential, by its mean and spread; heavy tails by trouble."""
+        """Draws the work of a hit, in microseconds: lognormal or exponential, with heavy tails by fault."""
         if group.get("dist") == "exp":
-            work = self.chance.expovariate(1.0) * group["work"]
+            work = self.random_source.expovariate(1.0) * group["work"]
         else:
             spread = math.sqrt(math.log(1 + group["cv"] ** 2))
-            work = self.chance.lognormvariate(math.log(group["work"]) - spread**2 / 2, spread)
-        for t in self.active("heavy_tail"):
-            if self.chance.random() < t["extra"]:
-                work *= t["size"]
+            work = self.random_source.lognormvariate(math.log(group["work"]) - spread**2 / 2, spread)
+        for fault in self.active_faults("heavy_tail"):
+            if self.random_source.random() < fault["extra"]:
+                work *= fault["size"]
         return work
 
-    def tries(self, customer, at):
-        plan, chance, clients = self.plan, self.chance, self.plan["clients"]
-        group = chance.choices(plan["groups"], [g["share"] for g in plan["groups"]])[0]
-        self.serial += 1
-        op, began = f"{plan['number']}-{self.serial}", self.loop.kernel.now()
+    def run_tries(self, customer, at):
+        """Tries a hit until it is answered, may not be retried, or has no time left."""
+        plan, random_source, clients = self.plan, self.random_source, self.plan["clients"]
+        group = random_source.choices(plan["groups"], [g["share"] for g in plan["groups"]])[0]
+        self.hits_started += 1
+        op, started_at = f"{plan['number']}-{self.hits_started}", self.loop.kernel.now()
         key = None
         if self.key_weights:
-            key = chance.choices(range(len(self.key_weights)), self.key_weights)[0]
+            key = random_source.choices(range(len(self.key_weights)), self.key_weights)[0]
         fields = [
             (b"host", b"day"),
             (b"standin-op", op.encode()),
@@ -122,11 +139,11 @@
             fields.append((b"cobaltpond-customer", customer.encode()))
         if group["kind"] == "tagged":
             fields.append((b"idempotency-key", op.encode()))
-        if self.active("bad_requests") and chance.random() < max(
-            t["size"] for t in self.active("bad_requests")
+        if self.active_faults("bad_requests") and random_source.random() < max(
+            fault["size"] for fault in self.active_faults("bad_requests")
         ):
             fields.append((b"standin-bad", b"1"))
-        home = chance.choices(range(len(self.weights)), self.weights)[0]
+        gateway_index = random_source.choices(range(len(self.weights)), self.weights)[0]
         left = group["client_timeout"]
         self.record(
             "asked",
@@ -134,7 +151,7 @@
             group=group["name"],
             type=group["kind"],
             customer=customer,
-            begun=began,
+            begun=started_at,
             day=at,
             benefit=group["benefit"],
             target=group["target_latency"],
@@ -142,70 +159,83 @@
         backoff = clients["backoff"]
         for number in range(1 + clients["retries"]):
             now = self.loop.kernel.now()
-            this = int(left * clients["try_share"]) if number < clients["retries"] else left
-            this = min(this, began + left - now)
-            if number and group["kind"] == "tagged":  # past the window nobody would drop it
-                this = min(this, began + group["repeat_window"] - 100_000 - now)
-            if this < LEAST_LEFT:
+            try_time = int(left * clients["try_share"]) if number < clients["retries"] else left
+            try_time = min(try_time, started_at + left - now)
+            if number and group["kind"] == "tagged":  # past the window no instance would drop the repeat
+                try_time = min(try_time, started_at + group["repeat_window"] - 100_000 - now)
+            if try_time < MIN_TRY_TIME_US:
                 break
-            give_up = None
-            if self.active("give_up") and chance.random() < max(t["size"] for t in self.active("give_up")):
-                give_up = int(this * chance.uniform(0.1, 0.6))
-            outcome, advice = yield from self.try_once(op, number, group, home, fields, this, give_up)
+            give_up_after = None
+            if self.active_faults("give_up") and random_source.random() < max(
+                fault["size"] for fault in self.active_faults("give_up")
+            ):
+                give_up_after = int(try_time * random_source.uniform(0.1, 0.6))
+            outcome, advice = yield from self.try_once(
+                op, number, group, gateway_index, fields, try_time, give_up_after
+            )
             if outcome in ("delivered", "gave up"):
                 break
-            again = (
+            may_retry = (
                 group["kind"] == "repeatable"
                 or outcome in ("bounced", "not sent")
                 or (group["kind"] == "tagged" and group["scope"] == "all")
             )
-            if not again:
+            if not may_retry:
                 break
             wait = backoff if clients["style"] == "fixed" else backoff * 2**number
-            if advice and chance.random() < clients["honour"]:
+            if advice and random_source.random() < clients["honour"]:
                 wait = max(wait, advice)
-            if outcome in ("not sent", "lost"):
-                home = (home + 1) % len(self.weights)  # its gateway is gone: the next one
-            yield Sleep(int(wait * chance.uniform(0.8, 1.2)))
+            if outcome in ("not sent", "lost"):  # the gateway has failed, so the next one is used
+                gateway_index = (gateway_index + 1) % len(self.weights)
+            yield Sleep(int(wait * random_source.uniform(0.8, 1.2)))
+
+    def try_once(self, op, number, group, gateway_index, fields, left, give_up_after):
+        """Makes one try; returns (outcome, retry advice in microseconds or 0).
 
-    def try_once(self, op, number, group, home, fields, left, give_up):
-        """One try. (delivered | bounced | errored | late | lost | not sent | gave up, advice in
-        microseconds)."""
-        gateway = self.plan["gateways"][home]
+        The outcome is delivered, bounced, errored, late, lost, not sent or gave up. `left` is the time for
+        the try; `give_up_after` ends it earlier unless it is None.
+        """
+        gateway = self.plan["gateways"][gateway_index]
         fields = fields + [(b"cobaltpond-timeout-ms", b"%d" % (left // 1000))]
         if number and self.plan["clients"]["marks"]:
             fields.append((b"cobaltpond-try", b"%d" % number))
         body = b"{}" if group["method"] == "POST" else b""
         data = http1.request(group["method"], group["path"], fields, body)
-        sent, seen, more, connection, wrote = self.loop.kernel.now(), "not sent", {}, None, False
+        sent, outcome, response_fields, connection, request_sent = (
+            self.loop.kernel.now(),
+            "not sent",
+            {},
+            None,
+            False,
+        )
         advice = 0
         try:
-            with Deadline(self.loop, give_up or left + 200_000):
-                connection, kept = yield from self.connect(home, gateway)
+            with Deadline(self.loop, give_up_after or left + 200_000):
+                connection, reused = yield from self.connect(gateway_index, gateway)
                 self.record(
                     "try",
                     op=op,
                     number=number,
-                    gateway=home,
+                    gateway=gateway_index,
                     left=left,
                     type=group["kind"],
                     group=group["name"],
                     sent=self.loop.kernel.now(),
                 )
-                wrote = True
+                request_sent = True
                 yield from connection.write(data)
                 head, size = None, 0
                 parser = http1.ResponseParser(LIMITS)
-                while seen == "not sent":
-                    got = yield from connection.read()
-                    for kind, value in parser.feed(got) if got else parser.closed():
+                while outcome == "not sent":
+                    received = yield from connection.read()
+                    for kind, value in parser.feed(received) if received else parser.closed():
                         if kind == "head":
                             head = value
                         elif kind == "body":
                             size += len(value)
                         else:
-                            seen = self.outcome(head)
-                            more = {
+                            outcome = self.classify_response(head)
+                            response_fields = {
                                 "status": head.status,
                                 "hit": (head.get(b"cobaltpond-hit") or b"").decode(),
                                 "via": (head.get(b"cobaltpond-via") or b"").decode(),
@@ -215,32 +245,37 @@
                             }
                             advice = int(head.get(b"cobaltpond-retry-after-ms") or 0) * 1000
                 if head.keep_alive:
-                    self.idle.setdefault(home, deque()).append(connection)
+                    self.idle_connections.setdefault(gateway_index, deque()).append(connection)
                     connection = None
         except DeadlineExceededError:
-            seen = "gave up" if give_up else "late" if wrote else "not sent"
+            outcome = "gave up" if give_up_after else "late" if request_sent else "not sent"
         except (RefusedError, UnreachableError, HandlesExhaustedError):
-            seen = "not sent"
+            outcome = "not sent"
         except (ConnectionLostError, http1.HttpMessageError):
-            seen = "lost" if wrote else "not sent"
+            outcome = "lost" if request_sent else "not sent"
         finally:
             if connection is not None:
                 connection.close()
-        self.record("answer", op=op, number=number, gateway=home, seen=seen, sent=sent, **more)
-        if more.get("wrong") and self.chance.random() < self.plan["wrong_reported"]:
-            self.loop.spawn(self.report(home, more["via"], group["name"], sent), "report")
-        return seen, advice
+        self.record(
+            "answer", op=op, number=number, gateway=gateway_index, seen=outcome, sent=sent, **response_fields
+        )
+        if response_fields.get("wrong") and self.random_source.random() < self.plan["wrong_reported"]:
+            self.loop.spawn(
+                self.report_wrong_answer(gateway_index, response_fields["via"], group["name"], sent), "report"
+            )
+        return outcome, advice
 
-    def connect(self, home, gateway):
-        idle = self.idle.get(home)
-        while idle:
-            connection = idle.pop()
+    def connect(self, gateway_index, gateway):
+        """(connection to a gateway, whether it is a reused one); records unexpected bytes on idle ones."""
+        idle_connections = self.idle_connections.get(gateway_index)
+        while idle_connections:
+            connection = idle_connections.pop()
             try:
                 stray = connection.read_now(4096)
                 if stray is None:
                     return connection, True
                 if stray:
-                    self.record("stray", gateway=home, bytes=len(stray))
+                    self.record("stray", gateway=gateway_index, bytes=len(stray))
             except ConnectionLostError:
                 pass
             connection.close()
@@ -248,13 +283,15 @@
         return (yield from dial(self.loop, (host, int(port)), 1_000_000)), False
 
     @staticmethod
-    def outcome(head):
+    def classify_response(head):
+        """The outcome that a response shows: delivered, bounced or errored."""
         if head.get(b"cobaltpond-via") is not None:
             return "delivered"
         return "bounced" if head.get(b"cobaltpond-retry") == b"harmless" else "errored"
 
-    def report(self, gateway, instance, group, sent):
-        yield Sleep(self.chance.randrange(800_000, 2_500_000))
+    def report_wrong_answer(self, gateway, instance, group, sent):
+        """Reports a wrong answer to the desk after 0.8 to 2.5 s; errors are ignored."""
+        yield Sleep(self.random_source.randrange(800_000, 2_500_000))
         body = {"gateway": gateway, "instance": instance, "group": group, "age_us": self.loop.now() - sent}
         try:
             with Deadline(self.loop, 2_000_000):
@@ -270,8 +307,10 @@
             pass
 
     def stop(self, name=""):
+        """Stops starting hits."""
         self.stop_asked = True
 
 
 def run_clients(kernel, plan, path, log):
+    """Runs the clients of one process as its component; records go to `path`."""
     run_component(kernel, lambda loop: ClientLoad(loop, plan, path), log, "crowd")
--- a/cobaltpond/standins/host_cluster.py
+++ b/cobaltpond/standins/host_cluster.py
@@ -1,5 +1,7 @@
-"""Hosts with real agents and a real desk as child processes, beside a registry and build servers in this one:
-to order releases, break builds, kill whoever it may be, and look at what runs in the end."""
+"""Runs real agents and a real desk as child processes, with a registry and build servers in this process.
+
+Tests use it to order releases, break builds, kill processes and inspect what runs in the end.
+"""
 
 import base64
 import json
@@ -15,7 +17,7 @@
 from cobaltpond.standins.instance_list import InstanceListServer
 
 SECOND = 1_000_000
-# an instance that answers its health check; how it misbehaves is a word in a file beside it
+# An instance that answers its health check; the file `flaw` beside it names its fault.
 SERVE = """#!%s -SE
 import os, signal, socket, sys, time
 flaw = open(os.path.join(os.path.dirname(os.path.abspath(__file__)), "flaw")).read()
@@ -43,7 +45,7 @@
             pass
         peer.close()
 """
-SHEET = """
+SETTINGS = """
 path_group(name = "look", kind = "repeatable", target_latency = ms(500), client_timeout = ms(2000))
 route(path = "/*", group = "look")
 release(gate = "any", layout = "%(layout)s", shares = [0.34, 1.0], caps = [0.5, 1.0], exposure_window = s(2),
@@ -57,7 +59,10 @@
 
 
 class HostCluster:
-    """`registry_log`: what happened at the registry: (time, instance, build, state, start)."""
+    """A desk, its hosts and optional gateways; times are in microseconds.
+
+    `registry_log` lists the reports to the registry: (time, instance, build, state, start).
+    """
 
     def __init__(self, loop, folder, hosts=6, layout="beside", servers=2, gateways=1):
         self.loop, self.folder, self.children, self.places = (
@@ -73,10 +78,12 @@
         self.listed, self.registry_log = {}, []
         self.lock, base = reserve_ports(kernel, 8 * hosts + 1 + gateways)
         self.ports = list(range(base, base + 8 * hosts + 1 + gateways))
-        self.list = InstanceListServer(loop, lambda kind, **more: None, seeded_random(1), 200_000, 50_000)
-        loop.spawn(self.list.push_updates(), "list-push")
+        self.instance_list = InstanceListServer(
+            loop, lambda kind, **more: None, seeded_random(1), 200_000, 50_000
+        )
+        loop.spawn(self.instance_list.push_updates(), "list-push")
         listener = kernel.listen(("127.0.0.1", 0), 256)
-        loop.spawn(serve_rpc(loop, listener, self.registry, "registry"), "registry")
+        loop.spawn(serve_rpc(loop, listener, self.handle_registry, "registry"), "registry")
         self.desk = ("127.0.0.1", self.ports[-1])
         self.doors = [("127.0.0.1", self.ports[-2 - n]) for n in range(gateways)]
         public = base64.b64encode(self.key.public_key().public_bytes_raw()).decode()
@@ -85,7 +92,7 @@
 
         kernel.replace_file(f"{self.folder}/keys.json", msgspec.json.encode(ring), sync=False)
         sources = ", ".join(f'"127.0.0.1:{s.address[1]}"' for s in self.servers)
-        text = SHEET % {
+        text = SETTINGS % {
             "layout": layout,
             "list": listener.address()[1],
             "desk": self.desk[1],
@@ -102,12 +109,13 @@
         self.settings_path = f"{self.folder}/town.star"
         kernel.replace_file(self.settings_path, text.encode(), sync=False)
 
-    def registry(self, request):
+    def handle_registry(self, request):
+        """Serves the instance list and accepts the agents' reports."""
         if request.method == "GET":
-            return self.list.handle(request)
+            return self.instance_list.handle(request)
         row = request.json_object()
-        shown = {k: v for k, v in row.items() if k != "age_us"}
-        self.list.publish([{**shown, "up_at": self.loop.now() - row["age_us"]}])
+        listed_row = {k: v for k, v in row.items() if k != "age_us"}
+        self.instance_list.publish([{**listed_row, "up_at": self.loop.now() - row["age_us"]}])
         self.registry_log.append((self.loop.now(), row["id"], row["build"], row["state"], row["start"]))
         if row["state"] == "gone":
             if self.listed.get(row["id"], {}).get("start") == row["start"]:
@@ -117,7 +125,10 @@
         return json_response(200, {})
 
     def publish_build(self, number, flaw="good", size=200_000, key=None, salt=b""):
-        """`key`: another one than the town's signs it, under the same id or, where it is a pair, its own."""
+        """Signs a build and adds it to all build servers; returns (signed manifest, chunks).
+
+        `key` replaces the cluster's key, under the same id or, where it is a pair (id, key), under its own.
+        """
         body = (salt or b"%d" % number) * (size // max(1, len(salt or b"%d" % number)))
         id, key = key if isinstance(key, tuple) else ("town", key or self.key)
         now = self.loop.kernel.wall_clock() // SECOND
@@ -135,6 +146,7 @@
         return signed, chunks
 
     def start(self, name):
+        """Starts the desk, a gateway (`gateway-N`) or the agent of a host."""
         words = (
             ["desk", self.settings_path] if name == "desk" else ["agent", self.settings_path, "--place", name]
         )
@@ -145,14 +157,17 @@
         )
 
     def kill_process(self, name):
+        """Kills a child process and waits until it has ended."""
         self.children[name].signal("KILL")
         self.children[name].process.wait()
 
     def start_all(self):
+        """Starts the desk and all agents."""
         for name in ("desk", *self.places):
             self.start(name)
 
     def call_desk(self, method, target, body=None):
+        """One call to the desk: (status, parsed answer); raises the errors of `rpc.call` after a second."""
         data = body if isinstance(body, bytes) else json.dumps(body).encode() if body is not None else b""
         with Deadline(self.loop, SECOND):
             status, text = yield from call(self.loop, self.desk, method, target, data, SECOND)
@@ -161,19 +176,23 @@
     def call_until_answered(
         self, method, target, body=None, bound=15 * SECOND, good=lambda status, answer: status < 300
     ):
-        """Asks until it is answered well; for a desk that may be down."""
-        end, last = self.loop.now() + bound, None
+        """Repeats a call, to a desk that may be down, until `good(status, answer)`.
+
+        Raises TimeoutError after `bound` microseconds.
+        """
+        end, last_result = self.loop.now() + bound, None
         while self.loop.now() < end:
             try:
-                last = yield from self.call_desk(method, target, body)
-                if good(*last):
-                    return last[1]
-            except (*CALL_ERRORS, DeadlineExceededError, ValueError) as trouble:
-                last = trouble
+                last_result = yield from self.call_desk(method, target, body)
+                if good(*last_result):
+                    return last_result[1]
+            except (*CALL_ERRORS, DeadlineExceededError, ValueError) as error:
+                last_result = error
             yield Sleep(20_000)
-        raise TimeoutError(f"{method} {target}: {last}")
+        raise TimeoutError(f"{method} {target}: {last_result}")
 
     def cast_vote(self, build, stage, verdict):
+        """Votes as gateway 0; a vote that the desk refuses with 409 is accepted, too."""
         return (
             yield from self.call_until_answered(
                 "POST",
@@ -183,10 +202,11 @@
             )
         )
 
-    def wait_until(self, what, bound=20 * SECOND):
+    def wait_until(self, condition, bound=20 * SECOND):
+        """Waits for a condition and returns the time; raises TimeoutError after `bound` microseconds."""
         end = self.loop.now() + bound
         while self.loop.now() < end:
-            if what():
+            if condition():
                 return self.loop.now()
             yield Sleep(10_000)
         raise TimeoutError(
@@ -194,7 +214,7 @@
         )
 
     def promote(self, build, bound=20 * SECOND):
-        """Votes it on, stage by stage, until it is released."""
+        """Votes for a build, stage by stage, until it is released; raises TimeoutError."""
         end = self.loop.now() + bound
         while self.loop.now() < end:
             status = yield from self.call_until_answered("GET", "/v1/status")
@@ -206,7 +226,7 @@
         raise TimeoutError(f"build {build} was not released: {status}")
 
     def listed_up(self):
-        """What the registry shows: (place, build) of all that are up."""
+        """(place, build) of all instances that the registry lists as up."""
         return sorted(
             (row["id"].partition(".")[0], row["build"])
             for row in self.listed.values()
@@ -214,7 +234,7 @@
         )
 
     def running_builds(self):
-        """What runs in truth: (place, build) of every process that was started out of a host's store."""
+        """(place, build) of every running process that was started from a host's store."""
         found = []
         for _, words in self.loop.kernel.command_lines():
             for word in words[:4]:
@@ -224,11 +244,12 @@
         return sorted(found)
 
     def runs_only(self, build):
-        """Is this build, and nothing else, running and listed in every place?"""
+        """Whether this build, and nothing else, is running and listed in every place."""
         whole = sorted((place, build) for place in self.places)
         return self.running_builds() == whole and self.listed_up() == whole
 
     def close(self):
+        """Kills all child processes and the instances that they have started."""
         self.lock.close()
         for child in self.children.values():
             child.signal("KILL")
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -1,4 +1,4 @@
-"""Real agents and a real desk as processes, with builds that are broken on purpose, and kills."""
+"""Real agents and a real desk as processes: deliberately broken builds, killed processes, key rotation."""
 
 import base64
 
@@ -11,8 +11,10 @@
 
 
 class Run:
+    """A cluster on an event loop of its own; `deaths` lists failed tasks."""
+
     def __init__(self, folder, hosts, layout):
-        self.loop = Loop(EpollKernel(), lambda task, trouble: self.deaths.append((task.name, trouble)))
+        self.loop = Loop(EpollKernel(), lambda task, error: self.deaths.append((task.name, error)))
         self.deaths = []
         self.town = HostCluster(self.loop, folder, hosts, layout)
 
@@ -31,14 +33,14 @@
     yield from town.wait_until(lambda: town.runs_only(1))
 
 
-def test_builds_that_are_broken_go_back_and_a_good_one_goes_out(tmp_path):
-    """Each of them ends with exactly the earlier build up in every place, and nothing else running."""
+def test_broken_builds_are_rolled_back_and_a_good_one_is_released(tmp_path):
+    """After each broken build exactly the earlier build runs in every place, and nothing else."""
     run = Run(tmp_path, 3, "beside")
     town = run.town
 
     def go():
         yield from first_build(town)
-        number, seen = 1, {}
+        number, missing_by_flaw = 1, {}
         for flaw in ("exit", "deaf", "crash", "stubborn", "corrupt", "cut", "forged"):
             number += 1
             _, chunks = town.publish_build(
@@ -48,8 +50,8 @@
             )
             if flaw in ("corrupt", "cut"):
                 for server in town.servers:
-                    way = "junk" if flaw == "corrupt" else "cut 0"
-                    server.faults.update((f"/chunks/{name}", [(way, 1 << 30)]) for name in chunks)
+                    fault = "junk" if flaw == "corrupt" else "cut 0"
+                    server.faults.update((f"/chunks/{name}", [(fault, 1 << 30)]) for name in chunks)
             yield from town.call_until_answered(
                 "POST", "/v1/builds", {"build": number}, good=lambda s, a: s in (202, 409)
             )
@@ -58,7 +60,7 @@
             else:
                 yield Sleep(700_000)
             status = yield from town.call_until_answered("GET", "/v1/status")
-            seen[flaw] = status["missing"]
+            missing_by_flaw[flaw] = status["missing"]
             yield from town.cast_vote(number, 0, "back")
             yield from town.wait_until(lambda: town.runs_only(1))
             for server in town.servers:
@@ -77,16 +79,18 @@
         assert [number, "going back", "a word"] in [
             [h["build"], h["phase"], h["why"]] for h in history["history"]
         ]
-        return seen
+        return missing_by_flaw
 
-    seen = run.go(go())
+    missing_by_flaw = run.go(go())
     assert not run.deaths
-    assert "WronglySigned" in str(seen["forged"]) and "FetchFailed" in str(seen["corrupt"])
-    assert all(seen[flaw] for flaw in ("exit", "deaf", "cut")), seen
+    assert "WronglySigned" in str(missing_by_flaw["forged"]) and "FetchFailed" in str(
+        missing_by_flaw["corrupt"]
+    )
+    assert all(missing_by_flaw[flaw] for flaw in ("exit", "deaf", "cut")), missing_by_flaw
 
 
 @pytest.mark.parametrize("layout", ["beside", "in place"])
-def test_kills_of_desk_and_agents_while_a_release_goes_out_and_back(tmp_path, layout):
+def test_desk_and_agents_killed_during_release_and_rollback(tmp_path, layout):
     run = Run(tmp_path, 3, layout)
     town = run.town
 
@@ -97,7 +101,7 @@
             "POST", "/v1/builds", {"build": 2}, good=lambda s, a: s in (202, 409)
         )
         yield Sleep(150_000)
-        town.kill_process("h0")  # in the midst of fetching or starting
+        town.kill_process("h0")  # while it fetches or starts the build
         yield Sleep(100_000)
         town.start("h0")
         town.kill_process("desk")
@@ -107,7 +111,7 @@
         town.start("desk")
         yield from town.promote(2)
         yield from town.wait_until(lambda: town.runs_only(2))
-        town.kill_process("h1")  # its instance goes on without it
+        town.kill_process("h1")  # its instance keeps running without the agent
         assert ("h1", 2) in town.running_builds()
         yield from town.cast_vote(2, 0, "back")
         town.kill_process("desk")
@@ -117,20 +121,19 @@
         town.kill_process("h2")
         for pid, words in town.loop.kernel.command_lines():
             if any(word.startswith(f"{town.folder}/h2/store") for word in words):
-                town.loop.kernel.kill_process(pid)  # it ends while nobody looks
+                town.loop.kernel.kill_process(pid)  # the instance ends while its agent is down
         yield from town.wait_until(lambda: ("h2", 1) not in town.running_builds())
-        gone = len(town.registry_log)
+        log_length = len(town.registry_log)
         town.start("h2")
-        yield from town.wait_until(lambda: town.runs_only(1) and len(town.registry_log) > gone)
-        assert "gone" in [state for _, _, _, state, _ in town.registry_log[gone:]]
+        yield from town.wait_until(lambda: town.runs_only(1) and len(town.registry_log) > log_length)
+        assert "gone" in [state for _, _, _, state, _ in town.registry_log[log_length:]]
 
     run.go(go())
     assert not run.deaths
 
 
-def test_keys_are_rotated_and_the_build_of_the_old_key_can_still_be_gone_back_to(tmp_path):
-    """A host that was away takes up both rotations; a ring that nobody vouches for, or an old one, changes
-    nothing."""
+def test_rollback_to_a_build_of_the_old_key_after_key_rotation(tmp_path):
+    """A host that was down applies both rotations; an untrusted or old key ring changes nothing."""
     run = Run(tmp_path, 3, "in place")
     town = run.town
     signers = {n: Ed25519PrivateKey.generate() for n in ("second", "third")}
@@ -168,7 +171,7 @@
         yield from town.wait_until(lambda: town.runs_only(2))
         town.kill_process("h1")
         town.start("h1")
-        town.publish_build(3)  # signed by the first key, which is trusted no more
+        town.publish_build(3)  # signed by the first key, which is no longer trusted
         yield from town.cast_vote(2, 0, "back")
         yield from town.wait_until(lambda: town.runs_only(1))
         yield from town.call_until_answered(
