--- a/cobaltpond/gateway/admission_limits.py
+++ b/cobaltpond/gateway/admission_limits.py
@@ -30,7 +30,7 @@
         )
 
     def own_rate(self, limit: Limit) -> int:
-        """The part of `limit.rate`, in the same unit, that this gateway may use without a lease."""
+        """Returns the part of `limit.rate`, in the same unit, that this gateway may use without a lease."""
         return limit.rate // OWN_SHARE_DIVISOR // self.count if limit.fleet else limit.rate
 
     def check(self, group, customer, key, is_retry):
@@ -50,7 +50,7 @@
         return verdict
 
     def status(self) -> dict:
-        """Counts per limit and the state of the leases, for `/-/status`.
+        """Returns counts per limit and the state of the leases, for `/-/status`.
 
         `leases` is None without fleet limits.
         """
--- a/cobaltpond/gateway/body_buffer.py
+++ b/cobaltpond/gateway/body_buffer.py
@@ -22,14 +22,14 @@
         self.max_bytes = max_bytes
         self.chunks = []
         self.buffered_bytes = 0
-        self.first_chunk = 0
+        self.first_chunk = 0  # number of the first chunk that is still buffered
         self.ended, self.truncated, self.streaming, self.readers = False, False, False, 0
         self.data_added, self.data_removed = Event(), Event()
 
     def write(self, data: bytes):
         """Appends a chunk.
 
-        Waits while more than `max_bytes` are unread, which is back-pressure on the client.
+        Waits while more than `max_bytes` are buffered, which is back-pressure on the client.
         """
         while self.buffered_bytes > self.max_bytes and not self.truncated:
             yield self.data_removed
@@ -64,7 +64,7 @@
         self.data_removed.set()
 
     def read(self):
-        """Returns the next chunk, b"" at the end; waits for data. The reader calls `rewind()` first.
+        """Returns the next chunk, or b"" at the end; waits for data. The reader calls `rewind()` first.
 
         Raises BodyTruncatedError where the client disconnected before the end.
         """
--- a/cobaltpond/gateway/client_connection.py
+++ b/cobaltpond/gateway/client_connection.py
@@ -119,7 +119,9 @@
         self.client.send_data(data, not keep_alive)
 
     def response_fields(self, head, endpoint) -> list:
-        """The header fields of an instance's response for the client, with the hit and the instance."""
+        """Returns the header fields of an instance's response for the client, with the hit and the
+        instance.
+        """
         return [
             *http1.end_to_end_fields(
                 head.fields, {b"endpoint-load-metrics", b"cobaltpond-hit", b"cobaltpond-via"}
@@ -129,7 +131,7 @@
         ]
 
     def start_stream(self, head: http1.MessageHead, endpoint):
-        """The commit point: makes the hit final and sends the head of a long response.
+        """Makes the hit final and sends the head of a long response (the commit point).
 
         The body is chunked where its length is unknown and the client speaks HTTP/1.1.
         """
@@ -167,7 +169,7 @@
         self.answered.set()
 
     def reject(self, retry_after: int) -> None:
-        """Bounces the hit; `retry_after`: advice in microseconds, 0 for none."""
+        """Rejects the hit; `retry_after`: advice in microseconds, 0 for none."""
         keep_alive = self.may_keep_connection
         over_share = self.frontend.shares.is_over_share(self.route.customer)
         self.finalize("bounced")
--- a/cobaltpond/gateway/customer_shares.py
+++ b/cobaltpond/gateway/customer_shares.py
@@ -1,6 +1,6 @@
-"""Tells whether a customer sends more than its configured share of the hits.
+"""Decides whether a customer sends more than its configured share of the hits.
 
-The result only selects the reason that a bounce states; it decides no hit. The module does no I/O.
+The result only selects the reason that a rejection states; it decides no hit. The module does no I/O.
 """
 
 from collections import deque
@@ -25,7 +25,7 @@
             self.counts[expired_customer] -= 1
 
     def is_over_share(self, customer: str | None) -> bool:
-        """True where the customer has more than one hit above its share.
+        """Returns whether the customer has more than one hit above its share.
 
         A customer without a share is never over.
         """
--- a/cobaltpond/gateway/decision_host.py
+++ b/cobaltpond/gateway/decision_host.py
@@ -42,12 +42,12 @@
         self.endpoints, self.forwards = endpoints, forwards
         self.pending_hits, self.priority_inbox, self.inbox, self.open_hits = {}, [], [], 0
         self.accepted_count, self.probes_in_flight, self.decisions = 0, 0, None
+        # set by the process that creates the host
         self.instance_source = None
         self.desk_client = None
         self.peers = None
-        self.is_allowed = (
-            lambda what, verdict="": True
-        )  # whether the gateway's phase permits this vote, or sending samples to peers
+        # whether the gateway's phase permits this vote, or sending samples to peers
+        self.is_allowed = lambda what, verdict="": True
         self.counts = {"forwards": 0, "overdue": 0, "probes": 0, "votes": 0, "told": 0, "peer sends lost": 0}
         loop.after_turn.append(self.deliver_events)
 
@@ -71,17 +71,17 @@
         self.inbox.append((name, *arguments))
 
     def post_event_first(self, name: str, *arguments) -> None:
-        """As `post_event`, ahead of all events that were not posted this way."""
+        """Queues a call as `post_event` does, ahead of all events that were not posted this way."""
         self.priority_inbox.append((name, *arguments))
 
     # --- calls from the frontend -------------------------------------------------------------------------
 
     def is_full(self) -> bool:
-        """Whether the limit of open hits is reached."""
+        """Returns whether the limit of open hits is reached."""
         return self.open_hits >= self.max_open_hits
 
     def next_number(self) -> int:
-        """The number of the next hit; numbers start at 1."""
+        """Returns the number of the next hit; numbers start at 1."""
         self.accepted_count += 1
         return self.accepted_count
 
@@ -111,11 +111,10 @@
         )
 
     def hit_ended(self, hit: PendingHit) -> None:
-        """Called once when the hit becomes final."""
+        """Handles the end of a hit; called once, when it becomes final."""
         self.open_hits -= 1
-        self.loop.call_in(
-            0, lambda: self.drop_finished(hit)
-        )  # not before the decisions have received the event of its end
+        # not before the decisions have received the event of its end
+        self.loop.call_in(0, lambda: self.drop_finished(hit))
 
     def drop_finished(self, hit: PendingHit) -> None:
         """Forgets the hit once it is final and none of its forwards runs."""
@@ -123,7 +122,9 @@
             self.pending_hits.pop(hit.number, None)
 
     def abandon_hit(self, hit: PendingHit) -> None:
-        """Ends a hit whose client disconnected or sent a malformed body; does nothing where it is final."""
+        """Cancels a hit whose client disconnected or sent a malformed body; does nothing where it is
+        final.
+        """
         if not hit.final:
             hit.finalize("gone")
             self.post_event("on_gone", hit.number)
@@ -149,7 +150,8 @@
         """
         pending_hit, endpoint = self.pending_hits[hit], self.endpoints.by_id.get(instance)
         number = len(pending_hit.forwards)
-        if pending_hit.final:  # its client disconnected in this turn
+        # the client has disconnected in this turn
+        if pending_hit.final:
             pending_hit.forwards.append(None)
             self.loop.call_in(0, lambda: self.post_event("on_outcome", hit, number, "moot", 0, True, {}))
             return
@@ -190,7 +192,7 @@
             pending_hit.forwards[forward].cancel()
 
     def reject_hit(self, hit, retry_after):
-        """Bounces an open hit; `retry_after`: advice to the client in microseconds, 0 for none."""
+        """Rejects an open hit; `retry_after`: advice to the client in microseconds, 0 for none."""
         pending_hit = self.pending_hits.get(hit)
         if pending_hit is not None and not pending_hit.final:
             pending_hit.reject(retry_after)
@@ -221,7 +223,7 @@
         )
 
     def is_reachable(self, instance):
-        """Whether a forward may use an idle connection or dial a new one now.
+        """Returns whether a forward may use an idle connection or dial a new one now.
 
         True for an unknown instance.
         """
--- a/cobaltpond/gateway/desk_client.py
+++ b/cobaltpond/gateway/desk_client.py
@@ -1,4 +1,6 @@
-"""Follows the release desk's stream (news, tallies, wrong answers) and sends it this gateway's votes."""
+"""Follows the release desk's stream (release states, tallies, wrong answers) and sends this
+gateway's votes.
+"""
 
 import json
 from urllib.parse import urlencode
@@ -8,7 +10,7 @@
 from cobaltpond.wire.address import split_address
 
 PHASES = ("trial", "going back", "released", "withdrawn")
-# phases of a build that is being, or has been, withdrawn; how many such builds are remembered
+# phases of a build that is being, or has been, rolled back; how many such builds are remembered
 BLOCKED_PHASES, MAX_GONE_BUILDS = ("going back", "withdrawn"), 16
 # HTTP status of the desk -> answer that the decisions get
 VOTE_ANSWERS = {200: "ok", 409: "moot", 429: "full"}
@@ -19,19 +21,19 @@
 
     def __init__(self, loop, settings, host, log):
         self.loop, self.settings, self.host, self.log = loop, settings, host, log
-        # last: (build, stage, phase, cap) of the newest news, None before the first
+        # last: (build, stage, phase, cap) of the newest release state, None before the first
         self.address, self.has_received, self.last = split_address(settings.desk.address), False, None
         self.backoff = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
         self.on_state = lambda *state: None  # called with each state that the desk sends
-        self.last_seen_state = (
-            None  # the newest state applied, as it is reported back to the desk; None before the first
-        )
+        # the newest state applied, as it is reported back to the desk; None before the first
+        self.last_seen_state = None
         self.counts = {"news": 0, "tallies": 0, "wrong": 0, "errors": 0}
 
     def parse_state(self, news: dict) -> tuple:
-        """Returns (build, stage, phase, cap, age): cap between 0 and 1, age in microseconds.
+        """Parses a release state. Returns (build, stage, phase, cap, age): cap between 0 and 1, age in
+        microseconds.
 
-        Raises KeyError, TypeError or ValueError on malformed news.
+        Raises KeyError, TypeError or ValueError on a malformed one.
         """
         if news["phase"] not in PHASES:
             raise ValueError(f"phase {news['phase']!r}")
@@ -46,7 +48,7 @@
     def remember_state(self, news: dict, state: tuple) -> None:
         """Remembers the newest state by its mark: a desk that has lost its own recovers it from the gateways.
 
-        News without a mark is ignored. Raises as `parse_state`.
+        A state without a mark is ignored. Raises as `parse_state`.
         """
         if "mark" not in news:
             return
@@ -71,7 +73,9 @@
         }
 
     def request_target(self) -> str:
-        """The request target of the news stream; it reports the last seen state to the desk."""
+        """Returns the request target of the release state stream; it reports the last seen state to
+        the desk.
+        """
         arguments = {"gateway": self.host.number}
         if self.last_seen_state is not None:
             arguments["seen"] = json.dumps(self.last_seen_state, separators=(",", ":"))
--- a/cobaltpond/gateway/endpoints.py
+++ b/cobaltpond/gateway/endpoints.py
@@ -14,7 +14,8 @@
 )
 
 MIN_SWEEP_PERIOD_US = 20_000  # between two sweeps, however short the idle time is
-RESERVATION_TIME = 100_000  # microseconds; a forward that has not acquired its connection by then never will
+# in microseconds; a forward that has not acquired its connection by then never will
+RESERVATION_TIME = 100_000
 
 
 class NoConnectionError(Exception):
@@ -26,11 +27,11 @@
 
     def __init__(self, row: dict, address: tuple[str, int]):
         self.row, self.address = row, address
-        # idle: (connection, idle since), in the order of release; open_count: all open connections, idle or
-        # used
+        # idle: (connection, idle since), in the order of release
+        # open_count: all open connections, idle or in use
         self.idle, self.open_count = deque(), 0
-        # forwards that will use an idle connection, and those that will dial; when the last reservation was
-        # made
+        # reserved, reserved_dials: forwards that will use an idle connection, and those that will dial
+        # reserved_at: when the last reservation was made
         self.reserved = self.reserved_dials = self.reserved_at = 0
 
 
@@ -49,10 +50,11 @@
         self.handshake = handshake
         self.max_connections = max_connections
         self.open_count = 0
+        # `recovery.rate_limiter.DialRateLimiter`, None where the rate of dials is not limited
         self.dial_limiter = None
 
     def is_reachable(self, endpoint: InstanceEndpoint) -> bool:
-        """Whether one more forward finds an idle connection or may dial now."""
+        """Returns whether one more forward finds an idle connection or may dial now."""
         if self.dial_limiter is not None:
             self.expire_reservations(endpoint)
         return (
@@ -64,13 +66,13 @@
     def expire_reservations(self, endpoint: InstanceEndpoint) -> None:
         """Drops reservations of forwards that were cancelled before they acquired their connection.
 
-        Otherwise these connections would stay withheld from other forwards for ever.
+        Otherwise these connections would be withheld from other forwards until the process ends.
         """
         if self.loop.now() - endpoint.reserved_at > RESERVATION_TIME:
             endpoint.reserved = endpoint.reserved_dials = 0
 
     def idle_count(self, endpoint: InstanceEndpoint) -> int:
-        """How many connections `acquire` may reuse: idle for `rest_time`, but not for `idle_time`."""
+        """Returns how many connections `acquire` may reuse: idle for `rest_time`, but not for `idle_time`."""
         now = self.loop.now()
         return sum(
             self.limits.rest_time <= now - idle_since < self.limits.idle_time
@@ -93,7 +95,7 @@
             endpoint.reserved_dials += 1
 
     def may_dial(self, endpoint: InstanceEndpoint) -> bool:
-        """Whether this forward may dial; uses up a reserved dial, else a permit of the rate limiter.
+        """Returns whether this forward may dial; uses up a reserved dial, else a permit of the rate limiter.
 
         A forward whose reserved idle connection has closed meanwhile needs a permit of its own. Otherwise
         hundreds of forwards would redial at once when a zone resets its connections (thundering herd).
@@ -107,10 +109,8 @@
     def update(self, whole: bool, rows: list[tuple[dict, tuple[str, int]]]) -> None:
         """Applies the list; `rows`: (row as the decisions get it, address).
 
-        `whole`: absent instances are removed.
-
-        Idle connections to instances that restarted or left are closed.
-
+        `whole`: absent instances are removed. Idle connections to instances that restarted or left are
+        closed.
         """
         if whole:
             listed = {row["id"] for row, _ in rows}
@@ -230,7 +230,7 @@
         connection.abort() if reset else connection.close()
 
     def evict(self) -> bool:
-        """Closes the connection that has been idle the longest. False where none is idle."""
+        """Closes the connection that has been idle the longest. Returns False where none is idle."""
         endpoint = min((e for e in self.by_id.values() if e.idle), key=lambda e: e.idle[0][1], default=None)
         if endpoint is not None:
             self.close(endpoint, endpoint.idle.popleft()[0])
@@ -245,7 +245,7 @@
                     self.close(endpoint, endpoint.idle.popleft()[0])
 
     def counts(self) -> dict:
-        """Connections, state and build of each instance, for `/-/status`."""
+        """Returns connections, state and build of each instance, for `/-/status`."""
         return {
             id: {
                 "open": endpoint.open_count,
--- a/cobaltpond/gateway/forward_results.py
+++ b/cobaltpond/gateway/forward_results.py
@@ -1,12 +1,14 @@
 """Maps each way in which a forward can end to one `ForwardResult` of the decisions, with the reason.
 
 The mapping depends on whether the hit may have run at the instance. "unreachable", "full" and "moot" state
-that it has not run; all other results leave that open, and so does every doubtful case.
+that it has not run; all other results leave that open, and so does every doubtful case. "moot": the forward
+was not sent, since the hit's body is no longer buffered or the hit has its final answer. (The answer "moot"
+to a vote is another thing: the vote does not fit the desk's release state.)
 """
 
 from cobaltpond.wire.http1 import MessageHead
 
-# header field of a response by which an instance states that it has not run the hit
+# response header field by which an instance states that it has not run the hit
 NOT_RUN_FIELD = b"cobaltpond-not-run"
 
 # observation -> (result, reason)
@@ -42,7 +44,7 @@
     "cut while sending": ("unreachable", "the connection broke before the last byte of the hit was written"),
     "closed while idle": (
         "unreachable",
-        "an idle connection had closed before the first byte was written, " "and no new one was available",
+        "an idle connection had closed before the first byte was written, and no new one was available",
     ),
     "not listed": ("unreachable", "the instance is no longer in the list: nothing was dialled"),
     "refusal": ("full", "the instance states that it rejected the hit without running it"),
@@ -73,7 +75,7 @@
 
 
 def classify_response(head: MessageHead, refusals: tuple[int, ...]) -> str:
-    """The key of FORWARD_RESULTS for a complete response.
+    """Returns the key of FORWARD_RESULTS for a complete response.
 
     A refusal is a status that the settings list in `refusals`, or a response with the field
     `Cobaltpond-Not-Run`: nothing else promises that the hit did not run.
--- a/cobaltpond/gateway/frontend.py
+++ b/cobaltpond/gateway/frontend.py
@@ -25,6 +25,7 @@
     def __init__(self, loop, settings, host, log, status, members=None):
         self.loop, self.settings, self.host, self.log, self.status = loop, settings, host, log, status
         self.members = members
+        # `gateway.admission_limits.AdmissionLimits`, None where the settings have no limits
         self.admission_limits = None
         self.routes, self.clients, self.half_closed = Routes(settings), {}, {}
         self.draining, self.counts = False, {}
@@ -62,10 +63,11 @@
         self.sweeper = self.loop.spawn(self.sweep(), "door-sweep")
 
     def evict(self) -> bool:
-        """Frees a file handle for a client that waits in the backlog; False where none can be freed.
+        """Frees a file handle for a client that waits in the backlog; returns False where none can be freed.
 
-        Closes the client connection that has been idle the longest, else an idle connection to an instance.
-        Without this, hits would wait in the backlog past their client timeout.
+        Closes the first idle client connection in the order in which they were accepted, if it has been idle
+        for more than MIN_EVICTION_IDLE_US, else an idle connection to an instance. Without this, hits would
+        wait in the backlog past their client timeout.
         """
         idle = [
             client
--- a/cobaltpond/gateway/instance_list.py
+++ b/cobaltpond/gateway/instance_list.py
@@ -1,10 +1,10 @@
-"""Follows the list of instances, by a pushed stream or by polling, and keeps a copy of it on disk.
+"""Follows the list of instances, by a pushed stream or by polling, and stores it on disk.
 
 Each object of the list is `{"epoch", "revision", "base", "rows"}`. With `base` null it is the whole list,
-else a change to revision `base` of the same epoch. A change that does not apply to the stored list is a gap:
-the whole list is then requested. A row's `age_us` states how long the instance had been up when the row was
-written. Its start on this gateway's clock is computed once for each value of `start`, so that only a restart
-moves it.
+else a change to revision `base` of the same epoch. A change that does not apply to the received list is a
+gap: the whole list is then requested. A row's `age_us` states how long the instance had been up when the row
+was written. Its start on this gateway's clock is computed once for each value of `start`, so that only a
+restart moves it.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 
 class ListGapError(Exception):
-    """A change does not apply to the stored revision of the list."""
+    """A change does not apply to the received revision of the list."""
 
 
 class InstanceList:
@@ -89,7 +89,7 @@
         }, address
 
     def to_disk(self, now: int) -> bytes:
-        """The list as file content; its checksum detects a file that was written only in part."""
+        """Returns the list as file content; its checksum detects a file that was written only in part."""
         rows = [
             {**{k: v for k, v in entry.items() if k != "at"}, "age_us": entry["age_us"] + now - entry["at"]}
             for entry in self.rows.values()
@@ -100,7 +100,7 @@
         return b"%08x %s\n" % (zlib.crc32(body), body)
 
     def draining_tags(self) -> list[int]:
-        """The tags of the draining instances, as gateways identify instances to each other."""
+        """Returns the tags of the draining instances, as gateways identify instances to each other."""
         return [
             SampleMessage.instance_tag(id, entry["build"])
             for id, entry in self.rows.items()
@@ -118,9 +118,9 @@
 
 
 class InstanceListFollower:
-    """Receives the list, applies it to the endpoints and the decisions, and keeps the copy on disk.
+    """Receives the list, applies it to the endpoints and the decisions, and keeps the stored list on disk.
 
-    `gateway_settings`: this gateway's section; its `memory` is the path of the copy, empty for none.
+    `gateway_settings`: this gateway's section; its `memory` is the path of the stored list, empty for none.
     `has_received`: whether a list has been received since the start.
     """
 
@@ -130,12 +130,12 @@
         self.instance_list, self.has_received, self.needs_write = InstanceList(), False, False
         self.on_applied = lambda: None  # called after each object that was applied
         self.reconciler = ListReconciler(self.is_answering)
-        self.kept_list = {}
+        self.kept_list = {}  # the list restored from disk, empty once a list has been received
         self.backoff = Backoff(100_000, 3_000_000, loop.kernel.random_seed())
         self.counts = {"applied": 0, "gaps": 0, "errors": 0}
 
     def restore_kept_list(self) -> None:
-        """Applies the copy on disk. It may be out of date, so no change is applied on top of its revision."""
+        """Applies the stored list. It may be out of date, so no change is applied on top of its revision."""
         stored = (
             InstanceList.from_disk(self.loop.kernel.read_file(self.copy_path)) if self.copy_path else None
         )
@@ -180,7 +180,7 @@
             )
 
     def reconcile(self, message: dict) -> dict:
-        """Filters a whole list of another epoch than the current one, or than the one on disk.
+        """Filters a whole list of another epoch than the current one, or than the stored one.
 
         Rows that contradict what this gateway knows are replaced, see `ListReconciler`. A malformed object is
         returned unchanged; `InstanceList.apply` rejects it.
@@ -214,7 +214,7 @@
         return {**message, "rows": accepted_rows}
 
     def is_answering(self, id: str, now: int) -> bool:
-        """Whether the instance still answers, as far as this gateway knows.
+        """Returns whether the instance still answers, as far as this gateway knows.
 
         False while it is ejected, failing, or silent for ANSWER_VALID_US; true where it was never contacted.
         One that the decisions do not know counts as answering only until a list has been received.
@@ -244,7 +244,7 @@
                 )
 
     def request_target(self, whole: bool, stream: bool) -> str:
-        """The request target: for the whole list or what has changed, once or as a stream."""
+        """Returns the request target: for the whole list or what has changed, once or as a stream."""
         arguments = {"gateway": self.host.number}
         if stream:
             arguments["watch"] = 1
@@ -325,10 +325,10 @@
             self.host.post_event_first("on_list_error")
 
     def persist_list(self):
-        """Writes the copy at most once a second; runs until cancelled.
+        """Writes the stored list at most once a second; runs until cancelled.
 
-        The file is not synced, since the copy is only a hint: its checksum detects a file that was written in
-        part.
+        The file is not synced, since the stored list is only a hint: its checksum detects a file that was
+        written in part.
         """
         while True:
             yield Sleep(1_000_000)
--- a/cobaltpond/gateway/main.py
+++ b/cobaltpond/gateway/main.py
@@ -1,4 +1,6 @@
-"""The gateway process: wires its components, serves once list and news have arrived, stops in order."""
+"""The gateway process: wires its components, accepts clients once the list and a release state have arrived
+or a time limit has passed, and stops in order.
+"""
 
 from cobaltpond.decisions.records import RandomSource
 from cobaltpond.gateway.admission_limits import AdmissionLimits
@@ -19,10 +21,12 @@
 from cobaltpond.settings.sections import split_address
 
 REPLACED = 3  # exit code of a gateway that a newer process with the same number has replaced
-EVIDENCE_COLD_TIMES = (
-    3  # the window of the shared trial counts; a little more than the decisions keep their own
-)
-START_WAIT_DIAL_TIMES = 10  # how long the start waits for list and news before clients are accepted anyway
+# the window of the shared trial counts, in multiples of `cold_time`; a little more than that in which the
+# decisions keep their own evidence
+EVIDENCE_COLD_TIMES = 3
+# how long the start waits for the list and a release state before clients are accepted anyway, in multiples
+# of the dial time
+START_WAIT_DIAL_TIMES = 10
 
 
 class GatewayProcess:
@@ -95,7 +99,7 @@
         )
 
     def trial_counts(self) -> list[tuple]:
-        """Counts of the newest build and the one before it.
+        """Returns counts of the newest build and the one before it.
 
         One tuple per build and path group with hits: (build, index of the path group, hits, errored hits,
         microseconds since the last hit ended).
@@ -122,7 +126,7 @@
             self.host.post_event(name, *arguments)
 
     def describe_self(self) -> dict:
-        """The facts that this gateway sends to the others about itself."""
+        """Returns the facts that this gateway sends to the others about itself."""
         ready = hasattr(self.frontend, "listener") and not self.frontend.draining
         settled = self.recovery is not None and self.recovery.phase_machine.phase == SETTLED and ready
         return {
@@ -133,7 +137,7 @@
         }
 
     def status(self) -> dict:
-        """The content of `/-/status`."""
+        """Returns the content of `/-/status`."""
         last_news = self.desk_client.last
         return {
             "gateway": self.number,
@@ -164,7 +168,7 @@
         }
 
     def run(self):
-        """The main task: starts all others, serves until asked to stop, returns the exit code."""
+        """Runs the main task: starts all others, serves until asked to stop, returns the exit code."""
         loop, push = self.loop, self.settings.listing.by == "push"
         if self.decisions is None:
             self.host.start_decisions()
@@ -197,8 +201,8 @@
             and not self.stop_asked
         ):
             yield Sleep(5_000)
-        # Without news every build counts as on trial. Without a list no hit can be forwarded: hits are
-        # bounced.
+        # Without a release state every build counts as on trial. Without a list no hit can be forwarded: hits
+        # are rejected.
         self.log.info(
             "door open",
             door=self.gateway_settings.door,
--- a/cobaltpond/gateway/peers.py
+++ b/cobaltpond/gateway/peers.py
@@ -4,8 +4,8 @@
 
 from cobaltpond.loop import Readable
 
-# the header's struct format (magic, number of the sender, length of the payload); the magic of a decision's
-# message
+# `HEADER_FORMAT`: struct format of the header (magic, number of the sender, length of the payload). `MAGIC`:
+# the magic of a message of the decisions.
 HEADER_FORMAT, MAGIC = ">2sHH", b"cp"
 MEMBERSHIP_MAGIC = b"cm"  # the magic of membership datagrams, which are accepted only where membership runs
 MAX_DATAGRAM_BYTES = 256  # header included
@@ -24,10 +24,12 @@
         self.handle = loop.kernel.open_datagrams(listen)
         self.number = number
         self.counts = {"heard": 0, "odd": 0}
-        self.on_membership = None
+        self.on_membership = None  # called with (number of the sender, payload)
 
     def send_to(self, peer: int | None, data: bytes) -> bool:
-        """Sends to one gateway, or to all others where `peer` is None. False where nothing was sent."""
+        """Sends to one gateway, or to all others where `peer` is None. Returns False where nothing
+        was sent.
+        """
         packet = self.encode(MAGIC, data)
         if len(packet) > MAX_DATAGRAM_BYTES:
             return False
@@ -37,19 +39,19 @@
         return any([self.handle.send(packet, self.addresses[n]) for n in recipients if n in self.addresses])
 
     def send_membership(self, peer: int, data: bytes) -> bool:
-        """Sends one membership datagram. False where the peer is unknown or nothing was sent."""
+        """Sends one membership datagram. Returns False where the peer is unknown or nothing was sent."""
         return peer in self.addresses and self.handle.send(
             self.encode(MEMBERSHIP_MAGIC, data), self.addresses[peer]
         )
 
     def encode(self, magic: bytes, data: bytes) -> bytes:
-        """A datagram with this gateway as its sender."""
+        """Encodes a datagram with this gateway as its sender."""
         return struct.pack(HEADER_FORMAT, magic, self.number, len(data)) + data
 
     def listen(self):
         """Receives datagrams until cancelled.
 
-        One that is not from a configured gateway is counted and dropped.
+        One that is malformed, or not from a configured gateway, is counted and dropped.
         """
         header_size = struct.calcsize(HEADER_FORMAT)
         while True:
--- a/cobaltpond/gateway/responses.py
+++ b/cobaltpond/gateway/responses.py
@@ -1,7 +1,7 @@
 """Encodes the responses that the gateway itself originates (problem bodies: RFC 9457).
 
-A bounce states that a retry is harmless: member `retry_harmless` and field `Cobaltpond-Retry: harmless`. An
-error response promises nothing, whatever is sent again.
+A rejection states that a retry is harmless: member `retry_harmless` and field `Cobaltpond-Retry: harmless`.
+An error response makes no such promise.
 """
 
 import json
@@ -14,7 +14,7 @@
 def problem_response(
     status: int, kind: str, title: str, hit: str | None, more: dict, fields: list, keep_alive: bool
 ) -> bytes:
-    """A response with a problem body. `hit` is None where no hit was accepted.
+    """Encodes a response with a problem body. `hit` is None where no hit was accepted.
 
     `more`: further body members.
     """
@@ -27,7 +27,7 @@
 
 
 def harmless_retry(retry_after: int) -> tuple[list, dict]:
-    """Header fields and body members that promise a harmless retry.
+    """Returns header fields and body members that promise a harmless retry.
 
     `retry_after` in microseconds; 0 leaves the advice out.
     """
@@ -40,7 +40,7 @@
 
 
 def bounce_response(hit: str, retry_after: int, over_share: bool, keep_alive: bool) -> bytes:
-    """A rejection by the decisions: 429 where the customer exceeds its share, else 503.
+    """Encodes a rejection: 429 where the customer exceeds its share, else 503.
 
     `retry_after` in microseconds; the Retry-After field itself counts whole seconds (RFC 9110, 10.2.3).
     """
@@ -53,7 +53,7 @@
 
 
 def over_limit_response(limit: str, retry_after: int, keep_alive: bool) -> bytes:
-    """The 429 for a request that a configured limit rejects before a hit exists.
+    """Encodes the 429 for a request that a configured limit rejects before a hit exists.
 
     `retry_after` in microseconds.
     """
@@ -64,12 +64,14 @@
 
 
 def failure_response(hit: str, late: bool, keep_alive: bool) -> bytes:
-    """504 where the hit is `late`, else 502. The hit may have run."""
+    """Encodes a 504 where the hit is `late`, else a 502. The hit may have run."""
     if late:
         return problem_response(504, "late", "No answer in time; it may have run", hit, {}, [], keep_alive)
     return problem_response(502, "errored", "It failed; it may have run", hit, {}, [], keep_alive)
 
 
 def invalid_request_response(status: int, text: str) -> bytes:
-    """The answer to a malformed or unroutable request, which never becomes a hit; the connection closes."""
+    """Encodes the answer to a malformed or unroutable request, which never becomes a hit; the connection
+    closes.
+    """
     return problem_response(status, "unfit", text, None, {}, [], False)
--- a/cobaltpond/gateway/routes.py
+++ b/cobaltpond/gateway/routes.py
@@ -43,7 +43,7 @@
                 self.exact.setdefault((route.method, route.path.encode()), (order, self.groups[route.group]))
 
     def group_of(self, method: str, target: bytes) -> PathGroupSettings:
-        """The path group of the first route in the settings that matches.
+        """Returns the path group of the first route in the settings that matches.
 
         Raises HttpMessageError: 405 where a route matches the path with another method, else 404.
         """
@@ -83,7 +83,7 @@
 
     @staticmethod
     def read_milliseconds(head: MessageHead, name: str, default: int) -> int:
-        """A header field with whole milliseconds, in microseconds; `default` where it is absent.
+        """Returns a header field with whole milliseconds, in microseconds; `default` where it is absent.
 
         Raises HttpMessageError (400) on anything but 1 to 9 digits.
         """
@@ -96,5 +96,5 @@
 
 
 def hash_key(key: bytes) -> int:
-    """A number below 2^53 that stands for the key; every gateway computes the same one."""
+    """Returns a number below 2^53 that stands for the key; every gateway computes the same one."""
     return int.from_bytes(hashlib.blake2b(key, digest_size=8).digest(), "big") >> 11
