--- a/cobaltpond/edge/client_connection.py
+++ b/cobaltpond/edge/client_connection.py
@@ -46,7 +46,8 @@
                 break
 
     def is_quiet(self) -> bool:
-        """Whether every byte of the client has been answered, including bytes still unread in the socket.
+        """Returns whether every byte of the client has been answered, including bytes still unread in the
+        socket.
 
         Unread bytes are read now. Otherwise a close could cross a request in flight, which would be lost or
         discarded after we have closed our side.
@@ -81,7 +82,7 @@
             self.connection.abort()
 
     def write_rest(self):
-        """Task that writes the buffered bytes."""
+        """Writes the buffered bytes; the body of a task."""
         try:
             while self.unsent:
                 sent = self.connection.write_now(self.unsent)
@@ -123,7 +124,7 @@
         self.half_close()
 
     def abandon_open_hit(self) -> None:
-        """Gives up the open hit, if there is one: its client has left."""
+        """Cancels the open hit, if there is one: its client disconnected or is being refused."""
         hit, self.hit = self.hit, None
         if hit is not None:
             self.frontend.abandon_hit(hit)
@@ -148,7 +149,7 @@
             self.half_close()
 
     def handle_query(self, text: bytes) -> None:
-        """Handles one simple query: answers it, refuses it, or opens a hit for it."""
+        """Handles one simple query: answers it, rejects it, or opens a hit for it."""
         frontend = self.frontend
         self.has_asked = True
         if not text.strip(b" \t\r\n;"):
@@ -196,7 +197,7 @@
         )
 
     def finish_query(self) -> None:
-        """The open hit has its final response: handles the next commands in order."""
+        """Handles the next commands in order, after the open hit has got its final response."""
         self.hit = None
         while self.queued_commands and self.hit is None and self.closing_since is None:
             self.handle_query(self.queued_commands.pop(0))
@@ -222,7 +223,7 @@
         self.answer("delivered", value + pg.READY_FOR_QUERY)
 
     def reject(self, retry_after: int) -> None:
-        """Refuses the hit. `retry_after` in microseconds; 0 gives no advice."""
+        """Rejects the hit. `retry_after` in microseconds; 0 gives no advice."""
         detail = str(-(-retry_after // 1000)) if retry_after else None
         self.answer("bounced", pg.error_response("53300", "not taken on now", detail) + pg.READY_FOR_QUERY)
 
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -10,7 +10,11 @@
 WATCH_TIME_US = 2_000_000  # how long a watch may wait for a change
 RESPONSE_TIMEOUT_US = 1_000_000  # for a response that doesn't wait for a change
 EMPTY_RESPONSE_PAUSE_US = 50_000  # after an early response without a change
-# Both are shorter than the grace period that the rules allow before an announced change counts.
+# Both are shorter than the grace period that the rules allow before an announced change counts. While the
+# whole list is requested, a further request is sent every HEDGE_INTERVAL_US until one ends. A working agent
+# runs on this machine and answers at once. An agent that was silent never answers the requests of that time,
+# and whatever it has when it returns counts as announced at once, so waiting for an old request would leave a
+# stale list.
 HEDGE_INTERVAL_US, MAX_RETRY_DELAY_US = 100_000, 100_000
 HOSTS_PATH = "/discovery/hosts"
 # A source that reports only old versions for this long has lost its state. Whatever it was late with counts
@@ -77,11 +81,13 @@
 
 
 class Discovery:
-    """Keeps the instance list of the gateway up to date, for ever."""
+    """Keeps the instance list of the gateway up to date."""
 
     def __init__(self, loop, host, address, log, reports_every_response: bool):
-        """`reports_every_response`: the decisions poll the list, so they are told of responses without a
-        change too.
+        """Takes the host that receives the list and the address of the source.
+
+        `reports_every_response`: the decisions poll the list, so responses without a change are reported to
+        them too.
         """
         self.loop = loop
         self.host = host
@@ -110,7 +116,7 @@
         return int(response["seq"])
 
     def restore(self, known_list: dict | None) -> None:
-        """Restores the list that this gateway stored last; None does nothing.
+        """Restores the stored list; None does nothing.
 
         It may be stale, so its version is not used.
         """
@@ -130,7 +136,7 @@
         self.source_switch.start(self.follow(address))
 
     def follow(self, address):
-        """Follows one source for ever.
+        """Follows one source until cancelled.
 
         After an error, an invalid response or an old version the whole list is fetched again. Each source is
         asked by the version that it reported itself (None: for the whole list), so that its changes apply on
@@ -170,8 +176,8 @@
                 ):
                     # There is no change, although the watch had time to wait for one: fetch the whole list
                     # after a pause shorter than the gap that is allowed between two calls. Without this a
-                    # source that repeats an old version is polled in a busy loop, and the stale list stays
-                    # for ever.
+                    # source that repeats an old version is polled in a busy loop, and the stale list is
+                    # never replaced.
                     version = None
                     yield Sleep(EMPTY_RESPONSE_PAUSE_US)
                 if previous is not None:  # a whole list alone doesn't prove that watches work again
@@ -185,12 +191,9 @@
                 yield Sleep(backoff.next_delay())
 
     def whole_list(self, address):
-        """Fetches the whole list and returns (status, body).
+        """Fetches the whole list with hedged requests and returns (status, body).
 
-        A further request is sent every HEDGE_INTERVAL_US until one ends; the first one to end decides, and
-        its error is raised. A working agent runs on this machine and answers at once. An agent that was
-        silent never answers the requests of that time, and whatever it has when it returns counts as
-        announced at once, so waiting for an old request would leave a stale list.
+        The first request to end decides, and its error is raised.
         """
         responses, tasks = Queue(2 * RESPONSE_TIMEOUT_US // HEDGE_INTERVAL_US), []
 
--- a/cobaltpond/edge/forwards.py
+++ b/cobaltpond/edge/forwards.py
@@ -14,7 +14,7 @@
 USER, DATABASE = "web", "orders"
 REFUSAL_CODES = ("53300",)  # SQLSTATEs by which an instance promises that the hit did not run
 SHOW_TAG = b"SHOW\0"  # command tag of the response to a probe
-DRAINING_CODES = ("57P03",)  # SQLSTATEs by which a draining instance answers a probe
+DRAINING_CODES = ("57P03",)  # SQLSTATEs by which a draining instance answers; the hit did not run either
 
 
 def handshake(connection):
@@ -50,8 +50,8 @@
     def run_forward(
         self, hit, number: int, endpoint: InstanceEndpoint, timeout: int, send_within: int | None, on_result
     ):
-        """Task of one forward. Times in microseconds; `send_within` None: no limit on when the statement is
-        written.
+        """Runs one forward; the body of a task. Times in microseconds; `send_within` None: no limit on when
+        the statement is written.
 
         `on_result(outcome, duration, hit_closed, report)` is called exactly once, also where the task is
         cancelled.
@@ -62,7 +62,7 @@
         yield from attempt.run(lambda: not hit.final, hit.deliver, on_result)
 
     def run_probe(self, endpoint: InstanceEndpoint, on_result):
-        """Task of one probe, a cheap query to an instance.
+        """Runs one probe, a cheap query to an instance; the body of a task.
 
         Calls `on_result(outcome, duration, report)` once.
         """
--- a/cobaltpond/edge/frontend.py
+++ b/cobaltpond/edge/frontend.py
@@ -10,7 +10,7 @@
 SILENT_CLIENT_TIMEOUT_US = 2_200_000  # closes a connection without a command; clients may expect 3 s
 # no eviction before this: a client that means to send a command has sent it by then
 NEW_CONNECTION_GRACE_US = 150_000
-IDLE_TIMEOUT_US = 2_000_000  # an idle connection may be closed after this
+IDLE_TIMEOUT_US = 2_000_000  # an idle connection may be closed after this, above half of the limit
 IDLE_TIMEOUT_WHEN_FULL_US = 300_000  # or after this where a new connection would have to wait
 # how long and how many bytes are read after we have closed our side
 CLOSE_TIMEOUT_US, MAX_DISCARDED_BYTES = 500_000, 256 << 10
@@ -24,8 +24,10 @@
     """Accepts client connections and limits what they may hold."""
 
     def __init__(self, loop, host, policy_settings: dict, connection_limit, max_connections: int, log):
-        """`connection_limit()` gives the current maximum of client connections, `max_connections` the highest
-        one.
+        """Takes the limits on connections.
+
+        `connection_limit()` returns the current maximum of client connections, `max_connections` is the
+        highest one.
         """
         self.loop = loop
         self.host = host
@@ -44,18 +46,18 @@
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def time_remaining(self) -> int:
-        """Microseconds in which a response can still be sent."""
+        """Returns the microseconds in which a response can still be sent."""
         return UNLIMITED_US if self.answer_deadline is None else self.answer_deadline - self.loop.now()
 
     def hit_ended(self, hit: PgHit) -> None:
-        """Called once by each hit when it becomes final."""
+        """Handles the end of a hit; called once by each hit, when it becomes final."""
         self.count(hit.outcome)
         self.open_ids.pop(hit.statement.id, None)
         self.host.hit_ended(hit)
 
     def abandon_hit(self, hit: PgHit) -> None:
-        """Ends a hit whose client has left, and cancels its forwards where that is allowed: nobody waits for
-        them.
+        """Ends a hit whose client has disconnected, and cancels its forwards where that is allowed, as nobody
+        waits for them.
         """
         if hit.final:
             return
@@ -85,10 +87,11 @@
     def evict(self) -> bool:
         """Makes room for a new connection; returns whether there is some.
 
-        Connections without a command go first, then the one that has been idle longest. Otherwise clients
-        that connect and send nothing, or send one command and stay, would exhaust the descriptors. A
-        connection without a command is told of the refusal: a new connection that is closed silently counts
-        as a request that was refused or lost.
+        Closes the first connection, beginning with the one that has been idle longest, that has sent no
+        command for NEW_CONNECTION_GRACE_US or has been idle for IDLE_TIMEOUT_WHEN_FULL_US; if there is none,
+        an idle connection to an instance. Otherwise clients that connect and send nothing, or send one
+        command and stay, would exhaust the descriptors. A connection without a command gets an error
+        response: a new connection that is closed silently counts as a request that was refused or lost.
         """
         now, turned_away = self.loop.now(), False
         for client in list(self.clients):
@@ -108,13 +111,12 @@
                 if client.parser.has_partial and client.last_active < now and not turned_away:
                     self.count("evicted")
                     turned_away = True
-                    client.refuse_connection(
-                        TOO_MANY_CONNECTIONS
-                    )  # its descriptor is free once the client has closed, or soon after
+                    # the descriptor is free once the client has closed, or soon after
+                    client.refuse_connection(TOO_MANY_CONNECTIONS)
         return len(self.clients) < self.max_connections and self.host.endpoints.evict()
 
     def serve_client(self, connection):
-        """Task of one connection; its read notices a client that hangs up."""
+        """Serves one connection; the body of a task. Its read notices a client that disconnects."""
         client = ClientConnection(self, connection)
         self.clients[client] = True
         try:
@@ -138,7 +140,7 @@
                 client.writer.cancel()
 
     def sweep(self):
-        """Task without end that closes silent, half-sent and lingering connections."""
+        """Closes silent, half-sent and lingering connections. Runs until cancelled."""
         while True:
             yield Sleep(SWEEP_INTERVAL_US)
             self.sweep_once()
@@ -171,8 +173,8 @@
     def half_close_idle(self, idle_time: int) -> None:
         """Closes connections that have had no open request for `idle_time` microseconds.
 
-        Clients keep sending on every connection that stays open, also on one that was accepted from the
-        backlog last, until the process ends. A client in the middle of a request may finish it.
+        Clients reuse an open connection, also one that was accepted from the backlog last, until the process
+        ends, so idle ones are closed first; a request in progress may finish.
         """
         now = self.loop.now()
         for client in list(self.clients):
--- a/cobaltpond/edge/log.py
+++ b/cobaltpond/edge/log.py
@@ -1,6 +1,7 @@
 """Structured log: one JSON object per line.
 
-It uses the standard library only, because `run` has little memory and a fraction of a core.
+It uses the standard library only, because the platform gives the process little memory and a fraction of a
+core.
 """
 
 import json
@@ -17,7 +18,7 @@
     """
 
     def __init__(self, sink, component: str, wall_clock):
-        """`sink` is a text file; `wall_clock()` gives microseconds since 1970."""
+        """Takes a text file as `sink`; `wall_clock()` returns microseconds since 1970."""
         self.sink, self.component, self.wall_clock = sink, component, wall_clock
         self.current_second, self.lines_this_second, self.dropped_lines = 0, 0, 0
 
--- a/cobaltpond/edge/main.py
+++ b/cobaltpond/edge/main.py
@@ -67,7 +67,7 @@
         loop.on_timer_lag = self.record_timer_lag
 
     def client_connection_limit(self) -> int:
-        """Current maximum of client connections.
+        """Returns the current maximum of client connections.
 
         Clients and instances share the file descriptors, each up to its part; see
         `instance_connection_limit`.
@@ -77,7 +77,7 @@
         )
 
     def instance_connection_limit(self) -> int:
-        """Current maximum of connections to instances."""
+        """Returns the current maximum of connections to instances."""
         return min(
             self.config.instance_connection_limit, self.config.connection_limit - len(self.frontend.clients)
         )
@@ -87,7 +87,7 @@
         self.max_timer_lag = max(self.max_timer_lag, lag)
 
     def is_current(self, endpoint, since: int) -> bool:
-        """Says whether the state on which a decision at `since` was based still holds.
+        """Returns whether the state on which a decision at `since` was based still holds.
 
         The instance must be listed (another start or build is another endpoint) and up, and its build's
         exposure cap must not have fallen since.
@@ -97,7 +97,7 @@
         return is_listed and self.platform.cap_lowered_at.get(row["build"], -1) < since
 
     def run(self):
-        """Main task: serves until a signal, then drains."""
+        """Runs the main task: serves until a signal, then drains."""
         loop, config = self.loop, self.config
         self.host.start_decisions(seed=config.seed)
         self.discovery.restore(config.known_list)
@@ -168,7 +168,7 @@
             return
 
     def log_stats(self):
-        """Task that logs the counters at an interval."""
+        """Logs the counters at an interval. Runs until cancelled."""
         while True:
             yield Sleep(FIGURES_INTERVAL_US)
             lag, self.max_timer_lag = self.max_timer_lag, 0
--- a/cobaltpond/edge/platform.py
+++ b/cobaltpond/edge/platform.py
@@ -1,4 +1,4 @@
-"""Client of the platform's release desk: casts votes and follows the feed of release states and disputes."""
+"""Client of the platform's release desk: sends votes and follows the feed of release states and disputes."""
 
 import json
 
@@ -13,7 +13,8 @@
 BALLOTS_PATH, FEED_PATH = "/v2/projects/main/ballots", "/v2/projects/main/feed"
 FEED_SILENCE_TIMEOUT_US = 3_000_000  # the feed sends at least an empty object each second
 PHASE_ORDER = ("trial", "released", "going back", "withdrawn")
-# Number of builds whose last drop of the cap is remembered; a forward dials for about a second.
+# Number of builds, beside the latest, whose last drop of the cap is remembered; a forward dials for about a
+# second.
 MAX_LOWERED_BUILDS = 7
 STATE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
@@ -33,12 +34,12 @@
 
 
 def release_progress(state: tuple) -> tuple:
-    """Sort key of a release's progress: build, phase, stage."""
+    """Returns the sort key of a release's progress: build, phase, stage."""
     return state[0], PHASE_ORDER.index(state[2]), state[1]
 
 
 class PlatformDesk:
-    """Keeps the decisions informed of the newest release state, and casts their votes."""
+    """Keeps the decisions informed of the newest release state, and sends their votes."""
 
     def __init__(self, loop, host, address, vote_wait: int, dial_time: int, log):
         self.loop, self.host, self.address, self.log = loop, host, address, log
@@ -113,13 +114,13 @@
     def start(self, address) -> None:
         """Uses this address for feed and votes from now on.
 
-        The feed before ends once the new one has sent something.
+        The previous feed ends once the new one has sent something.
         """
         self.address = address
         self.source_switch.start(self.follow(address))
 
     def follow(self, address):
-        """Follows the feed for ever."""
+        """Follows the feed until cancelled."""
 
         def on_objects(objects):
             if not self.source_switch.is_replaced:  # reports that come from two feeds must not count twice
@@ -142,9 +143,9 @@
         )
 
     def cast_vote(self, build, stage, verdict):
-        """Casts one vote and reports exactly one result to the decisions.
+        """Sends one vote and reports exactly one result to the decisions.
 
-        It is ok, moot, full, error (the vote did not count) or timeout (it may have counted).
+        The result is ok, moot, full, error (the vote did not count) or timeout (it may have counted).
         """
         answer = "timeout"
         body = json.dumps(
--- a/cobaltpond/edge/source_switch.py
+++ b/cobaltpond/edge/source_switch.py
@@ -13,8 +13,8 @@
 
     @property
     def is_replaced(self) -> bool:
-        """Whether a newer source has answered in this turn of the loop; what the calling task got is then too
-        late.
+        """Whether the calling task has been replaced, as a newer source has answered. What the task received
+        in this turn of the loop comes too late then.
         """
         return self.loop.current not in self.tasks
 
@@ -22,7 +22,7 @@
         """Ends all tasks that were started before the calling one.
 
         This holds also where the address changes a second time before the first new source has answered:
-        otherwise the oldest task would follow a dead address for ever.
+        otherwise the oldest task would go on following a dead address.
         """
         while not self.is_replaced and self.tasks[0] is not self.loop.current:
             self.tasks.pop(0).cancel()
