--- a/cobaltpond/benchlink/adapter.py
+++ b/cobaltpond/benchlink/adapter.py
@@ -1,7 +1,7 @@
 """Runs the decisions of gateways on batches of JSON lines.
 
 Each batch of events ends with END and gets one reply: the actions of the gateways, one a line, and an END.
-Times on the wire are milliseconds.
+Times in the messages are milliseconds.
 """
 
 import base64
@@ -73,7 +73,7 @@
         self.emit("TEST", instance=instance)
 
     def cast_vote(self, build, stage, verdict):
-        """Casts a vote."""
+        """Sends a vote."""
         self.emit("SAY_SO", edition=build, tranche=stage, code=VERDICTS[verdict])
 
     def fetch_list(self):
@@ -94,7 +94,7 @@
 
 
 def list_row(entry: dict) -> dict:
-    """A row of the instance list in the names and units of the decisions."""
+    """Returns a row of the instance list in the names and units of the decisions."""
     started = entry.get("upSince")
     return {
         "id": entry["instance"],
--- a/cobaltpond/benchlink/policy_settings.py
+++ b/cobaltpond/benchlink/policy_settings.py
@@ -85,12 +85,12 @@
 
 
 def milliseconds_to_us(milliseconds: float) -> int:
-    """Whole microseconds."""
+    """Converts milliseconds to whole microseconds."""
     return round(milliseconds * 1000)
 
 
 def read_fields(wire: dict, table: list) -> dict:
-    """The fields of the table that the message has, converted; the others are left out."""
+    """Returns the fields of the table that the message has, converted; the others are left out."""
     found = {}
     for name, path, is_time in table:
         value = wire
@@ -103,7 +103,7 @@
 
 
 def policy_settings(setup: dict) -> dict:
-    """The policy settings (`interface.PolicySettings`) for the "setup" object of a start message."""
+    """Returns the policy settings (`interface.PolicySettings`) for the "setup" object of a start message."""
     settings = read_fields(setup, SETTINGS_FIELDS)
     settings["path_groups"] = [
         read_fields(group, PATH_GROUP_FIELDS) for group in setup.get("categories") or []
--- a/cobaltpond/wire/http1.py
+++ b/cobaltpond/wire/http1.py
@@ -69,11 +69,11 @@
     keep_alive: bool = True
 
     def get(self, name: bytes) -> bytes | None:
-        """The first value of a field; None where it is missing."""
+        """Returns the first value of a field; None where it is missing."""
         return next((value for known, value in self.fields if known == name), None)
 
     def all(self, name: bytes) -> list[bytes]:
-        """All values of a field in order; empty where it is missing."""
+        """Returns all values of a field in order; empty where it is missing."""
         return [value for known, value in self.fields if known == name]
 
 
@@ -156,18 +156,19 @@
         self.parser, self.url = httptools.HttpRequestParser(self), b""
 
     def on_message_begin(self):
-        """Callback of llhttp: a message begins."""
+        """Starts a new head and clears the target; called by llhttp."""
         super().on_message_begin()
         self.url = b""
 
     def on_url(self, url):
-        """Callback of llhttp: a piece of the target."""
+        """Appends a piece of the target, up to the limit; called by llhttp."""
         self.url += url
         if len(self.url) > self.limits.target:
             raise HttpMessageError(414, f"a target of more than {self.limits.target} bytes")
 
     def on_headers_complete(self):
-        """Callback of llhttp: the head is complete.
+        """Stores method, target and version in the head, checks it and adds the "head" event; called by
+        llhttp.
 
         Raises HttpMessageError on what the RFC or the limits forbid.
         """
@@ -199,7 +200,9 @@
         self.parser, self.no_body, self.until_close = httptools.HttpResponseParser(self), no_body, False
 
     def on_headers_complete(self):
-        """Callback of llhttp: the head is complete."""
+        """Stores status and version in the head and adds the "head" event, except for interim responses;
+        called by llhttp.
+        """
         head, self.in_head, self.trailers = self.head, False, True
         head.status, head.version = self.parser.get_status_code(), self.parser.get_http_version()
         head.keep_alive = self.parser.should_keep_alive()
@@ -215,7 +218,10 @@
                 super().on_message_complete()
 
     def on_message_complete(self):
-        """Callback of llhttp: the message is complete."""
+        """Adds the "end" event, except after an interim response; called by llhttp.
+
+        For a response to HEAD the event was added with its head.
+        """
         if self.no_body and self.head.status >= 200:
             return
         if self.head.status >= 200:
@@ -282,7 +288,7 @@
 
 
 def end_to_end_fields(fields: list, also: frozenset | set = frozenset()) -> list:
-    """Fields without the hop-by-hop ones (RFC 9110, 7.6.1) and without those named in `also`."""
+    """Returns the fields without the hop-by-hop ones (RFC 9110, 7.6.1) and without those named in `also`."""
     named = {
         name.strip().lower()
         for known, value in fields
--- a/cobaltpond/wire/pg.py
+++ b/cobaltpond/wire/pg.py
@@ -1,9 +1,9 @@
-"""PostgreSQL's frontend/backend protocol, version 3, simple queries only: both sides, bytes in, events out,
-no I/O.
+"""PostgreSQL's frontend/backend protocol, version 3, simple queries only: both sides, bytes in, events out.
 
-Written from chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. Lengths are checked before
-anything is buffered: a message that can't be acceptable ends the connection at its fifth byte. psycopg and
-similar libraries don't fit: they are clients with their own sockets and lack the server side.
+The module does no I/O. It is written from chapter "Frontend/Backend Protocol" of PostgreSQL's documentation.
+Lengths are checked before anything is buffered: a message that can't be acceptable ends the connection at its
+fifth byte. psycopg and similar libraries don't fit: they are clients with their own sockets and lack the
+server side.
 """
 
 import math
@@ -240,9 +240,10 @@
             self.is_clean = False
 
     def message_length(self, data, offset, size) -> int | None:
-        """Length of the message at `offset`, its own four bytes included; None while it is unknown.
+        """Returns the length of the message at `offset`, its own four bytes included; None while it is
+        unknown.
 
-        It is checked before the rest has arrived. Raises PgProtocolError.
+        The length is checked before the rest has arrived. Raises PgProtocolError.
         """
         if data[offset] not in b"RSKZNTDCEI":
             raise PgProtocolError("08P01", f"no message begins with {data[offset]:#x}")
@@ -293,7 +294,7 @@
 
 
 def parse_error(body: bytes) -> tuple[str, str]:
-    """SQLSTATE and message (at most 200 characters) of an ErrorResponse.
+    """Parses an ErrorResponse. Returns (SQLSTATE, message of at most 200 characters).
 
     Raises PgProtocolError without a SQLSTATE.
     """
--- a/cobaltpond/wire/statement.py
+++ b/cobaltpond/wire/statement.py
@@ -48,7 +48,7 @@
         self.head, self.tail = text[: match.start(6)], text[match.end(6) :]
 
     def with_time_left(self, milliseconds: int) -> bytes:
-        """The statement with the client's time limit replaced by `milliseconds`, for which this gateway
-        waits.
+        """Returns the statement with the client's time limit replaced by `milliseconds`, for which this
+        gateway waits.
         """
         return b"%b%d%b" % (self.head, milliseconds, self.tail)
