--- a/bench/town.py
+++ b/bench/town.py
@@ -32,10 +32,8 @@
 
 
 def kills(loop, arguments):
-    random_source, totals = (
-        seeded_random(arguments.seed),
-        {"kills": 0, "releases": 0, "back": 0, "repeats": 0, "orphans": 0},
-    )
+    random_source = seeded_random(arguments.seed)
+    totals = {"kills": 0, "releases": 0, "back": 0, "repeats": 0, "orphans": 0}
     cluster = HostCluster(
         loop, tempfile.mkdtemp(prefix="cobaltpond-town-"), arguments.hosts, arguments.layout
     )
--- a/cobaltpond/agent/states.py
+++ b/cobaltpond/agent/states.py
@@ -5,18 +5,16 @@
 any state: the step in progress is not awaited, and its later result is an event that the new state ignores.
 """
 
-ABSENT, FETCHING, CHECKING, HELD, STARTING, UP, DRAINING, STOPPING, RESTING, FAILED = (
-    "absent",
-    "fetching",
-    "checking",
-    "held",
-    "starting",
-    "up",
-    "draining",
-    "stopping",
-    "resting",
-    "failed",
-)
+ABSENT = "absent"
+FETCHING = "fetching"
+CHECKING = "checking"
+HELD = "held"
+STARTING = "starting"
+UP = "up"
+DRAINING = "draining"
+STOPPING = "stopping"
+RESTING = "resting"
+FAILED = "failed"
 STATES = (ABSENT, FETCHING, CHECKING, HELD, STARTING, UP, DRAINING, STOPPING, RESTING, FAILED)
 DESIRED_STATES = ("run", "keep", "gone")
 EVENTS = (
--- a/cobaltpond/audit/check.py
+++ b/cobaltpond/audit/check.py
@@ -27,11 +27,9 @@
     `rule_settings` is a map of policy settings with `tip_time`, `overload_factor` and `answer_slack` under
     "rules". `tolerance` is smaller where the recorded times are exact, see `sim/wire_observer.py`.
     """
-    findings, lifetimes, rule_settings = (
-        Findings(),
-        ProcessLifetimes(actions, tolerance),
-        {**rule_settings, "tolerance": tolerance},
-    )
+    findings = Findings()
+    lifetimes = ProcessLifetimes(actions, tolerance)
+    rule_settings = {**rule_settings, "tolerance": tolerance}
     answers = {(event["op"], event["number"]): event for event in client_records if event["kind"] == "answer"}
     arrivals = [
         event
@@ -60,10 +58,8 @@
             )
         if attempt["kind"] != "try":
             continue
-        answer, name = (
-            answers.get((attempt["op"], attempt["number"])),
-            f"hit {attempt['op']} try {attempt['number']} at {attempt['gateway']}",
-        )
+        answer = answers.get((attempt["op"], attempt["number"]))
+        name = f"hit {attempt['op']} try {attempt['number']} at {attempt['gateway']}"
         deadline = attempt["sent"] + attempt["left"] + slack
         if answer is None:
             findings.record(
@@ -139,10 +135,8 @@
             )
             findings.record(rule, not overlapping, f"hit {hit}: two forwards at once")
         if group["kind"] != "repeatable" and may_have_run:
-            first, later_forwards = (
-                may_have_run[0],
-                [event for event in rows if event["forward"] > may_have_run[0]["forward"]],
-            )
+            first = may_have_run[0]
+            later_forwards = [event for event in rows if event["forward"] > may_have_run[0]["forward"]]
             for event in later_forwards:
                 if group["kind"] == "mutating":
                     findings.record(rule, False, f"mutating hit {hit}: sent again after it may have run")
@@ -227,11 +221,9 @@
 
 def check_cold_instances(findings, instance_records, rule_settings):
     """Checks that no cold instance gets more work than the overload factor allows."""
-    rule, tip, factor = (
-        RULES[3],
-        rule_settings["rules"]["tip_time"],
-        rule_settings["rules"]["overload_factor"],
-    )
+    rule = RULES[3]
+    tip = rule_settings["rules"]["tip_time"]
+    factor = rule_settings["rules"]["overload_factor"]
     cold_starts = {
         (event["instance"], event["start"]): event
         for event in instance_records
--- a/cobaltpond/audit/exposure.py
+++ b/cobaltpond/audit/exposure.py
@@ -23,11 +23,9 @@
     """
 
     def __init__(self, rows, rule_settings):
-        self.rows, self.settings, self.tolerance = (
-            sorted(rows, key=lambda r: r[0]),
-            rule_settings,
-            rule_settings["tolerance"],
-        )
+        self.rows = sorted(rows, key=lambda r: r[0])
+        self.settings = rule_settings
+        self.tolerance = rule_settings["tolerance"]
         self.times = [r[0] for r in self.rows]
         self.grace = rule_settings["drain_grace"]
 
@@ -69,16 +67,12 @@
     """Checks forwards to builds on trial against the cap, shielded stages and, if set, key affinity."""
     tolerance = rule_settings["tolerance"]
     rule, window, free_forwards = RULES[4], rule_settings["exposure_window"], rule_settings["exposure_free"]
-    by_group, kinds = (
-        rule_settings["exposure_by"] == "path group",
-        {g["name"]: g["kind"] for g in rule_settings["path_groups"]},
-    )
-    release_news, tries_by_ledger, forwards_by_ledger, builds_by_key = (
-        defaultdict(list),
-        defaultdict(list),
-        defaultdict(list),
-        {},
-    )
+    by_group = rule_settings["exposure_by"] == "path group"
+    kinds = {g["name"]: g["kind"] for g in rule_settings["path_groups"]}
+    release_news = defaultdict(list)
+    tries_by_ledger = defaultdict(list)
+    forwards_by_ledger = defaultdict(list)
+    builds_by_key = {}
     for number, rows in group_by_gateway(instance_records, "news").items():
         for event in rows:
             at = event["at"] if event.get("exact") else lifetimes.read_time(number, event["at"])
@@ -99,19 +93,13 @@
             int(event["gateway"]), life, event["build"], event["group"] if by_group else "all"
         ].append(event)
     for (number, life, build, ledger), rows in forwards_by_ledger.items():
-        cap_history, (shortest, longest) = (
-            CapHistory(release_news[number, life], rule_settings),
-            lifetimes.window(number, window),
-        )
+        cap_history = CapHistory(release_news[number, life], rule_settings)
+        shortest, longest = lifetimes.window(number, window)
         rows.sort(key=lambda event: event["at"])
-        by_earliest_send, try_times = (
-            sorted(rows, key=lambda event: event["since"]),
-            tries_by_ledger[number, life, ledger],
-        )
-        earliest_sends, latest_arrivals = (
-            [event["since"] for event in by_earliest_send],
-            list(accumulate((event["at"] for event in by_earliest_send), max)),
-        )
+        by_earliest_send = sorted(rows, key=lambda event: event["since"])
+        try_times = tries_by_ledger[number, life, ledger]
+        earliest_sends = [event["since"] for event in by_earliest_send]
+        latest_arrivals = list(accumulate((event["at"] for event in by_earliest_send), max))
         for event in rows:
             if not event["since"]:
                 continue  # delayed on its way, so its send time is unknown
--- a/cobaltpond/builds/fetch.py
+++ b/cobaltpond/builds/fetch.py
@@ -75,12 +75,10 @@
         grace_time: int = 2_000_000,
     ):
         self.loop, self.store, self.sources, self.random_below = loop, store, sources, random_below
-        self.rate, self.dial_time, self.min_rate, self.grace_time = (
-            BandwidthLimiter(loop, rate),
-            dial_time,
-            min_rate,
-            grace_time,
-        )
+        self.rate = BandwidthLimiter(loop, rate)
+        self.dial_time = dial_time
+        self.min_rate = min_rate
+        self.grace_time = grace_time
         self.partial_chunks, self.received_bytes, self.failures = {}, 0, {}
 
     def fetch_manifest(self, build: int, max_bytes: int):
--- a/cobaltpond/builds/store.py
+++ b/cobaltpond/builds/store.py
@@ -38,12 +38,10 @@
     """
 
     def __init__(self, kernel, folder: str, max_bytes: int = 1 << 40, min_free_bytes: int = 64 << 20):
-        self.kernel, self.folder, self.max_bytes, self.min_free_bytes = (
-            kernel,
-            folder,
-            max_bytes,
-            min_free_bytes,
-        )
+        self.kernel = kernel
+        self.folder = folder
+        self.max_bytes = max_bytes
+        self.min_free_bytes = min_free_bytes
         for name in ("chunks", "builds"):
             kernel.make_folder(self.path(name))
         self.lock = kernel.lock_file(self.path("lock"))
--- a/cobaltpond/rpc/client.py
+++ b/cobaltpond/rpc/client.py
@@ -35,12 +35,10 @@
     """
 
     def __init__(self, base_delay: int, max_delay: int, seed: int):
-        self.first_delay, self.max_delay, self.random_source, self.last_delay = (
-            base_delay,
-            max_delay,
-            RandomSource(seed),
-            0,
-        )
+        self.first_delay = base_delay
+        self.max_delay = max_delay
+        self.random_source = RandomSource(seed)
+        self.last_delay = 0
 
     def next_delay(self) -> int:
         """Microseconds to wait before the next attempt; at least half of the unjittered delay."""
--- a/cobaltpond/scenario/events.py
+++ b/cobaltpond/scenario/events.py
@@ -101,10 +101,8 @@
 
     def kill_other_component(self, kill):
         """Kills an instance, agent or desk now; agent and desk are started again."""
-        component, place = (
-            kill["what"],
-            self.plan["places"][kill["gateway"] % len(self.plan["places"])]["name"],
-        )
+        component = kill["what"]
+        place = self.plan["places"][kill["gateway"] % len(self.plan["places"])]["name"]
         if component == "instance":
             for pid, instance_place, _ in self.instances_running():
                 if instance_place == place:
--- a/cobaltpond/scenario/plan.py
+++ b/cobaltpond/scenario/plan.py
@@ -26,11 +26,9 @@
     def first_declaration(name):
         return calls[name][0] if calls[name] else SCENARIO_CALLS[name][0]()
 
-    parameters, fleet, clients = (
-        first_declaration("day"),
-        first_declaration("fleet"),
-        first_declaration("clients"),
-    )
+    parameters = first_declaration("day")
+    fleet = first_declaration("fleet")
+    clients = first_declaration("clients")
     seed = parameters.seed if seed is None else seed
     random_source = seeded_random(seed)
     zones, groups = fleet.zones, {g.name: g for g in calls["path_group"]}
--- a/cobaltpond/scenario/report.py
+++ b/cobaltpond/scenario/report.py
@@ -25,11 +25,9 @@
         if event["kind"] == "arrive" and event["hit"] and event["hit"] != "probe"
     ]
     groups = {g["name"]: g for g in plan["groups"]}
-    earned_benefits, latency_histogram, served_by = (
-        defaultdict(float),
-        HdrHistogram(1, 120_000_000, 3),
-        defaultdict(float),
-    )
+    earned_benefits = defaultdict(float)
+    latency_histogram = HdrHistogram(1, 120_000_000, 3)
+    served_by = defaultdict(float)
     wrong_benefit = 0.0
     for answer in answers:
         if answer["seen"] != "delivered":
--- a/cobaltpond/scenario/runner.py
+++ b/cobaltpond/scenario/runner.py
@@ -24,13 +24,11 @@
 
         Raises ScenarioError if the folder holds the records of another run.
         """
-        self.loop, self.plan, self.folder, self.on_progress, self.extra_arguments = (
-            loop,
-            plan,
-            folder,
-            on_progress,
-            extra_arguments or {},
-        )
+        self.loop = loop
+        self.plan = plan
+        self.folder = folder
+        self.on_progress = on_progress
+        self.extra_arguments = extra_arguments or {}
         self.python = sys.executable  # interpreter that the builds of agents are started with
         self.is_ending = False  # processes are being stopped and must not be started again
         self.acts, self.children, self.gateways, self.statuses = [], {}, {}, []
--- a/cobaltpond/scenario/shutdown.py
+++ b/cobaltpond/scenario/shutdown.py
@@ -19,10 +19,8 @@
             if not self.plan.get("agents"):
                 return
             answer = yield from self.call_until_answered("GET", "/v1/history")
-            expected_build, is_settled = (
-                self.desk_status["news"]["build"],
-                self.desk_status["news"]["phase"] != "trial",
-            )
+            expected_build = self.desk_status["news"]["build"]
+            is_settled = self.desk_status["news"]["phase"] != "trial"
             if self.desk_status["news"]["phase"] in ("withdrawn", "going back"):
                 expected_build = self.desk_status["stable"]
             running = sorted((place, build) for _, place, build in self.instances_running())
--- a/cobaltpond/sim/faults.py
+++ b/cobaltpond/sim/faults.py
@@ -20,19 +20,15 @@
     """
 
     def __init__(self, machine, scenario_run, plan, on_injected=lambda kind, component: None):
-        self.machine, self.world, self.network, self.disk = (
-            machine,
-            machine.world,
-            machine.network,
-            machine.disk,
-        )
-        self.scenario_run, self.plan, self.on_injected, self.pending_aimed, self.last_fault_end = (
-            scenario_run,
-            plan,
-            on_injected,
-            [],
-            0,
-        )
+        self.machine = machine
+        self.world = machine.world
+        self.network = machine.network
+        self.disk = machine.disk
+        self.scenario_run = scenario_run
+        self.plan = plan
+        self.on_injected = on_injected
+        self.pending_aimed = []
+        self.last_fault_end = 0
         self.injected_count, self.own_restart_times = 0, {}
         self.backups = {}
 
--- a/cobaltpond/sim/member_cluster.py
+++ b/cobaltpond/sim/member_cluster.py
@@ -79,11 +79,9 @@
         view=View,
         lines: bool = False,
     ):
-        self.machine, self.probe_settings, self.view = (
-            Machine(f"society/{seed}", lines),
-            settings or ProbeSettings(),
-            view,
-        )
+        self.machine = Machine(f"society/{seed}", lines)
+        self.probe_settings = settings or ProbeSettings()
+        self.view = view
         self.world, self.network = self.machine.world, self.machine.network
         self.zones = {n: f"zone-{n % zones}" for n in range(count)}
         self.addresses = {n: ("127.0.0.1", FIRST_PORT + n) for n in range(count)}
@@ -175,11 +173,9 @@
         for a in self.zones:
             for b in range(a):
                 link = self.link(a, b)
-                link.loss_share, link.duplicate_share, link.reorder_share = (
-                    loss_share,
-                    duplicate_share,
-                    reorder_share,
-                )
+                link.loss_share = loss_share
+                link.duplicate_share = duplicate_share
+                link.reorder_share = reorder_share
                 link.delay = delay or link.delay
 
     def slow_down(self, numbers, until: int, runs=(50_000, 150_000), stands=(SECOND, 4 * SECOND)) -> None:
--- a/cobaltpond/sim/network.py
+++ b/cobaltpond/sim/network.py
@@ -179,11 +179,9 @@
         if self.network.tap is not None:
             self.network.tap(kind, self.peer_name, self.kernel.process.name, data, self)
         if kind == "reset":
-            self.connection_lost, self.peer_finished, self.pending_error = (
-                True,
-                True,
-                ConnectionLostError("Connection reset by peer"),
-            )
+            self.connection_lost = True
+            self.peer_finished = True
+            self.pending_error = ConnectionLostError("Connection reset by peer")
             if self.state == "dialling":
                 self.state = "open"
             self.mark_ready()
--- a/cobaltpond/sim/runner.py
+++ b/cobaltpond/sim/runner.py
@@ -142,10 +142,8 @@
 
     def check_result(self, verdict: ScenarioVerdict, result: dict) -> None:
         """Check the records of a scenario that came to its end, and add breaches to the verdict."""
-        instance_records, client_records = (
-            self.wire_observer.with_observed_times(result["yard"]),
-            result["crowd"],
-        )
+        instance_records = self.wire_observer.with_observed_times(result["yard"])
+        client_records = result["crowd"]
         rules = check_rules(
             client_records, instance_records, self.day.acts, self.rule_settings(), AUDIT_TOLERANCE_US
         )
@@ -162,10 +160,8 @@
         }
         total_benefit = sum(record["benefit"] for record in requests.values()) or 1.0
         verdict.injected_count = self.faults.injected_count
-        verdict.hits, verdict.service = (
-            len(requests),
-            sum(requests[op]["benefit"] for op in good_ops) / total_benefit,
-        )
+        verdict.hits = len(requests)
+        verdict.service = sum(requests[op]["benefit"] for op in good_ops) / total_benefit
         verdict.forwards = sum(
             record["kind"] == "arrive" and record["hit"] not in (None, "", "probe")
             for record in instance_records
@@ -197,10 +193,8 @@
                 verdict.found.append(
                     f"leak: gateway {status['gateway']} has {status['hits']['open']} hits open"
                 )
-            members, quiet_time = (
-                status.get("members"),
-                self.begin + self.plan["length"] - self.faults.last_fault_end,
-            )
+            members = status.get("members")
+            quiet_time = self.begin + self.plan["length"] - self.faults.last_fault_end
             if (
                 members
                 and quiet_time > MEMBERSHIP_AGREEMENT_TIME_US
--- a/cobaltpond/sim/transcript.py
+++ b/cobaltpond/sim/transcript.py
@@ -197,10 +197,8 @@
         call = self.pending_polls.pop((receiver, sender), None)
         if call is None:
             return False
-        same, self.last_answers[receiver, sender, call] = (
-            self.last_answers.get((receiver, sender, call)) == message,
-            message,
-        )
+        same = self.last_answers.get((receiver, sender, call)) == message
+        self.last_answers[receiver, sender, call] = message
         return same
 
     def text(self, begin: int = 0, end: int = 1 << 62) -> str:
--- a/cobaltpond/standins/host_cluster.py
+++ b/cobaltpond/standins/host_cluster.py
@@ -65,12 +65,10 @@
     """
 
     def __init__(self, loop, folder, hosts=6, layout="beside", servers=2, gateways=1):
-        self.loop, self.folder, self.children, self.places = (
-            loop,
-            str(folder),
-            {},
-            [f"h{n}" for n in range(hosts)],
-        )
+        self.loop = loop
+        self.folder = str(folder)
+        self.children = {}
+        self.places = [f"h{n}" for n in range(hosts)]
         kernel = loop.kernel
         kernel.make_folder(self.folder)
         self.key = Ed25519PrivateKey.from_private_bytes(b"k" * 32)
--- a/cobaltpond/standins/instance.py
+++ b/cobaltpond/standins/instance.py
@@ -35,14 +35,12 @@
     """
 
     def __init__(self, owner, id, place, zone, cell, model, listener):
-        self.owner, self.loop, self.id, self.place, self.zone, self.cell = (
-            owner,
-            owner.loop,
-            id,
-            place,
-            zone,
-            cell,
-        )
+        self.owner = owner
+        self.loop = owner.loop
+        self.id = id
+        self.place = place
+        self.zone = zone
+        self.cell = cell
         self.model, self.listener, self.start = model, listener, model.started
         self.silent, self.max_connections, self.handshake_delay, self.report_factor = False, 100_000, 0, 1.0
         self.connections, self.timer, self.is_ended = {}, None, False
@@ -267,12 +265,10 @@
         if self.loop.now() - self.shown_at > owner.report_period:
             self.shown_at = self.loop.now()
             noise = 1 + owner.random_source.uniform(-0.1, 0.1)
-            self.shown_load, self.next_load = (
-                self.next_load,
-                {
-                    name: value * noise * self.report_factor
-                    for name, value in self.model.report().items()
-                    if name in owner.report_names
-                },
-            )
+            self.shown_load = self.next_load
+            self.next_load = {
+                name: value * noise * self.report_factor
+                for name, value in self.model.report().items()
+                if name in owner.report_names
+            }
         return orca.HEADER, orca.format_load_report(self.shown_load)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -37,13 +37,11 @@
     """Model of a host that executes actions: each takes some ticks, and may fail or hang."""
 
     def __init__(self, faults):
-        self.build_slots, self.pending_events, self.now, self.processes, self.faults = (
-            BuildSlots(),
-            [],
-            0,
-            {},
-            list(faults),
-        )
+        self.build_slots = BuildSlots()
+        self.pending_events = []
+        self.now = 0
+        self.processes = {}
+        self.faults = list(faults)
         self.listed, self.most_at_once = {}, 0
 
     def fault(self):
--- a/tests/test_desk_with_agents.py
+++ b/tests/test_desk_with_agents.py
@@ -44,13 +44,11 @@
     """A host: the agent's state machine, processes that survive the agent, and pending events that do not."""
 
     def __init__(self, name, faults):
-        self.name, self.faults, self.build_slots, self.processes, self.pending_events = (
-            name,
-            faults,
-            BuildSlots(),
-            {},
-            [],
-        )
+        self.name = name
+        self.faults = faults
+        self.build_slots = BuildSlots()
+        self.processes = {}
+        self.pending_events = []
         self.down_until, self.double_starts, self.listed = -1, 0, set()
 
     def schedule(self, now, build, action, event):
