--- a/tests/test_desk_state_loss.py
+++ b/tests/test_desk_state_loss.py
@@ -4,7 +4,7 @@
 import shutil
 
 import pytest
-from test_town import Run, first_build
+from test_host_cluster import Run, first_build
 
 from cobaltpond.loop import Sleep
 
