--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -10,13 +10,15 @@
 
 MAX_COMPARED = 18  # instances compared for a hit
 # Ratios to figures of the settings: to the longest warm-up, to the target latency, to what a rule allows.
-EJECTION_COLD_TIMES = 0.25  # length of a first ejection, which doubles up to eight times as long
+EJECTION_COLD_TIMES = 0.25  # length of a first ejection; later ones double, up to eight times this length
 USEFUL_SHARE = 0.9  # no further forward past this share of the target latency
-COLD_RATE_FACTOR = 0.6  # of what a cold instance could be sent, as its capacity is a rough guess
+COLD_RATE_FACTOR = 0.6  # share of the hits that a cold instance could be sent; its capacity is a rough guess
 # An instance's limit of hits in flight grows by one while its smoothed lateness is below `FAST_SHARE` of the
 # target latency, and is multiplied by `LIMIT_DECREASE` above it.
 FAST_SHARE, LIMIT_DECREASE = 0.3, 0.7
-ADMISSION_INCREASE, ADMISSION_DECREASE = 0.1, 0.7  # the same for a low-traffic gateway's admitted share
+# A low-traffic gateway's admitted share of hits grows by the first for an answer in time, and is multiplied
+# by the second for a late one.
+ADMISSION_INCREASE, ADMISSION_DECREASE = 0.1, 0.7
 # `UNREACHABLE_THRESHOLD`: share of dials or probes that fail. `CUSTOMER_ERROR_THRESHOLD`: share of a
 # customer's hits that fail, which must also exceed twice that of the others.
 UNREACHABLE_THRESHOLD, CUSTOMER_ERROR_THRESHOLD = 0.3, 0.4
--- a/cobaltpond/decisions/judging.py
+++ b/cobaltpond/decisions/judging.py
@@ -139,8 +139,8 @@
             )
 
     def record_sample(self, group, sample, now):
-        """Keeps the sample. One of the newest build calls for an assessment if it is on trial or suspect, or
-        if the sample speaks against it."""
+        """Keeps the sample. One of the newest build calls for an assessment if that build is on trial or
+        suspect, or if the sample counts against it."""
         build = sample.instance.build
         build.add_sample(group.name, sample)
         # trimmed here too, as a build may go unassessed for weeks: memory would grow without bound
@@ -202,7 +202,8 @@
                     build, name, unpaired, *UNPAIRED_THRESHOLDS, self.strict_significance_z
                 ),
             ]
-        # the platform's counts include silent and full instances, so they need errors of our own beside them
+        # The platform's counts include silent and full instances: they are used only if this gateway has
+        # recorded errors of the build too.
         if sum(errored for errored, _ in build.error_counts.values()) >= 2:
             counts = build.platform_counts + build.earlier.platform_counts
             verdicts.append(self.assess_errors(build, "platform", counts, self.strict_significance_z))
--- a/cobaltpond/decisions/records.py
+++ b/cobaltpond/decisions/records.py
@@ -18,7 +18,7 @@
         self.state = seed
 
     def randbelow(self, most):
-        """Returns an integer from 0 to `most` - 1, in at most 2**31 steps."""
+        """Returns an integer from 0 to `most` - 1; at most 2**31 different ones occur."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % 2**64
         return (self.state >> 33) * most >> 31
 
@@ -131,7 +131,7 @@
 
 
 class Fleet:
-    """The instances in the list, found by id, and the builds that were heard of, by number."""
+    """The instances in the list, found by id, and all known builds, by number."""
 
     def __init__(self, settings):
         # All instances by id; those that are up, in order of id; those that may still be cold; ids of those
--- a/cobaltpond/decisions/rules.py
+++ b/cobaltpond/decisions/rules.py
@@ -34,8 +34,9 @@
 STRATUM_COLD_TIMES = 0.5  # length of the time strata in which samples are compared
 TICK_SHARE, HOLD_SHARE = 0.05, 0.15  # interval at which held hits are tried again; longest time held
 SILENCE_SHARE = 0.8  # an instance is silent if an answer has been outstanding for so long
-PROBE_SHARE = 0.5  # where probes are allowed: probed after so long, silent if the probe gets no answer either
-LATE_HITS_AVOIDED_SHARE = 1 / 3  # of late hits, a third to a half are avoided by choosing the better of two
+# Where probes are allowed, an instance is probed after this, and silent if the probe gets no answer either.
+PROBE_SHARE = 0.5
+LATE_HITS_AVOIDED_SHARE = 1 / 3  # choosing the better of two avoids a third to a half of the late hits
 
 NOT_EXECUTED = ("full", "unreachable", "moot")
 
@@ -85,7 +86,7 @@
         self.late_share = 0.0  # smoothed share of answers that came late
         self.last_list_at = now  # last answer of the list
         self.list_requested_at = now - 1  # last request for the list
-        self.list_retry_delay = 1  # 0: the list answers; 1: it is asked at once
+        self.list_retry_delay = 1  # 0 while the list answers; 1: the first request is sent at once
         self.cold_time = settings.get("cold_time", 0)  # longest warm-up of an instance
         self.shortest_target = min(g.target for g in self.groups.values())  # shortest target of a path group
         # interval at which held hits are tried again
--- a/cobaltpond/edge/discovery.py
+++ b/cobaltpond/edge/discovery.py
@@ -10,15 +10,15 @@
 WATCH_TIME_US = 2_000_000  # how long a watch may wait for a change
 RESPONSE_TIMEOUT_US = 1_000_000  # for a response that doesn't wait for a change
 EMPTY_RESPONSE_PAUSE_US = 50_000  # after an early response without a change
-# Both are shorter than the grace period that the rules allow before an announced change counts. While the
+# Both are shorter than the grace period after which a gateway must act on an announced change. While the
 # whole list is requested, a further request is sent every HEDGE_INTERVAL_US until one ends. A working agent
 # runs on this machine and answers at once. An agent that was silent never answers the requests of that time,
 # and whatever it has when it returns counts as announced at once, so waiting for an old request would leave a
 # stale list.
 HEDGE_INTERVAL_US, MAX_RETRY_DELAY_US = 100_000, 100_000
 HOSTS_PATH = "/discovery/hosts"
-# A source that reports only old versions for this long has lost its state. Whatever it was late with counts
-# as announced by then.
+# A source that reports only old versions for this long has lost its state. Any change that it reported late
+# counts as announced by then.
 STALE_SOURCE_TIME_US = 6_000_000
 
 
--- a/cobaltpond/gateway/routes.py
+++ b/cobaltpond/gateway/routes.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """What a request's head says of the hit.
+    """The attributes of a hit that its request's head states.
 
     `customer`: None where it is not configured. `key`: a hash, None where the request has none. `time_left`
     and `cost` are microseconds; `cost` is None where the request states none.
--- a/cobaltpond/limits/rules.py
+++ b/cobaltpond/limits/rules.py
@@ -6,8 +6,8 @@
 for each hit of the other kind. Each counted hit consumes a unit. With no unit left the limit is over: the hit
 is rejected, or only counted if the limit is a dry run (setting `trial`) or counts only. A limit `within`
 another one (its parent) is checked beside it; what the limit has as `least` of the parent's rate is a
-guarantee and passes even if the parent is over. A rejected hit is told the longest wait of all limits that
-reject it.
+guarantee and passes even if the parent is over. A rejection advises the longest wait of all limits that
+reject the hit.
 
 All numbers are integers: rates in thousandths a second, levels in units of `UNIT`, so that both
 implementations agree exactly.
--- a/cobaltpond/members/view.py
+++ b/cobaltpond/members/view.py
@@ -82,7 +82,7 @@
             "admitted": 255,
             "flags": 0,
         }
-        self.news, self.drains = None, ()  # piggybacked on each datagram, see gossip.py
+        self.news, self.drains = None, ()  # release state and drains, sent with each datagram: see gossip.py
         self.on_gossip = None  # called with (member, release state or None, drains) of a new datagram
         self.on_trial_message = None  # called with (kind, sender, sequence, rows) of trial messages
         self.on_warm_start_message = self.on_lease_message = None  # likewise, for warm start and leases
--- a/cobaltpond/recovery/phases.py
+++ b/cobaltpond/recovery/phases.py
@@ -101,9 +101,9 @@
 
 
 class ServiceWindow:
-    """Tells whether nearly all hits of the last second were delivered.
+    """Determines whether nearly all hits of the last second were delivered.
 
-    With fewer than `MIN_HITS` hits in the window a share says nothing, and a full window is enough.
+    With fewer than `MIN_HITS` hits in the window their share is no evidence, and a full window is enough.
     """
 
     MIN_DELIVERED_SHARE, WINDOW_US, MIN_HITS = 0.95, 1_000_000, 8
