--- a/cobaltpond/desk/stages.py
+++ b/cobaltpond/desk/stages.py
@@ -82,7 +82,7 @@
     # --- persistence ---------------------------------------------------------------------------------------
 
     STORED_FIELDS = ("build", "stage", "phase", "stable", "offered", "held")
-    ALSO_KEPT = ("turns", "condemned")  # added in December 2026: older journals lack them
+    OPTIONAL_STORED_FIELDS = ("turns", "condemned")  # added in December 2026: older journals lack them
 
     def dump(self) -> dict:
         """The state that must survive a restart, as JSON.
@@ -91,7 +91,7 @@
         stored: the platform reports its instances again, and orders follow from the difference.
         """
         return {
-            **{name: getattr(self, name) for name in (*self.STORED_FIELDS, *self.ALSO_KEPT)},
+            **{name: getattr(self, name) for name in (*self.STORED_FIELDS, *self.OPTIONAL_STORED_FIELDS)},
             "at": self.now,
             "since": self.since,
             "launched": self.launched,
@@ -124,7 +124,7 @@
         share = self.release.shares[self.stage]
         return self.places[: max(1, int(share * len(self.places) + 0.5))]
 
-    def wanted(self) -> dict:
+    def desired_builds(self) -> dict:
         """Maps each place to the builds that should run there."""
         if self.phase == RELEASED:
             return {place: {self.build} - {NO_BUILD} for place in self.places}
@@ -149,15 +149,15 @@
         An order is ("start", place, build), ("drain", id) or ("stop", id). One that was given less than
         ORDER_RETRY_US ago is left out.
         """
-        pending, wanted = [], self.wanted()
+        pending, desired_builds = [], self.desired_builds()
         for place in self.places:
             here = [m for m in self.instances.values() if m.place == place]
-            for build in sorted(wanted[place]):
+            for build in sorted(desired_builds[place]):
                 if not any(m.build == build and m.state != "draining" for m in here):
                     pending.append(("start", place, build))
-            replaced = all(self.is_running(place, build) for build in wanted[place])
+            replaced = all(self.is_running(place, build) for build in desired_builds[place])
             for instance in here:
-                if instance.build in wanted[place]:
+                if instance.build in desired_builds[place]:
                     continue
                 if instance.state == "draining":
                     if now - (instance.draining_since or now) >= self.release.drain_time:
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -194,5 +194,7 @@
             fixture.stages.update_instance(fixture.now, ids[n % len(ids)], "", 0, "gone")
         fixture.run(1.5 if action == "wait" else 0.2)
     fixture.run(15)
-    wanted = sorted((place, build) for place, builds in fixture.stages.wanted().items() for build in builds)
+    wanted = sorted(
+        (place, build) for place, builds in fixture.stages.desired_builds().items() for build in builds
+    )
     assert fixture.builds() == wanted and fixture.stages.phase != GOING_BACK
--- a/tests/test_desk_state.py
+++ b/tests/test_desk_state.py
@@ -196,12 +196,12 @@
 
     def obey_orders(self):
         for place in self.stages.places:
-            for build in self.stages.wanted()[place]:
+            for build in self.stages.desired_builds()[place]:
                 self.stages.update_instance(self.now, f"{place}/{build}", place, build, "up")
             for id in [
                 m.id
                 for m in self.stages.instances.values()
-                if m.place == place and m.build not in self.stages.wanted()[place]
+                if m.place == place and m.build not in self.stages.desired_builds()[place]
             ]:
                 self.stages.update_instance(self.now, id, place, 0, "gone")
 
@@ -292,7 +292,11 @@
 
 def test_a_journal_of_the_previous_version_is_read():
     stages = ReleaseStages(RELEASE, ["p0"], 41)
-    old = {name: value for name, value in stages.dump().items() if name not in ReleaseStages.ALSO_KEPT}
+    old = {
+        name: value
+        for name, value in stages.dump().items()
+        if name not in ReleaseStages.OPTIONAL_STORED_FIELDS
+    }
     stages.load(old, S)
     assert (stages.turns, stages.condemned) == (0, [])
 
