--- a/bench/mixed/bad_build.py
+++ b/bench/mixed/bad_build.py
@@ -36,9 +36,11 @@
         self.revisions, self.report, self.fleet = revisions, revisions.report, fleet
 
     def checkout(self, number: int) -> Checkout:
+        """The revision that a gateway runs."""
         return self.revisions.old if number in OLD_ONES else self.revisions.new
 
     def run(self) -> None:
+        """The whole scenario: both trials, one after the other."""
         with self.report.check(f"{NAME}: fleet starts"):
             self.start()
         for trial in TRIALS:
@@ -64,9 +66,11 @@
         expect_equal(self.hits_taken(trial.judges), before, "hits that the judges took themselves")
 
     def hits_taken(self, numbers: tuple[int, ...]) -> int:
+        """The hits that these gateways have taken from clients so far."""
         return sum(self.fleet.gateway(number)["hits"]["taken"] for number in numbers)
 
     def is_withdrawn(self, build: int) -> bool:
+        """The desk has withdrawn this build."""
         news = self.fleet.desk()["news"]
         return (news["build"], news["phase"]) == (build, "withdrawn")
 
--- a/bench/mixed/fleet.py
+++ b/bench/mixed/fleet.py
@@ -24,11 +24,13 @@
     programs: Programs
 
     def __post_init__(self):
+        """Writes the settings files."""
         self.stand_ins = StandIns(self.old, self.plan)
         self.settings = self.write_settings("settings.star", "list")
         self.settings_without_list = self.write_settings("settings-without-list.star", "nobody")
 
     def write_settings(self, name: str, list_service: str) -> Path:
+        """Writes a settings file; `list_service` is that of `FleetPlan.settings`."""
         path = self.plan.folder / name
         path.write_text(self.plan.settings(list_service))
         return path
@@ -77,9 +79,11 @@
         until("build server", lambda: ask(self.plan.port("builds"), "GET", "/builds/").status == 200)
 
     def start_desk(self, checkout: Checkout) -> Program:
+        """Starts the release desk."""
         return self.programs.start(checkout, DESK, "-m", "cobaltpond", "desk", self.settings)
 
     def start_agents(self, checkout: Checkout) -> None:
+        """Starts one agent a place."""
         for place in range(self.plan.places):
             name = self.plan.place_name(place)
             self.programs.start(
@@ -93,6 +97,7 @@
         ]
 
     def start_gateway(self, checkout: Checkout, number: int, settings: Path | None = None) -> None:
+        """Starts a gateway with the fleet's settings, or with those of another file."""
         self.programs.start(
             checkout,
             f"gateway-{number}",
@@ -105,6 +110,7 @@
         )
 
     def stop_gateway(self, number: int) -> int:
+        """Stops a gateway; gives its exit code."""
         return self.programs.stop(f"gateway-{number}")
 
     def command(self, checkout: Checkout, *words: object):
@@ -169,6 +175,13 @@
         """Id and start of each instance in service."""
         return {(row["id"], row["start"]) for row in self.listed()}
 
+    def until_only_listed(self, build: int) -> None:
+        """One instance of it is in service in every place, and no other instance. Raises NotInTime."""
+        until(
+            f"build {build} listed alone",
+            lambda: [row["build"] for row in self.listed()] == [build] * self.plan.places,
+        )
+
     def is_released(self, build: int) -> bool:
         """Released, and an instance of it up in every place."""
         status = self.desk()
--- a/bench/mixed/platform.py
+++ b/bench/mixed/platform.py
@@ -86,9 +86,11 @@
     lines: list[dict] = field(default_factory=list)  # of the feed, from its beginning
 
     def tell_hosts(self, hosts: list[dict]) -> None:
+        """Replaces the list of instances; discovery answers from now on."""
         self.hosts, self.version, self.reachable = hosts, self.version + 1, True
 
     def tell_rollout(self, **changes) -> None:
+        """Changes the release and tells every feed."""
         self.rollout = {**self.rollout, "AgeMs": 0, **changes}
         self.lines.append({"type": "ROLLOUT", "object": self.rollout})
 
@@ -102,14 +104,18 @@
 
     @property
     def address(self) -> str:
+        """Host and port, as the configuration of a gateway names them."""
         return f"127.0.0.1:{self.server_address[1]}"
 
 
 class Requests(BaseHTTPRequestHandler):
+    """Handles the requests of one gateway."""
+
     server: Platform
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:  # noqa: N802  (a name that `http.server` prescribes)
+        """Serves the list of instances and the feed of the release."""
         url = urlsplit(self.path)
         try:
             if url.path == "/discovery/hosts":
@@ -122,6 +128,7 @@
             self.close_connection = True  # the gateway has left
 
     def do_POST(self) -> None:  # noqa: N802
+        """Takes a vote and answers with the state of the release."""
         ballot = json.loads(self.rfile.read(int(self.headers["content-length"])))
         self.server.ballots.append(ballot)
         self.answer(self.server.state.rollout)
@@ -145,6 +152,7 @@
         )
 
     def feed(self) -> None:
+        """Streams the lines of the feed, from its beginning until the scenario ends."""
         state, sent, alive_at = self.server.state, 0, time.monotonic()
         self.send_response(200)
         self.send_header("transfer-encoding", "chunked")
@@ -159,10 +167,12 @@
             time.sleep(0.01)
 
     def chunk(self, value: dict) -> None:
+        """Sends one line of the feed as a chunk."""
         data = json.dumps(value).encode() + b"\n"
         self.wfile.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def answer(self, value: dict) -> None:
+        """Answers with a JSON value."""
         data = json.dumps(value).encode() + b"\n"
         self.send_response(200)
         self.send_header("content-length", str(len(data)))
@@ -185,16 +195,20 @@
 
     @property
     def name(self) -> str:
+        """The name in reports, and of the process."""
         return f"{self.checkout.name} gateway"
 
     @property
     def door(self) -> int:
+        """The port where it takes hits."""
         return self.ports.first + self.number
 
     def peers(self, number: int) -> str:
+        """The address where a gateway takes datagrams."""
         return f"127.0.0.1:{self.ports.first + 2 + number}"
 
     def configuration(self) -> dict:
+        """The configuration of this gateway, as JSON."""
         state = self.platform.state
         return {
             "name": f"n{self.number}",
@@ -210,6 +224,7 @@
         }
 
     def start(self, programs: Programs) -> None:
+        """Writes the configuration and starts the process."""
         path = programs.folder / f"configuration-{self.number}.json"
         path.write_text(json.dumps(self.configuration()))
         programs.start(self.checkout, self.name, "-m", "cobaltpond.edge", EDGE_CONFIG=str(path))
@@ -226,6 +241,8 @@
 
 
 class PlatformScenario:
+    """One gateway of each revision before an instance of each build."""
+
     def __init__(self, revisions: Revisions, folder: Path):
         self.revisions, self.report, self.programs = revisions, revisions.report, Programs(folder)
         self.instances = [Instance("old build"), Instance("new build")]
@@ -252,6 +269,7 @@
         }
 
     def run(self) -> None:
+        """The whole scenario, with its servers running."""
         with ExitStack() as stack:
             ports = stack.enter_context(PortRun(4))
             for number, checkout in enumerate((self.revisions.old, self.revisions.new)):
@@ -268,6 +286,7 @@
             self.check_stops()
 
     def end(self) -> None:
+        """Ends the feeds."""
         self.state.ended = True
 
     def check_configuration(self) -> None:
@@ -307,6 +326,7 @@
 
     @staticmethod
     def has_voted(gateway: Gateway) -> bool:
+        """The gateway has voted to promote the build on trial."""
         return {"Revision": 2, "Wave": 0, "Decision": "promote"} in gateway.platform.ballots
 
     def check_drain(self) -> None:
@@ -324,6 +344,7 @@
             return {gateway.ask(client, "look") for _ in range(DRAIN_HITS)}
 
     def check_stops(self) -> None:
+        """Both gateways stop with exit code 0."""
         with self.report.check(f"{NAME}: both end with 0 when asked to stop"):
             codes = {gateway.name: self.programs.stop(gateway.name) for gateway in self.gateways}
             expect_equal(codes, dict.fromkeys(codes, 0), "exit codes")
--- a/bench/mixed/postgres.py
+++ b/bench/mixed/postgres.py
@@ -14,15 +14,18 @@
 
 
 def message(kind: bytes, body: bytes) -> bytes:
+    """A message of the protocol, version 3."""
     return kind + struct.pack(">I", len(body) + 4) + body
 
 
 def startup() -> bytes:
+    """What a client sends first."""
     body = b"\0\3\0\0user\0web\0database\0orders\0\0"
     return struct.pack(">I", len(body) + 4) + body
 
 
 def welcome() -> bytes:
+    """What a server answers to that."""
     return message(b"R", b"\0\0\0\0") + message(b"S", b"server_version\0" + b"15.0\0") + READY
 
 
@@ -51,9 +54,11 @@
         self.answer()
 
     def __enter__(self) -> "Client":
+        """The connection is open already."""
         return self
 
     def __exit__(self, *_) -> None:
+        """Closes the connection."""
         self.stream.close()
         self.connection.close()
 
@@ -87,14 +92,18 @@
 
     @property
     def address(self) -> str:
+        """Host and port, as discovery lists them."""
         host, port = self.server_address
         return f"{host}:{port}"
 
 
 class Conversation(socketserver.StreamRequestHandler):
+    """One connection to an instance."""
+
     server: Instance
 
     def handle(self) -> None:
+        """Answers statements until the gateway closes the connection."""
         try:
             (length,) = struct.unpack(">I", self.rfile.read(4))
             self.rfile.read(length - 4)
@@ -108,6 +117,7 @@
             return  # the gateway has closed the connection
 
     def reply(self, statement: bytes) -> bytes:
+        """The answer to one statement."""
         if statement.startswith(b"SHOW"):
             return one_value(b"inflight=1", b"SHOW")
         self.server.statements += 1
--- a/bench/mixed/programs.py
+++ b/bench/mixed/programs.py
@@ -26,6 +26,7 @@
 
     @property
     def python(self) -> Path:
+        """The interpreter of its virtual environment."""
         return self.path / ".venv" / "bin" / "python"
 
     def environment(self, scratch: Path, **more: str) -> dict[str, str]:
@@ -63,6 +64,7 @@
     log: Path
 
     def signal(self, number: signal.Signals) -> None:
+        """Sends a signal, unless the process has ended."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
@@ -87,9 +89,11 @@
     starts: int = 0
 
     def __enter__(self) -> "Programs":
+        """Nothing runs yet."""
         return self
 
     def __exit__(self, *_) -> None:
+        """Kills all programs, and the instances that agents have started."""
         for program in reversed(self.running.values()):
             program.kill()
         self.end_instances()
@@ -152,6 +156,7 @@
     mark: socket.socket | None = None
 
     def __enter__(self) -> "PortRun":
+        """Finds the ports and holds the one before them. Raises OSError where there are none."""
         for _ in range(PORT_TRIES):
             before = random.randrange(FIRST_PORT, LAST_PORT - self.count)
             try:
@@ -165,6 +170,7 @@
         raise OSError(f"no {self.count} consecutive free ports")
 
     def __exit__(self, *_) -> None:
+        """Frees the port that was held."""
         if self.mark is not None:
             self.mark.close()
 
--- a/bench/mixed/standins.py
+++ b/bench/mixed/standins.py
@@ -66,12 +66,14 @@
     plan: FleetPlan
 
     def write(self, name: str, value: dict) -> Path:
+        """Writes a plan as JSON; gives its path."""
         path = self.plan.folder / name
         path.write_text(json.dumps(value))
         return path
 
     @property
     def next_ring(self) -> Path:
+        """The key ring that replaces the first one."""
         return self.plan.folder / "next-ring"
 
     @property
@@ -80,6 +82,7 @@
         return self.plan.folder / "served"
 
     def places(self) -> list[dict]:
+        """The places of the fleet, as the plans name them."""
         return [
             {
                 "name": self.plan.place_name(place),
--- a/bench/mixed/traffic.py
+++ b/bench/mixed/traffic.py
@@ -29,6 +29,7 @@
 
     @property
     def pays(self) -> bool:
+        """The hit is a payment."""
         return self.number % PAY_EVERY == 0
 
     def send(self, port: int) -> Answer:
@@ -65,14 +66,17 @@
         self.thread = Thread(target=self.run, name="traffic", daemon=True)
 
     def __enter__(self) -> "Traffic":
+        """Starts to send hits."""
         self.thread.start()
         return self
 
     def __exit__(self, *_) -> None:
+        """Sends no more hits, and waits for the last one."""
         self.ended.set()
         self.thread.join()
 
     def run(self) -> None:
+        """Sends hits at the rate until the end; one that is due late is sent at once."""
         began = time.monotonic()
         for number in itertools.count():
             due = began + number / RATE
@@ -105,6 +109,7 @@
             self.tally.failures.append(f"hit {hit.number}: {why}")
 
     def delivered(self, door: int, answer: Answer) -> None:
+        """Counts a delivered hit."""
         self.tally.delivered += 1
         self.tally.by_door[door] += 1
         self.tally.by_build[int(answer.headers.get("standin-build", 0))] += 1
--- a/bench/mixed/web.py
+++ b/bench/mixed/web.py
@@ -54,5 +54,6 @@
     """Programs that are stopped leave their connections in mid-answer: that is not reported."""
 
     def handle_error(self, request, client_address) -> None:
+        """Reports what is no OSError."""
         if not isinstance(sys.exception(), OSError):
             super().handle_error(request, client_address)
--- a/bench/mixed/written_files.py
+++ b/bench/mixed/written_files.py
@@ -37,12 +37,15 @@
 
 
 class WrittenFiles:
+    """The files of OLD's checkout, each given to the commands of both revisions."""
+
     def __init__(self, revisions: Revisions):
         self.revisions, self.scratch, self.root = revisions, revisions.scratch, revisions.old.path
         self.copies = revisions.scratch / "scripts"
         self.copies.mkdir()
 
     def run(self) -> None:
+        """All checks, some at one time."""
         checks = self.checks()
         with ThreadPoolExecutor(WORKERS) as pool:
             looks = [
@@ -89,6 +92,7 @@
         return found
 
     def with_wrong_line(self, path: Path) -> Path:
+        """A copy of a script, with a line at its end that is wrong."""
         copy = self.copies / path.name
         copy.write_text(path.read_text() + WRONG_LINE)
         return copy
@@ -96,6 +100,7 @@
     # --- what a revision says of a file --------------------------------------------------------------------
 
     def command(self, checkout: Checkout, *words: object) -> subprocess.CompletedProcess:
+        """Runs a command of a checkout."""
         return checkout.command(self.scratch, *words)
 
     def reader(self, command: str, path: Path) -> Callable[[Checkout], Outcome]:
--- a/bench/mixed_revisions.py
+++ b/bench/mixed_revisions.py
@@ -32,10 +32,12 @@
 
 
 def check_old_desk(revisions: Revisions) -> None:
+    """A desk of OLD with agents and gateways of NEW."""
     check_desk_with_others(revisions, desk=revisions.old, others=revisions.new)
 
 
 def check_new_desk(revisions: Revisions) -> None:
+    """A desk of NEW with agents and gateways of OLD."""
     check_desk_with_others(revisions, desk=revisions.new, others=revisions.old)
 
 
@@ -60,12 +62,14 @@
 
 
 def run_scenarios(revisions: Revisions, names: list[str]) -> None:
+    """Runs the scenarios of these names, at most `AT_ONCE` at one time."""
     with ThreadPoolExecutor(AT_ONCE) as pool:
         for done in [pool.submit(SCENARIOS[name], revisions) for name in names]:
             done.result()
 
 
 def main() -> int:
+    """Runs the script; gives its exit code."""
     reader = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
