--- a/bench/parsers.py
+++ b/bench/parsers.py
@@ -1,17 +1,22 @@
 """httptools (llhttp) and h11 on the same request and answer, in one run: microseconds a message.
 
-    .venv/bin/python bench/parsers.py
+.venv/bin/python bench/parsers.py
 """
+
 import time
 
 import h11
 import httptools
 
-REQUEST = (b"POST /purchases HTTP/1.1\r\nhost: resale\r\nuser-agent: app/1\r\naccept: */*\r\n"
-           b"content-type: application/json\r\nidempotency-key: 8f3a\r\n"
-           b"cobaltpond-customer: emajoe-hall\r\ncontent-length: 20\r\n\r\n" + b"x" * 20)
-ANSWER = (b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
-          b"endpoint-load-metrics: TEXT named_metrics.inflight=4\r\ncontent-length: 64\r\n\r\n" + b"y" * 64)
+REQUEST = (
+    b"POST /purchases HTTP/1.1\r\nhost: resale\r\nuser-agent: app/1\r\naccept: */*\r\n"
+    b"content-type: application/json\r\nidempotency-key: 8f3a\r\n"
+    b"cobaltpond-customer: emajoe-hall\r\ncontent-length: 20\r\n\r\n" + b"x" * 20
+)
+ANSWER = (
+    b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
+    b"endpoint-load-metrics: TEXT named_metrics.inflight=4\r\ncontent-length: 64\r\n\r\n" + b"y" * 64
+)
 
 
 class Sink:
--- a/cobaltpond/__main__.py
+++ b/cobaltpond/__main__.py
@@ -1,4 +1,5 @@
 """python -m cobaltpond"""
+
 from cobaltpond.cli.main import main
 
 if __name__ == "__main__":
--- a/cobaltpond/agent/found.py
+++ b/cobaltpond/agent/found.py
@@ -1,4 +1,6 @@
-"""Marks of an agent's processes: they say what each is, so that one is known again though the journal is lost."""
+"""Marks of an agent's processes: they say what each is, so that one is known again though the journal is
+lost."""
+
 from zlib import crc32
 
 
@@ -11,9 +13,9 @@
 
 
 def running_here(kernel, folder: str) -> dict[str, dict]:
-    """Mark -> what the journal would know, of every living process that an agent of this folder began. Guards against a
-    lost journal that would have a place run twice what it runs already. Each counts as listed: one that is up is owed
-    a drain, and one that was starting is found by its first hits or its end."""
+    """Mark -> what the journal would know, of every living process that an agent of this folder began. Guards
+    against a lost journal that would have a place run twice what it runs already. Each counts as listed: one
+    that is up is owed a drain, and one that was starting is found by its first hits or its end."""
     found = {}
     for _, mark in kernel.marked():
         try:
@@ -21,5 +23,5 @@
             if here == folder_mark(folder):
                 found[mark] = {"mark": mark, "build": int(build), "port": int(port), "listed": True}
         except ValueError:
-            continue                                   # another program's, or of a version before
+            continue  # another program's, or of a version before
     return found
--- a/cobaltpond/agent/listing.py
+++ b/cobaltpond/agent/listing.py
@@ -1,4 +1,5 @@
 """What an agent tells the list of its instances. A part of `main.Agent`, which has the state."""
+
 import json
 
 from cobaltpond.agent.states import DRAINING
@@ -29,15 +30,22 @@
             self.tell_list(build, self.processes[build], "draining")
 
     def do_list_gone(self, build):
-        pass                                           # told when its end was seen
+        pass  # told when its end was seen
 
     def tell_list(self, build, process, state):
         if state == "gone" and process.listed is None:
             return
         process.listed = state
-        row = {"id": self.name_of(process), "zone": self.host.zone,
-               "cell": self.host.cell, "address": f"{self.host.address}:{process.port}", "build": build,
-               "state": state, "start": process.mark, "age_us": self.loop.now() - process.began}
+        row = {
+            "id": self.name_of(process),
+            "zone": self.host.zone,
+            "cell": self.host.cell,
+            "address": f"{self.host.address}:{process.port}",
+            "build": build,
+            "state": state,
+            "start": process.mark,
+            "age_us": self.loop.now() - process.began,
+        }
 
         def tell():
             """Until it is heard: what the list says must come true."""
@@ -45,8 +53,14 @@
             while True:
                 try:
                     with Deadline(self.loop, CALL_TIME):
-                        status, _ = yield from call(self.loop, split_address(self.sheet.listing.address), "POST",
-                                                    "/v1/instances", json.dumps(row).encode(), CALL_TIME)
+                        status, _ = yield from call(
+                            self.loop,
+                            split_address(self.sheet.listing.address),
+                            "POST",
+                            "/v1/instances",
+                            json.dumps(row).encode(),
+                            CALL_TIME,
+                        )
                     if status == 200:
                         slot = self.place.slots.get(build)
                         if state == "draining" and slot is not None and slot.state == DRAINING:
@@ -55,4 +69,5 @@
                 except (*FAILED, TimedOut):
                     pass
                 yield Sleep(waits.next())
+
         self.task(process.mark, "list", tell())
--- a/cobaltpond/agent/main.py
+++ b/cobaltpond/agent/main.py
@@ -1,4 +1,5 @@
 """The running agent of one host: follows the desk's orders, carries out what `states.py` says, reports."""
+
 import base64
 import json
 import os
@@ -17,12 +18,12 @@
 from cobaltpond.loop.chance import seeded
 from cobaltpond.sheet.parts import split_address
 
-LOOK = 40_000                                          # how often processes are looked at
+LOOK = 40_000  # how often processes are looked at
 REPORT = 300_000
-OUTPUT = 1 << 20                                       # bytes kept of what an instance prints
+OUTPUT = 1 << 20  # bytes kept of what an instance prints
 PORTS = 8
-LIST_PATIENCE = 5_000_000                              # how long a drain waits for the list to hear of it
-STEADY = 10_000_000                                    # up for so long, crashes before are forgiven
+LIST_PATIENCE = 5_000_000  # how long a drain waits for the list to hear of it
+STEADY = 10_000_000  # up for so long, crashes before are forgiven
 
 
 class Process:
@@ -41,11 +42,16 @@
         self.journal = Journal(kernel, self.path("journal"))
         self.store = Store(kernel, self.path("store"), builds.most)
         self.ring = self.held_ring(builds.keys)
-        self.fetcher = Fetcher(loop, self.store, [split_address(s) for s in builds.sources],
-                               seeded(kernel.seed()).randrange, builds.rate)
+        self.fetcher = Fetcher(
+            loop,
+            self.store,
+            [split_address(s) for s in builds.sources],
+            seeded(kernel.seed()).randrange,
+            builds.rate,
+        )
         self.place, self.processes, self.tasks, self.manifests = Place(), {}, {}, {}
         self.port, self.stop_asked, self.broken = 0, False, None
-        self.seen = None                               # the newest state of the release that an order told of
+        self.seen = None  # the newest state of the release that an order told of
         self.waits = Backoff(50_000, 1_000_000, kernel.seed())
 
     def path(self, *names):
@@ -57,12 +63,19 @@
 
     def run(self):
         self.recover()
-        parts = [self.loop.spawn(generator, name) for generator, name in (
-            (self.follow(), "orders"), (self.report(), "report"), (self.watch(), "watch"))]
+        parts = [
+            self.loop.spawn(generator, name)
+            for generator, name in (
+                (self.follow(), "orders"),
+                (self.report(), "report"),
+                (self.watch(), "watch"),
+            )
+        ]
         pruned = self.loop.now()
         while not self.stop_asked:
             yield Sleep(20_000)
-            # guards against an agent that lives on deaf: its journal broke under one of its tasks, or a task died
+            # guards against an agent that lives on deaf: its journal broke under one of its tasks, or a task
+            # died
             died = self.broken or next((task.trouble for task in parts if task.done), None)
             if died is not None:
                 raise died
@@ -70,7 +83,7 @@
                 pruned = self.loop.now()
                 self.prune()
 
-    # --- keys ----------------------------------------------------------------------------------------------------
+    # --- keys -----------------------------------------------------------------------------------------------
 
     def held_ring(self, given: str) -> Ring:
         """The ring that was taken last, or the sheet's where that is later."""
@@ -83,8 +96,9 @@
     def take_rings(self, chain):
         """The desk hands on what a key of the ring held here has signed; it cannot make one up."""
         try:
-            ring, taken = rings_after(self.ring, [base64.b64decode(one) for one in chain],
-                                      self.loop.kernel.wall() // 1_000_000)
+            ring, taken = rings_after(
+                self.ring, [base64.b64decode(one) for one in chain], self.loop.kernel.wall() // 1_000_000
+            )
         except Unfit as trouble:
             self.log.error("key ring refused", why=f"{type(trouble).__name__}: {trouble}")
             return
@@ -93,7 +107,7 @@
             self.ring = ring
             self.log.info("key ring", version=ring.version, keys=[key.id for key in ring.keys])
 
-    # --- over a restart ------------------------------------------------------------------------------------------
+    # --- over a restart -------------------------------------------------------------------------------------
 
     def recover(self):
         """The last order and the marks of processes that were begun come from the journal; a process that
@@ -110,10 +124,13 @@
                 marks[record["listed"]] = {**marks[record["listed"]], "listed": True}
             marks.pop(record.get("ended"), None)
         for mark, row in running_here(self.loop.kernel, self.host.folder).items():
-            if mark not in marks:                      # the journal was lost, or an older copy of it was put back
+            if mark not in marks:  # the journal was lost, or an older copy of it was put back
                 self.log.warning("taken on without a journal", build=row["build"], port=row["port"])
-                marks = {m: known for m, known in marks.items() if known["build"] != row["build"]
-                         or self.loop.kernel.adopt(m)} | {mark: row}
+                marks = {
+                    m: known
+                    for m, known in marks.items()
+                    if known["build"] != row["build"] or self.loop.kernel.adopt(m)
+                } | {mark: row}
                 unknown.append(row["build"])
                 self.note({"begun": row})
         self.place.generation = order["generation"] if order else -1
@@ -127,7 +144,7 @@
                 self.processes[row["build"]] = process
                 process.listed = "up" if row.get("listed") else None
                 self.log.info("taken on", build=row["build"], pid=child.pid)
-            else:                                      # it ended while nobody looked: the list may still show it
+            else:  # it ended while nobody looked: the list may still show it
                 process.listed = "unknown"
                 self.tell_list(row["build"], process, "gone")
                 self.note({"ended": row["mark"]})
@@ -148,9 +165,15 @@
     def note(self, record):
         try:
             if self.journal.long:
-                self.journal.snapshot({"order": self.last_order(), "processes": [
-                    {"build": p.build, "mark": p.mark, "port": p.port, "listed": p.listed is not None}
-                    for p in self.processes.values()]})
+                self.journal.snapshot(
+                    {
+                        "order": self.last_order(),
+                        "processes": [
+                            {"build": p.build, "mark": p.mark, "port": p.port, "listed": p.listed is not None}
+                            for p in self.processes.values()
+                        ],
+                    }
+                )
             self.journal.append(record)
             self.journal.sync()
         except Broken as trouble:
@@ -158,13 +181,17 @@
             raise
 
     def last_order(self):
-        return {"generation": self.place.generation, "seen": self.seen,
-                "wishes": {str(b): s.wish for b, s in self.place.slots.items()}}
+        return {
+            "generation": self.place.generation,
+            "seen": self.seen,
+            "wishes": {str(b): s.wish for b, s in self.place.slots.items()},
+        }
 
-    # --- orders and reports --------------------------------------------------------------------------------------
+    # --- orders and reports ---------------------------------------------------------------------------------
 
     def follow(self):
         """The desk's orders, for ever; it says them again with each period of its news."""
+
         def take(told):
             for one in told:
                 if "rings" in one:
@@ -175,9 +202,17 @@
         def broken(trouble):
             self.log.warning("desk out of reach", why=f"{type(trouble).__name__}: {trouble}")
 
-        yield from follow(self.loop, split_address(self.sheet.desk.address),
-                          lambda: f"/v1/orders?place={self.host.place}", take, 3 * self.sheet.release.news_period,
-                          CALL_TIME, self.waits, broken, (KeyError, TypeError, ValueError))
+        yield from follow(
+            self.loop,
+            split_address(self.sheet.desk.address),
+            lambda: f"/v1/orders?place={self.host.place}",
+            take,
+            3 * self.sheet.release.news_period,
+            CALL_TIME,
+            self.waits,
+            broken,
+            (KeyError, TypeError, ValueError),
+        )
 
     def order(self, order):
         wishes = {int(build): wish for build, wish in order["wishes"].items()}
@@ -186,15 +221,21 @@
             self.seen = seen
         if order["generation"] <= self.place.generation:
             return
-        self.note({"order": order})                    # before anything is done for it
+        self.note({"order": order})  # before anything is done for it
         self.log.info("order", generation=order["generation"], wishes=order["wishes"])
         self.act(self.place.order(order["generation"], wishes))
 
     def said(self):
-        return {"place": self.host.place, "generation": max(0, self.place.generation), "seen": self.seen,
-                "done": self.place.carried_out(), "slots": [
-                    {"build": b, "state": s.state, "id": self.id_of(b), "why": s.why}
-                    for b, s in self.place.slots.items()]}
+        return {
+            "place": self.host.place,
+            "generation": max(0, self.place.generation),
+            "seen": self.seen,
+            "done": self.place.carried_out(),
+            "slots": [
+                {"build": b, "state": s.state, "id": self.id_of(b), "why": s.why}
+                for b, s in self.place.slots.items()
+            ],
+        }
 
     def report(self):
         """At every change, and now and then all the same."""
@@ -204,14 +245,20 @@
             if said != last or self.loop.now() - at > REPORT:
                 try:
                     with Deadline(self.loop, CALL_TIME):
-                        status, _ = yield from call(self.loop, split_address(self.sheet.desk.address), "POST",
-                                                    "/v1/reports", json.dumps(said).encode(), CALL_TIME)
+                        status, _ = yield from call(
+                            self.loop,
+                            split_address(self.sheet.desk.address),
+                            "POST",
+                            "/v1/reports",
+                            json.dumps(said).encode(),
+                            CALL_TIME,
+                        )
                     last, at = (said if status == 200 else None), self.loop.now()
                 except (*FAILED, TimedOut):
                     last = None
             yield Sleep(20_000)
 
-    # --- what the states ask for ---------------------------------------------------------------------------------
+    # --- what the states ask for ----------------------------------------------------------------------------
 
     def event(self, build, event, why=""):
         slot = self.place.slots.get(build)
@@ -240,6 +287,7 @@
         def wait():
             yield Sleep(delay)
             self.event(build, event)
+
         self.task(build, event, wait())
 
     def do_fetch(self, build):
@@ -256,10 +304,12 @@
             else:
                 signed = yield from self.fetcher.manifest(build, MOST_BYTES)
                 now = self.loop.kernel.wall() // 1_000_000
-                manifest = read_manifest(signed, self.ring, now, ordered=build, most_size=self.sheet.builds.most)
+                manifest = read_manifest(
+                    signed, self.ring, now, ordered=build, most_size=self.sheet.builds.most
+                )
                 self.manifests[build] = manifest, signed
                 yield from self.fetcher.fetch(manifest)
-        except Exception as trouble:                   # whatever it is, the build is not here, and that must show
+        except Exception as trouble:  # whatever it is, the build is not here, and that must show
             if not isinstance(trouble, FetchFailed | Unfit | Full):
                 self.log.error("fetch failed", build=build, exc_info=True)
             self.event(build, "unfetched", f"{type(trouble).__name__}: {trouble}")
@@ -268,6 +318,7 @@
 
     def do_check(self, build):
         """In a task of its own, so that the event comes after the state has changed."""
+
         def check():
             manifest, signed = self.manifests[build]
             try:
@@ -280,10 +331,12 @@
                 return
             self.event(build, "checked")
             yield from ()
+
         self.task(build, "check", check())
 
     def do_start(self, build):
-        """The mark is on disk before the process is: a crash between the two leaves a mark that nobody carries."""
+        """The mark is on disk before the process is: a crash between the two leaves a mark that nobody
+        carries."""
         manifest, _ = self.manifests.get(build) or self.remember(build)
         taken = {p.port for p in self.processes.values()}
         for _ in range(PORTS):
@@ -320,14 +373,21 @@
             while self.loop.now() < end:
                 try:
                     with Deadline(self.loop, CALL_TIME):
-                        status, _ = yield from call(self.loop, (self.host.address, process.port), "GET",
-                                                    manifest.health, b"", CALL_TIME)
+                        status, _ = yield from call(
+                            self.loop,
+                            (self.host.address, process.port),
+                            "GET",
+                            manifest.health,
+                            b"",
+                            CALL_TIME,
+                        )
                     if status == 200:
                         return self.event(build, "ready")
                 except (*FAILED, TimedOut):
                     pass
                 yield Sleep(LOOK)
             self.event(build, "late", "not ready in time")
+
         self.task(build, "probe", probe())
 
     def watch(self):
@@ -361,8 +421,9 @@
         self.signal(build, "KILL")
 
     def do_wait_drained(self, build):
-        """The drain begins when the list has heard of it, see `tell_list`: guards against an instance that is ended
-        before any gateway can know. A list that stays out of reach does not hold a take-back for ever."""
+        """The drain begins when the list has heard of it, see `tell_list`: guards against an instance that is
+        ended before any gateway can know. A list that stays out of reach does not hold a take-back for
+        ever."""
         self.after(build, self.sheet.release.drain_time + LIST_PATIENCE, "drained")
 
     def do_wait_overdue(self, build):
@@ -377,8 +438,11 @@
     def prune(self):
         """Never what runs or may be returned to: every build that the order names is kept."""
         keep = set(self.place.slots) | {p.build for p in self.processes.values()}
-        needed = {name for build in keep for name in (
-            self.manifests[build][0].chunks() if build in self.manifests else ())}
+        needed = {
+            name
+            for build in keep
+            for name in (self.manifests[build][0].chunks() if build in self.manifests else ())
+        }
         gone = self.store.prune(keep, self.sheet.builds.prune_after, needed)
         if gone:
             self.log.info("pruned", builds=gone)
@@ -387,4 +451,3 @@
 def run_agent(kernel, sheet, host, log) -> None:
     """Until a signal to stop. Raises Refused where another agent has this folder."""
     run_part(kernel, lambda loop: Agent(loop, sheet, host, log), log, "agent")
-
--- a/cobaltpond/agent/states.py
+++ b/cobaltpond/agent/states.py
@@ -1,17 +1,40 @@
 """What an agent does about one build in its place: a state machine free of I/O, every (state, event) defined.
 
-Orders are wishes: `run` it, `keep` it fetched and sound, or have it `gone`. They carry a generation; older and
-repeated ones change nothing. A wish is followed at once from any state: nothing waits for the step under way, and what
-that step brings later is an event that its state ignores.
+Orders are wishes: `run` it, `keep` it fetched and sound, or have it `gone`. They carry a generation; older
+and repeated ones change nothing. A wish is followed at once from any state: nothing waits for the step under
+way, and what that step brings later is an event that its state ignores.
 """
+
 ABSENT, FETCHING, CHECKING, HELD, STARTING, UP, DRAINING, STOPPING, RESTING, FAILED = (
-    "absent", "fetching", "checking", "held", "starting", "up", "draining", "stopping", "resting", "failed")
+    "absent",
+    "fetching",
+    "checking",
+    "held",
+    "starting",
+    "up",
+    "draining",
+    "stopping",
+    "resting",
+    "failed",
+)
 STATES = (ABSENT, FETCHING, CHECKING, HELD, STARTING, UP, DRAINING, STOPPING, RESTING, FAILED)
 WISHES = ("run", "keep", "gone")
-EVENTS = (*WISHES, "fetched", "unfetched", "checked", "unsound", "ready", "late", "exited", "drained", "overdue",
-          "rested", "steady")
-MOST_CRASHES = 4                                       # in a row, before it counts as failed
-FIRST_REST, MOST_REST = 250_000, 4_000_000             # microseconds; doubles
+EVENTS = (
+    *WISHES,
+    "fetched",
+    "unfetched",
+    "checked",
+    "unsound",
+    "ready",
+    "late",
+    "exited",
+    "drained",
+    "overdue",
+    "rested",
+    "steady",
+)
+MOST_CRASHES = 4  # in a row, before it counts as failed
+FIRST_REST, MOST_REST = 250_000, 4_000_000  # microseconds; doubles
 
 # state: event -> (next state, actions). "?" is where the wish leads: see `aim`. What is not named is ignored.
 TABLE = {
@@ -20,12 +43,24 @@
     CHECKING: {"gone": (ABSENT,), "checked": ("?",), "unsound": (FAILED,)},
     HELD: {"run": (STARTING, "start"), "gone": (ABSENT,)},
     # it has never been listed: no drain is owed, and a take-back does not wait for it to become ready
-    STARTING: {"keep": (STOPPING, "kill"), "gone": (STOPPING, "kill"), "ready": (UP, "list up", "wait steady"),
-               "late": (STOPPING, "kill", "count crash"), "exited": ("crash",)},
-    UP: {"keep": (DRAINING, "list draining", "wait drained"), "gone": (DRAINING, "list draining", "wait drained"),
-         "exited": ("crash", "list gone"), "steady": (UP, "forgive")},
-    DRAINING: {"run": (UP, "list up", "wait steady"), "drained": (STOPPING, "stop", "wait overdue"),
-               "exited": ("?", "list gone")},
+    STARTING: {
+        "keep": (STOPPING, "kill"),
+        "gone": (STOPPING, "kill"),
+        "ready": (UP, "list up", "wait steady"),
+        "late": (STOPPING, "kill", "count crash"),
+        "exited": ("crash",),
+    },
+    UP: {
+        "keep": (DRAINING, "list draining", "wait drained"),
+        "gone": (DRAINING, "list draining", "wait drained"),
+        "exited": ("crash", "list gone"),
+        "steady": (UP, "forgive"),
+    },
+    DRAINING: {
+        "run": (UP, "list up", "wait steady"),
+        "drained": (STOPPING, "stop", "wait overdue"),
+        "exited": ("?", "list gone"),
+    },
     STOPPING: {"overdue": (STOPPING, "kill"), "exited": ("?", "list gone")},
     RESTING: {"keep": (HELD,), "gone": (ABSENT,), "rested": ("?",)},
     FAILED: {"run": (FETCHING, "fetch"), "keep": (FETCHING, "fetch"), "gone": (ABSENT,)},
@@ -48,7 +83,7 @@
             raise ValueError(f"no event {event!r}")
         if event in WISHES:
             if event == "run" and self.wish != "run" or self.state == FAILED:
-                self.crashes = 0                       # a new order is a new beginning
+                self.crashes = 0  # a new order is a new beginning
             self.wish = event
         row = TABLE[self.state].get(event)
         if row is None:
@@ -56,7 +91,7 @@
         to, *actions = row
         if why:
             self.why = why
-        if "forgive" in actions:                       # up for long: the next crash is the first of a row
+        if "forgive" in actions:  # up for long: the next crash is the first of a row
             actions.remove("forgive")
             self.crashes = 0
         if "count crash" in actions:
@@ -83,9 +118,9 @@
         return min(MOST_REST, FIRST_REST << max(0, self.crashes - 1))
 
     def adopted(self, listed: bool) -> list[str]:
-        """After a restart of the agent: its process is found alive. One that has been listed is up, and a drain is
-        owed to it: taken for one that starts, it was killed without one, before its successor was there (found by
-        `tests/test_together.py`). What is wished now decides, through the ordinary events."""
+        """After a restart of the agent: its process is found alive. One that has been listed is up, and a
+        drain is owed to it: taken for one that starts, it was killed without one, before its successor was
+        there (found by `tests/test_together.py`). What is wished now decides, through the ordinary events."""
         self.state = UP if listed else STARTING
         return (["list up", "wait steady"] if listed and self.wish == "run" else []) + self.on(self.wish)
 
--- a/cobaltpond/benchlink/__main__.py
+++ b/cobaltpond/benchlink/__main__.py
@@ -1,4 +1,5 @@
 """python -m cobaltpond.benchlink: batches of events in, one reply a batch out."""
+
 import sys
 
 from cobaltpond.benchlink.link import WireError, serve
--- a/cobaltpond/builds/fetch.py
+++ b/cobaltpond/builds/fetch.py
@@ -1,8 +1,10 @@
 """Fetches what a store lacks of a build, from several sources over HTTP with ranges (RFC 9110, 14).
 
 A chunk that was cut goes on at the byte where it stopped. What a source may cost is bounded: a time for each
-chunk (a server that sends slowly for ever), a length, a few redirects within the known sources, bytes a second.
+chunk (a server that sends slowly for ever), a length, a few redirects within the known sources, bytes a
+second.
 """
+
 from urllib.parse import urlsplit
 
 from cobaltpond.builds.manifest import Manifest
@@ -53,14 +55,29 @@
 class Fetcher:
     """`sources`: addresses (host, port). `least_rate`: bytes a second below which a source counts as slow."""
 
-    def __init__(self, loop, store: Store, sources: list, chance, rate: int = 0, dial_time: int = 500_000,
-                 least_rate: int = 64 << 10, grace: int = 2_000_000):
+    def __init__(
+        self,
+        loop,
+        store: Store,
+        sources: list,
+        chance,
+        rate: int = 0,
+        dial_time: int = 500_000,
+        least_rate: int = 64 << 10,
+        grace: int = 2_000_000,
+    ):
         self.loop, self.store, self.sources, self.chance = loop, store, sources, chance
-        self.rate, self.dial_time, self.least_rate, self.grace = Rate(loop, rate), dial_time, least_rate, grace
+        self.rate, self.dial_time, self.least_rate, self.grace = (
+            Rate(loop, rate),
+            dial_time,
+            least_rate,
+            grace,
+        )
         self.parts, self.bytes, self.lost = {}, 0, {}
 
     def manifest(self, build: int, most: int):
-        """The bytes of a build's manifest, unchecked, from the first source that has it. Raises FetchFailed."""
+        """The bytes of a build's manifest, unchecked, from the first source that has it. Raises
+        FetchFailed."""
         wrong = "no source"
         for source in self.sources:
             try:
@@ -90,7 +107,9 @@
                         plan.lost(self.loop.now(), name, how, len(self.parts.get(name, b"")))
                 elif step[0] == "get":
                     chunk = step[1]
-                    tasks[chunk.name] = self.loop.spawn(self.one(chunk, step[2], ended), f"chunk-{chunk.name[:8]}")
+                    tasks[chunk.name] = self.loop.spawn(
+                        self.one(chunk, step[2], ended), f"chunk-{chunk.name[:8]}"
+                    )
                 elif step[0] == "wait":
                     yield Sleep(step[1] - self.loop.now())
                 elif step[0] == "done":
@@ -115,7 +134,7 @@
             how = no.how
         except WrongDigest:
             how = "digest"
-        except Exception as other:                     # the store's: ends the fetch
+        except Exception as other:  # the store's: ends the fetch
             trouble = other
         if how in ("digest", "length", "redirect"):
             self.parts.pop(chunk.name, None)
@@ -131,7 +150,7 @@
             if url.netloc:
                 known = [s for s in self.sources if f"{s[0]}:{s[1]}" == url.netloc]
                 if not known:
-                    raise Asked("redirect")            # to nobody that we know
+                    raise Asked("redirect")  # to nobody that we know
                 source = known[0]
             path = url.path
         raise Asked("redirect")
@@ -151,7 +170,7 @@
             parser = http1.ResponseParser(http1.Limits(body=most + 1))
             while True:
                 data = yield from connection.read()
-                for kind, value in (parser.feed(data) if data else parser.closed()):
+                for kind, value in parser.feed(data) if data else parser.closed():
                     if kind == "head":
                         if value.status in (301, 302, 307, 308):
                             return (value.get(b"location") or b"").decode("latin-1")
--- a/cobaltpond/builds/manifest.py
+++ b/cobaltpond/builds/manifest.py
@@ -4,9 +4,11 @@
     <body: one JSON object>
     sig <key id> <base64 of the Ed25519 signature (RFC 8032) over the first two lines>
 
-One good signature of a key that is in its time is enough; others may stand beside it, so that keys can be rotated.
-Each way in which a manifest is unfit has its own error: what a host refuses, and why, must be told apart.
+One good signature of a key that is in its time is enough; others may stand beside it, so that keys can be
+rotated. Each way in which a manifest is unfit has its own error: what a host refuses, and why, must be told
+apart.
 """
+
 import base64
 import binascii
 import hashlib
@@ -82,12 +84,14 @@
 
 class Earlier(Struct, frozen=True, forbid_unknown_fields=True):
     """The build that a host returns to when this one is taken back."""
+
     build: Whole
     digest: Digest
 
 
 class Manifest(Struct, frozen=True, forbid_unknown_fields=True):
     """`made` and `expires` in seconds since 1970; `chunk`: bytes of each chunk of a file but its last."""
+
     build: Annotated[int, Meta(ge=1, lt=65536)]
     made: Whole
     expires: Whole
@@ -111,7 +115,8 @@
 
 
 def coherent(manifest: Manifest) -> None:
-    """Raises Malformed where the parts do not fit together, or a path would lead out of the build's folder."""
+    """Raises Malformed where the parts do not fit together, or a path would lead out of the build's
+    folder."""
     seen, sizes = set(), {}
     for file in manifest.files:
         parts = file.path.split("/")
@@ -136,6 +141,7 @@
 
 class Key(Struct, frozen=True, forbid_unknown_fields=True):
     """`public`: 32 bytes as base64; in its time from `since` up to `until`, seconds since 1970."""
+
     id: Annotated[str, Meta(pattern="^[A-Za-z0-9_.-]{1,40}$")]
     public: str
     since: Whole
@@ -143,7 +149,9 @@
 
 
 class Ring(Struct, frozen=True, forbid_unknown_fields=True):
-    """The keys that a host trusts. A new ring comes signed by a key of the old one and has a higher version."""
+    """The keys that a host trusts. A new ring comes signed by a key of the old one and has a higher
+    version."""
+
     version: Whole
     keys: list[Key]
 
@@ -158,7 +166,8 @@
                 continue
             try:
                 Ed25519PublicKey.from_public_bytes(base64.b64decode(key.public, validate=True)).verify(
-                    signature, signed)
+                    signature, signed
+                )
             except (InvalidSignature, ValueError):
                 wrong = WronglySigned(f"the signature of {id} does not fit")
                 continue
@@ -170,8 +179,9 @@
 
 def seal(magic: bytes, body: bytes, signers: dict[str, Ed25519PrivateKey]) -> bytes:
     signed = b"%s %d\n%s\n" % (magic, len(body), body)
-    return signed + b"".join(b"sig %s %s\n" % (id.encode(), base64.b64encode(key.sign(signed)))
-                             for id, key in signers.items())
+    return signed + b"".join(
+        b"sig %s %s\n" % (id.encode(), base64.b64encode(key.sign(signed))) for id, key in signers.items()
+    )
 
 
 def opened(magic: bytes, data: bytes, most: int) -> tuple[bytes, bytes, list]:
@@ -181,13 +191,19 @@
     head, found, rest = data.partition(b"\n")
     name, _, length = head.partition(b" ")
     if name != magic or not length.isdigit() or len(length) > 9:
-        if not found and (magic + b" ").startswith(head[:len(magic) + 1]):
+        if not found and (magic + b" ").startswith(head[: len(magic) + 1]):
             raise Truncated("it ends in its first line")
         raise Malformed("no such first line")
     if int(length) > most:
         raise Oversized(f"a body of {int(length)} bytes, {most} are allowed")
-    body, tail = rest[:int(length)], rest[int(length):]
-    if len(body) < int(length) or not tail.startswith(b"\n") and not tail or tail and not tail.endswith(b"\n"):
+    body, tail = rest[: int(length)], rest[int(length) :]
+    if (
+        len(body) < int(length)
+        or not tail.startswith(b"\n")
+        and not tail
+        or tail
+        and not tail.endswith(b"\n")
+    ):
         raise Truncated(f"{len(data)} bytes, more were announced")
     signatures = []
     for line in tail[1:].splitlines():
@@ -198,13 +214,14 @@
             signatures.append((words[1].decode(), base64.b64decode(words[2], validate=True)))
         except (ValueError, binascii.Error):
             raise Malformed("a line that is no signature") from None
-    return data[:len(head) + 1 + int(length) + 1], body, signatures
+    return data[: len(head) + 1 + int(length) + 1], body, signatures
 
 
-def read_manifest(data: bytes, ring: Ring, now: int, ordered: int | None = None, least: int = 0,
-                  most_size: int = 4 << 30) -> Manifest:
-    """A manifest that holds. `now`: seconds since 1970; `ordered`: the build that is meant; `least`: no earlier one
-    is taken. Signatures are checked before the body is read. Raises a subclass of Unfit."""
+def read_manifest(
+    data: bytes, ring: Ring, now: int, ordered: int | None = None, least: int = 0, most_size: int = 4 << 30
+) -> Manifest:
+    """A manifest that holds. `now`: seconds since 1970; `ordered`: the build that is meant; `least`: no
+    earlier one is taken. Signatures are checked before the body is read. Raises a subclass of Unfit."""
     signed, body, signatures = opened(MAGIC, data, MOST_BYTES)
     ring.check(now, signed, signatures)
     try:
@@ -224,9 +241,10 @@
 
 
 def held_manifest(data: bytes) -> Manifest:
-    """One that was checked when it came and has been in the store since: neither keys nor times are asked again.
-    Guards against an earlier build that nobody can go back to, because its key was rotated out, or its time passed,
-    while it ran. What its tree holds is still checked. Raises Malformed, Truncated or Oversized."""
+    """One that was checked when it came and has been in the store since: neither keys nor times are asked
+    again. Guards against an earlier build that nobody can go back to, because its key was rotated out, or its
+    time passed, while it ran. What its tree holds is still checked. Raises Malformed, Truncated or
+    Oversized."""
     _, body, _ = opened(MAGIC, data, MOST_BYTES)
     try:
         manifest = msgspec.json.decode(body, type=Manifest)
@@ -247,7 +265,7 @@
         ring = msgspec.json.decode(body, type=Ring)
     except msgspec.DecodeError as trouble:
         raise Malformed(str(trouble)) from None
-    if ring.version <= held.version:                   # first: whoever signed an old one may be out of the ring by now
+    if ring.version <= held.version:  # first: whoever signed an old one may be out of the ring by now
         raise Downgraded(f"key ring {ring.version}, {held.version} is held")
     held.check(now, signed, signatures)
     if not any(key.since <= now < key.until for key in ring.keys):
@@ -256,9 +274,10 @@
 
 
 def rings_after(held: Ring, chain: list[bytes], now: int) -> tuple[Ring, list[bytes]]:
-    """(the ring that a chain of signed rings leads to, those of the chain that were taken). Each one is signed by a
-    key of the one before; those that are held already are passed over, so that a host that was away for several
-    rotations follows each of them. Raises a subclass of Unfit at the first one that does not hold."""
+    """(the ring that a chain of signed rings leads to, those of the chain that were taken). Each one is
+    signed by a key of the one before; those that are held already are passed over, so that a host that was
+    away for several rotations follows each of them. Raises a subclass of Unfit at the first one that does not
+    hold."""
     taken = []
     for data in chain:
         try:
@@ -275,4 +294,4 @@
 
 def cut(data: bytes, size: int) -> list[bytes]:
     """The chunks of a file."""
-    return [data[n:n + size] for n in range(0, len(data), size)]
+    return [data[n : n + size] for n in range(0, len(data), size)]
--- a/cobaltpond/builds/plan.py
+++ b/cobaltpond/builds/plan.py
@@ -1,17 +1,18 @@
 """Which chunk is asked of which source, when, and when to give up: the decisions of a fetch, free of I/O.
 
-Each source waits after a failure, twice as long each time, with jitter, up to a bound; one answer that is whole ends
-that. All repeats come out of one shared budget, so that a fetch that gets nowhere ends. A source that lies (wrong
-digest, wrong length, a redirect loop) is not asked for that chunk again, and after `LIES` of them for nothing.
-Times are microseconds.
+Each source waits after a failure, twice as long each time, with jitter, up to a bound; one answer that is
+whole ends that. All repeats come out of one shared budget, so that a fetch that gets nowhere ends. A source
+that lies (wrong digest, wrong length, a redirect loop) is not asked for that chunk again, and after `LIES` of
+them for nothing. Times are microseconds.
 """
+
 from dataclasses import dataclass, field
 
 FIRST_WAIT, MOST_WAIT = 100_000, 5_000_000
 LIES = 3
-BUDGET_LEAST, BUDGET_SHARE = 20, 0.5                   # repeats: at least so many, and so many a chunk
-FAILED = ("refused", "cut", "slow", "status")          # may be better next time
-LIED = ("digest", "length", "redirect")                # will not be better from this source
+BUDGET_LEAST, BUDGET_SHARE = 20, 0.5  # repeats: at least so many, and so many a chunk
+FAILED = ("refused", "cut", "slow", "status")  # may be better next time
+LIED = ("digest", "length", "redirect")  # will not be better from this source
 
 
 @dataclass
@@ -31,9 +32,9 @@
 class Chunk:
     name: str
     size: int
-    have: int = 0                                      # bytes that came before a cut
+    have: int = 0  # bytes that came before a cut
     asked_of: object = None
-    denied: set = field(default_factory=set)           # sources that lied about it
+    denied: set = field(default_factory=set)  # sources that lied about it
 
 
 class FetchPlan:
@@ -51,7 +52,8 @@
         return not self.todo and not self.out
 
     def next(self, now: int):
-        """("get", chunk, source), ("wait", until), ("done",) or ("failed", why). None: wait for what is out."""
+        """("get", chunk, source), ("wait", until), ("done",) or ("failed", why). None: wait for what is
+        out."""
         if self.failed:
             return None if self.out else ("failed", self.failed)
         if self.done:
--- a/cobaltpond/builds/store.py
+++ b/cobaltpond/builds/store.py
@@ -4,8 +4,10 @@
     builds/<number>/        manifest, and the tree under `tree/`
     *.new                   whatever was under way at a crash; removed at the next start
 
-Everything is written aside, synced, renamed, and the folder synced. A folder `builds/N` is there only when it is whole.
+Everything is written aside, synced, renamed, and the folder synced. A folder `builds/N` is there only when it
+is whole.
 """
+
 import os
 
 from cobaltpond.builds.manifest import Manifest, digest
@@ -24,7 +26,8 @@
 
 
 class Store:
-    """`most`: bytes that chunks and builds may take together; `spare`: bytes of the disk that are left free."""
+    """`most`: bytes that chunks and builds may take together; `spare`: bytes of the disk that are left
+    free."""
 
     def __init__(self, kernel, folder: str, most: int = 1 << 40, spare: int = 64 << 20):
         self.kernel, self.folder, self.most, self.spare = kernel, folder, most, spare
@@ -62,7 +65,8 @@
         return self.kernel.read_file(self.path("builds", str(build), "manifest"))
 
     def missing(self, manifest: Manifest) -> dict[str, int]:
-        """Digest to size of what is still to be fetched; what another build has brought is not fetched again."""
+        """Digest to size of what is still to be fetched; what another build has brought is not fetched
+        again."""
         return {name: size for name, size in manifest.chunks().items() if self.chunks.get(name) != size}
 
     def room_for(self, size: int) -> None:
@@ -88,7 +92,7 @@
             self.kernel.write_file(path + ".new", data)
             self.kernel.rename(path + ".new", path)
             self.kernel.sync_folder(folder)
-        except OSError as trouble:                     # a disk that fills up between the look and the write
+        except OSError as trouble:  # a disk that fills up between the look and the write
             self.kernel.remove(path + ".new")
             raise Full(str(trouble)) from trouble
         self.chunks[name] = len(data)
@@ -140,7 +144,7 @@
             data = self.kernel.read_file(os.path.join(self.tree(manifest.build), file.path))
             if data is None or len(data) != file.size:
                 return False
-            pieces = [data[n:n + manifest.chunk] for n in range(0, len(data), manifest.chunk)]
+            pieces = [data[n : n + manifest.chunk] for n in range(0, len(data), manifest.chunk)]
             if [digest(piece) for piece in pieces] != file.chunks:
                 return False
         return True
@@ -154,10 +158,13 @@
             self.kernel.remove(place + ".new")
 
     def prune(self, keep: set[int], age: int, needed: set[str]) -> list[int]:
-        """Removes builds older than `age` microseconds that are not in `keep` (what runs or may be returned to),
-        then chunks that neither a build that stays nor `needed` (what is being fetched) names."""
-        gone = [build for build in self.builds() if build not in keep
-                and self.kernel.age(self.path("builds", str(build), "manifest")) >= age]
+        """Removes builds older than `age` microseconds that are not in `keep` (what runs or may be returned
+        to), then chunks that neither a build that stays nor `needed` (what is being fetched) names."""
+        gone = [
+            build
+            for build in self.builds()
+            if build not in keep and self.kernel.age(self.path("builds", str(build), "manifest")) >= age
+        ]
         for build in gone:
             self.discard(build)
         named = set(needed)
@@ -173,8 +180,10 @@
 
 
 def chunk_names(signed: bytes) -> set[str]:
-    """The chunks that a manifest on disk names. It was checked when it came, so its signature is not asked again."""
+    """The chunks that a manifest on disk names. It was checked when it came, so its signature is not asked
+    again."""
     import msgspec
+
     body = signed.split(b"\n", 2)[1] if signed.count(b"\n") > 1 else b"{}"
     try:
         return set(msgspec.json.decode(body, type=Manifest).chunks())
--- a/cobaltpond/calls/client.py
+++ b/cobaltpond/calls/client.py
@@ -1,11 +1,12 @@
 """Short calls and long streams to the list and the desk, over HTTP/1.1 with JSON lines."""
+
 from cobaltpond.decisions.records import Chance
 from cobaltpond.loop import Deadline, HandlesUsedUp, PeerLost, Refused, Sleep, TimedOut, Unreachable, dial
 from cobaltpond.wire import http1
 from cobaltpond.wire.lines import BadLine, Lines
 
-LIMITS = http1.Limits(head=64 << 10, body=1 << 40)      # of a stream, whose lines have a bound of their own
-WHOLE = http1.Limits(head=64 << 10, body=8 << 20)      # of an answer that is kept whole
+LIMITS = http1.Limits(head=64 << 10, body=1 << 40)  # of a stream, whose lines have a bound of their own
+WHOLE = http1.Limits(head=64 << 10, body=8 << 20)  # of an answer that is kept whole
 FAILED = (PeerLost, Refused, Unreachable, HandlesUsedUp, http1.BadMessage, BadLine)
 NOT_SENT = (Refused, Unreachable, HandlesUsedUp)
 
@@ -30,12 +31,18 @@
     connection = yield from dial(loop, address, dial_time)
     try:
         host = f"{address[0]}:{address[1]}".encode()
-        yield from connection.write(http1.request(method, target, [
-            (b"host", host), (b"connection", b"close"), (b"content-type", b"application/json")], body))
+        yield from connection.write(
+            http1.request(
+                method,
+                target,
+                [(b"host", host), (b"connection", b"close"), (b"content-type", b"application/json")],
+                body,
+            )
+        )
         parser, status, parts = http1.ResponseParser(WHOLE), 0, []
         while True:
             data = yield from connection.read()
-            for kind, value in (parser.feed(data) if data else parser.closed()):
+            for kind, value in parser.feed(data) if data else parser.closed():
                 if kind == "head":
                     status = value.status
                 elif kind == "body":
@@ -47,7 +54,8 @@
 
 
 class LineStream:
-    """A long answer of JSON lines. `open` first; then `next` gives lists of objects until the peer ends it."""
+    """A long answer of JSON lines. `open` first; then `next` gives lists of objects until the peer ends
+    it."""
 
     def __init__(self, loop, address):
         self.loop, self.address, self.connection = loop, address, None
@@ -64,7 +72,7 @@
         objects = []
         while not objects:
             data = yield from self.connection.read()
-            for kind, value in (self.parser.feed(data) if data else self.parser.closed()):
+            for kind, value in self.parser.feed(data) if data else self.parser.closed():
                 if kind == "head" and value.status != 200:
                     raise PeerLost(f"status {value.status}")
                 if kind == "body":
@@ -79,9 +87,10 @@
 
 
 def follow(loop, address, target, take, silence: int, dial_time: int, waits: Backoff, broken, also=()):
-    """A stream of JSON lines, taken up again for ever. `target()` is asked at each try; `take(objects)` gets what
-    comes; `broken(trouble)` hears of what FAILED names, TimedOut and `also`, which `take` may raise. Silence of
-    `silence` microseconds counts as a broken stream: guards against a peer that is gone without a word."""
+    """A stream of JSON lines, taken up again for ever. `target()` is asked at each try; `take(objects)` gets
+    what comes; `broken(trouble)` hears of what FAILED names, TimedOut and `also`, which `take` may raise.
+    Silence of `silence` microseconds counts as a broken stream: guards against a peer that is gone without a
+    word."""
     while True:
         stream = LineStream(loop, address)
         try:
--- a/cobaltpond/calls/server.py
+++ b/cobaltpond/calls/server.py
@@ -1,4 +1,5 @@
 """A small HTTP/1.1 service: one handler a request, whole bodies, JSON answers, streams of JSON lines."""
+
 import json
 from dataclasses import dataclass
 from urllib.parse import parse_qsl, urlsplit
@@ -38,8 +39,8 @@
 
 
 class Stream:
-    """An answer without end: lines are put, a reader that falls too far behind is cut off. `closed` is set when
-    either side has ended it."""
+    """An answer without end: lines are put, a reader that falls too far behind is cut off. `closed` is set
+    when either side has ended it."""
 
     def __init__(self, most: int = 256):
         self.queue, self.closed, self.over = Queue(most), Event(), False
@@ -56,7 +57,11 @@
 
 
 def json_answer(status: int, value) -> tuple:
-    return status, [(b"content-type", b"application/json")], json.dumps(value, separators=(",", ":")).encode() + b"\n"
+    return (
+        status,
+        [(b"content-type", b"application/json")],
+        json.dumps(value, separators=(",", ":")).encode() + b"\n",
+    )
 
 
 def service(loop, listener, handler, name: str, most: int = 2048, idle: int = 120_000_000, log=None):
@@ -117,9 +122,12 @@
             except PeerLost:
                 pass
             lines.end()
+
         watcher = loop.spawn(watch(), f"{name}-watch")
         try:
-            yield from connection.write(http1.bare(200, [(b"content-type", b"application/x-ndjson")], False, True))
+            yield from connection.write(
+                http1.bare(200, [(b"content-type", b"application/x-ndjson")], False, True)
+            )
             while not lines.over:
                 if not lines.queue.items:
                     yield lines.queue.came
--- a/cobaltpond/cli/main.py
+++ b/cobaltpond/cli/main.py
@@ -1,4 +1,5 @@
 """Exit codes: 0 fine, 1 a rule was broken or a part failed, 2 the input is wrong."""
+
 import json
 import logging
 import sys
@@ -17,10 +18,15 @@
 def logger(part: str):
     """One JSON object a line on standard error, with the time of day and what part says it."""
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.format_exc_info, structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=structlog.WriteLoggerFactory(sys.stderr))
+        logger_factory=structlog.WriteLoggerFactory(sys.stderr),
+    )
     return structlog.get_logger().bind(part=part)
 
 
@@ -44,23 +50,31 @@
 def check(file):
     """Reads a sheet and says what it holds, or what is wrong with it and where."""
     sheet = sheet_of(file)
-    click.echo(f"{file}: {len(sheet.gateways)} gateways in {len(sheet.zones)} zones, {len(sheet.path_groups)} path "
-               f"groups, {len(sheet.routes)} routes, {len(sheet.release.shares)} stages, {len(sheet.limits)} limits")
+    click.echo(
+        f"{file}: {len(sheet.gateways)} gateways in {len(sheet.zones)} zones, {len(sheet.path_groups)} path "
+        f"groups, {len(sheet.routes)} routes, {len(sheet.release.shares)} stages, {len(sheet.limits)} limits"
+    )
 
 
 @main.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--number", type=int, required=True, help="Which gateway of the sheet this one is.")
-@click.option("--decisions", default=None, hidden=True, help="module:class to decide in place of the project's own")
+@click.option(
+    "--decisions", default=None, hidden=True, help="module:class to decide in place of the project's own"
+)
 def gateway(file, number, decisions):
     """Runs one gateway until it is told to stop (TERM): then hits under way are answered first."""
     from cobaltpond.gateway.main import run_gateway
+
     sheet = sheet_of(file)
     if not 0 <= number < len(sheet.gateways):
-        raise click.BadParameter(f"the sheet has gateways 0 to {len(sheet.gateways) - 1}", param_hint="--number")
+        raise click.BadParameter(
+            f"the sheet has gateways 0 to {len(sheet.gateways) - 1}", param_hint="--number"
+        )
     kind = None
     if decisions is not None:
         import importlib
+
         module, _, name = decisions.partition(":")
         kind = getattr(importlib.import_module(module), name)
     sys.exit(run_gateway(EpollKernel(), sheet, number, logger(f"gateway-{number}"), kind) or 0)
@@ -71,6 +85,7 @@
 def desk(file):
     """Runs the release desk."""
     from cobaltpond.desk.service import run_desk
+
     sheet = sheet_of(file)
     if sheet.desk.platform is None and not sheet.hosts:
         click.echo(f"{file}: desk(...): a platform, or host(...) calls, are needed to run a desk", err=True)
@@ -84,6 +99,7 @@
 def agent(file, place):
     """Runs the agent of one host. Its instances go on when it ends, and are taken on by the next start."""
     from cobaltpond.agent.main import run_agent
+
     sheet = sheet_of(file)
     host = next((h for h in sheet.hosts if h.place == place), None)
     if host is None:
@@ -94,12 +110,22 @@
 def ask(file, method, target, body=None, raw=b""):
     """One call to the desk of a sheet; `body` goes as JSON, `raw` as it is."""
     from cobaltpond.calls import FAILED, call
+
     sheet, loop = sheet_of(file), Loop(EpollKernel())
 
     def go():
         with Deadline(loop, 3_000_000):
-            return (yield from call(loop, split_address(sheet.desk.address), method, target,
-                                    json.dumps(body).encode() if body else raw, 1_000_000))
+            return (
+                yield from call(
+                    loop,
+                    split_address(sheet.desk.address),
+                    method,
+                    target,
+                    json.dumps(body).encode() if body else raw,
+                    1_000_000,
+                )
+            )
+
     try:
         status, text = loop.run(loop.spawn(go(), "ask"))
     except (*FAILED, TimedOut) as trouble:
@@ -120,6 +146,7 @@
 def members(file, at, watch, as_json):
     """Which gateways are there, in whose eyes. Exit code 0 only if all answered and agree."""
     from cobaltpond.cli.members import show
+
     sheet = sheet_of(file)
     if sheet.members is None:
         click.echo(f"{file}: no call of members(...): its gateways do not know each other", err=True)
@@ -173,8 +200,11 @@
     """What became of the last builds, and why."""
     rows = ask(file, "GET", "/v1/history")["history"]
     for row in rows:
-        click.echo(json.dumps(row) if as_json else
-                   f"{utc(row['at'])}  build {row['build']} stage {row['stage']}: {row['phase']} ({row['why']})")
+        click.echo(
+            json.dumps(row)
+            if as_json
+            else f"{utc(row['at'])}  build {row['build']} stage {row['stage']}: {row['phase']} ({row['why']})"
+        )
 
 
 @release.command()
@@ -187,22 +217,32 @@
 
     def pause():
         yield Sleep(300_000)
+
     end = loop.kernel.now() + seconds * 1_000_000
     while loop.kernel.now() < end:
         state = ask(file, "GET", "/v1/status")
         news = state["news"]
         up = sum(m["build"] == news["build"] and m["state"] == "up" for m in state["machines"])
-        shown = {"build": news["build"], "stage": news["stage"], "phase": news["phase"], "cap": round(news["cap"], 3),
-                 "up": up, "places": len({m["place"] for m in state["machines"]}), "votes": state["votes"],
-                 "missing": state["missing"]}
+        shown = {
+            "build": news["build"],
+            "stage": news["stage"],
+            "phase": news["phase"],
+            "cap": round(news["cap"], 3),
+            "up": up,
+            "places": len({m["place"] for m in state["machines"]}),
+            "votes": state["votes"],
+            "missing": state["missing"],
+        }
         if shown != last:
             last = shown
             if as_json:
                 click.echo(json.dumps(shown))
             else:
                 bar = "#" * up + "." * (shown["places"] - up)
-                click.echo(f"build {news['build']} stage {news['stage']} {news['phase']:<11} [{bar}] "
-                           f"cap {news['cap']:.2f}  votes {state['votes']}")
+                click.echo(
+                    f"build {news['build']} stage {news['stage']} {news['phase']:<11} [{bar}] "
+                    f"cap {news['cap']:.2f}  votes {state['votes']}"
+                )
                 for place, build, why in state["missing"]:
                     click.echo(f"    {place}: build {build}: {why}")
         if news["phase"] in ("released", "withdrawn") and not state["offered"]:
@@ -213,9 +253,13 @@
 
 @main.command()
 @click.argument("script", required=False, type=click.Path(exists=True, dir_okay=False))
-@click.option("--from", "bench", type=click.Path(exists=True, dir_okay=False), help="A day file of the bench.")
+@click.option(
+    "--from", "bench", type=click.Path(exists=True, dir_okay=False), help="A day file of the bench."
+)
 @click.option("--seed", type=int, default=None, help="Another seed than the script's.")
-@click.option("--keep", type=click.Path(file_okay=False), help="Folder for records and logs (default: a new one).")
+@click.option(
+    "--keep", type=click.Path(file_okay=False), help="Folder for records and logs (default: a new one)."
+)
 @click.option("--as-json", is_flag=True, help="Figures as JSON in place of the table.")
 def day(script, bench, seed, keep, as_json):
     """Plays a day over real sockets and checks the five rules. Exit code 0 only if all held."""
@@ -223,6 +267,7 @@
     from cobaltpond.day.run import DayFailed, DayRun
     from cobaltpond.day.script import read_day
     from cobaltpond.day.table import figures, table
+
     if (script is None) == (bench is None):
         raise click.UsageError("give either a SCRIPT or --from DAY.json")
     try:
@@ -233,8 +278,12 @@
         sys.exit(2)
     folder = keep or tempfile.mkdtemp(prefix="cobaltpond-day-")
     try:
-        result = run_part(EpollKernel(), lambda loop: DayRun(
-            loop, plan, folder, lambda text: click.echo(text, err=True)), logger("day"), "day")
+        result = run_part(
+            EpollKernel(),
+            lambda loop: DayRun(loop, plan, folder, lambda text: click.echo(text, err=True)),
+            logger("day"),
+            "day",
+        )
     except (DayFailed, BadSheet) as trouble:
         click.echo(f"the day failed: {trouble}", err=True)
         sys.exit(1)
@@ -243,14 +292,25 @@
         sys.exit(1)
     if as_json:
         found = result["found"]
-        click.echo(json.dumps({**figures(result), "rules": {
-            rule: {"checked": found.checked[rule], "broken": len(found.broken[rule])} for rule in found.checked}}))
+        click.echo(
+            json.dumps(
+                {
+                    **figures(result),
+                    "rules": {
+                        rule: {"checked": found.checked[rule], "broken": len(found.broken[rule])}
+                        for rule in found.checked
+                    },
+                }
+            )
+        )
     else:
         click.echo(table(result))
         click.echo(f"records and logs: {folder}", err=True)
     if result["final"] is not None and not result["final"]["exact"]:
-        click.echo(f"meant: build {result['final']['meant']} in every place; running: {result['final']['running']}",
-                   err=True)
+        click.echo(
+            f"meant: build {result['final']['meant']} in every place; running: {result['final']['running']}",
+            err=True,
+        )
         sys.exit(1)
     sys.exit(0 if result["found"].kept else 1)
 
@@ -268,6 +328,7 @@
 @click.argument("records", type=click.Path())
 def yard(plan, records):
     from cobaltpond.standins.yard import run_yard
+
     run_yard(EpollKernel(), json.load(plan), records, logger("yard"))
 
 
@@ -276,6 +337,7 @@
 @click.argument("port", type=int)
 def builds(plan, port):
     from cobaltpond.standins.solo import run_builds
+
     run_builds(EpollKernel(), json.load(plan), port, logger("builds"))
 
 
@@ -287,6 +349,7 @@
 @click.argument("mark")
 def solo(plan, build, port, name, mark):
     from cobaltpond.standins.solo import run_solo
+
     run_solo(EpollKernel(), json.load(plan), build, port, name, mark, logger(f"solo-{name}"))
 
 
@@ -295,4 +358,5 @@
 @click.argument("records", type=click.Path())
 def crowd(plan, records):
     from cobaltpond.standins.crowd import run_crowd
+
     run_crowd(EpollKernel(), json.load(plan), records, logger("crowd"))
--- a/cobaltpond/cli/members.py
+++ b/cobaltpond/cli/members.py
@@ -1,4 +1,5 @@
 """`cobaltpond members`: asks the gateways of a sheet for their tables and lays them side by side."""
+
 import json
 
 from cobaltpond.calls import FAILED, call
@@ -6,7 +7,7 @@
 from cobaltpond.members.compare import compare, lines
 from cobaltpond.wire.address import split_address
 
-WAIT = 1_000_000                                       # for one gateway's answer
+WAIT = 1_000_000  # for one gateway's answer
 AT_ONCE = 16
 
 
@@ -17,8 +18,9 @@
     def one(number):
         try:
             with Deadline(loop, WAIT):
-                status, body = yield from call(loop, split_address(sheet.gateways[number].door), "GET", "/-/members",
-                                               b"", WAIT)
+                status, body = yield from call(
+                    loop, split_address(sheet.gateways[number].door), "GET", "/-/members", b"", WAIT
+                )
             tables[number] = json.loads(body) if status == 200 else None
         except (*FAILED, TimedOut, ValueError):
             tables[number] = None
@@ -30,6 +32,7 @@
     def everybody():
         for task in [loop.spawn(worker(), "ask") for _ in range(min(AT_ONCE, len(left)))]:
             yield from task.join()
+
     loop.run(loop.spawn(everybody(), "all"))
     return tables
 
@@ -40,8 +43,11 @@
     while True:
         told = compare(asked(kernel, sheet, numbers))
         text = json.dumps(told) if as_json else "\n".join(lines(told))
-        marks = [(row["number"], row["state"], sorted(row["otherwise"])) for row in told["members"]], told["silent"]
-        if marks != last:                              # with --watch: once at each change, not at each look
+        marks = (
+            [(row["number"], row["state"], sorted(row["otherwise"])) for row in told["members"]],
+            told["silent"],
+        )
+        if marks != last:  # with --watch: once at each change, not at each look
             last = marks
             say(text)
         if not watch:
@@ -51,4 +57,5 @@
 
         def pause():
             yield Sleep(WAIT // 2)
+
         loop.run(loop.spawn(pause(), "pause"))
--- a/cobaltpond/cli/sim.py
+++ b/cobaltpond/cli/sim.py
@@ -1,4 +1,5 @@
 """`cobaltpond sim`: runs, replays, shrinks and explains simulated days."""
+
 import sys
 
 import click
@@ -21,6 +22,7 @@
 def scenario_of(what: str, size: str) -> str:
     """The text of a written scenario, or of a seed's."""
     from cobaltpond.sim.script import draw
+
     if what.isdigit():
         return draw(int(what), size)
     with open(what, encoding="utf-8") as file:
@@ -41,11 +43,20 @@
 def sim_run(seeds, jobs, size, cover, lean, quiet, first):
     """Draws, plays and checks a scenario for each seed. Exit code 0 only if nothing was found."""
     from cobaltpond.sim.many import Coverage, run_many
+
     kernel, coverage, bad, simulated, hits, checked = EpollKernel(), Coverage(), 0, 0, 0, 0
-    weights, wanted, began = Coverage.load(lean.read()).lean() if lean else None, seeds_of(seeds), kernel.now()
+    weights, wanted, began = (
+        Coverage.load(lean.read()).lean() if lean else None,
+        seeds_of(seeds),
+        kernel.now(),
+    )
     for n, verdict in enumerate(run_many(wanted, size, jobs, weights), 1):
         coverage.add(verdict)
-        simulated, hits, checked = simulated + verdict.simulated, hits + verdict.hits, checked + verdict.checked
+        simulated, hits, checked = (
+            simulated + verdict.simulated,
+            hits + verdict.hits,
+            checked + verdict.checked,
+        )
         if verdict.found:
             bad += 1
             click.echo(f"seed {verdict.seed}: {len(verdict.found)} found, first: {verdict.found[0]}")
@@ -54,11 +65,16 @@
         if not quiet and n % 25 == 0:
             click.echo(f"{n} of {len(wanted)} seeds, {bad} with findings", err=True)
     took = (kernel.now() - began) / 1e6
-    click.echo(f"{len(wanted)} seeds of size {size}: {bad} with findings; {hits} hits, {checked} checks; "
-               f"{simulated / 1e6:.0f} s simulated in {took:.1f} s ({simulated / 1e6 / took:.0f} a second)")
+    click.echo(
+        f"{len(wanted)} seeds of size {size}: {bad} with findings; {hits} hits, {checked} checks; "
+        f"{simulated / 1e6:.0f} s simulated in {took:.1f} s ({simulated / 1e6 / took:.0f} a second)"
+    )
     never = coverage.never()
-    click.echo(f"{len(coverage.met)} pairs of fault and state met, {len(never)} never: "
-               + ", ".join(f"{kind}/{state}" for kind, state in never[:12]) + (" ..." if len(never) > 12 else ""))
+    click.echo(
+        f"{len(coverage.met)} pairs of fault and state met, {len(never)} never: "
+        + ", ".join(f"{kind}/{state}" for kind, state in never[:12])
+        + (" ..." if len(never) > 12 else "")
+    )
     if cover:
         kernel.replace_file(cover, coverage.dump().encode(), sync=False)
     sys.exit(1 if bad else 0)
@@ -72,6 +88,7 @@
     """Plays SCENARIO (a seed, or a file) again, event for event, and says what it finds."""
     from cobaltpond.day.table import table
     from cobaltpond.sim.run import run_text
+
     text = scenario_of(scenario, size)
     verdict = run_text(text, scenario, keep_lines=log)
     click.echo(text)
@@ -93,13 +110,16 @@
     """The smallest scenario that still breaks what SCENARIO (a seed, or a file) breaks, as a ready test."""
     from cobaltpond.sim.many import as_test, shrink
     from cobaltpond.sim.run import run_text
+
     text = scenario_of(scenario, size)
     try:
         least = shrink(text, lambda line: click.echo(line, err=True))
     except ValueError as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(2)
-    click.echo(as_test(f"scenario_{scenario}" if scenario.isdigit() else "scenario", run_text(least).found, least))
+    click.echo(
+        as_test(f"scenario_{scenario}" if scenario.isdigit() else "scenario", run_text(least).found, least)
+    )
 
 
 @sim.command("explain")
@@ -111,6 +131,7 @@
     """The time line of one hit or one instance of SCENARIO (a seed, or a file)."""
     from cobaltpond.sim.many import explain
     from cobaltpond.sim.run import run_text
+
     if not hit and not instance:
         raise click.UsageError("give --hit or --instance")
     verdict = run_text(scenario_of(scenario, size), scenario, keep_lines=True)
--- a/cobaltpond/decisions/choosing.py
+++ b/cobaltpond/decisions/choosing.py
@@ -2,20 +2,21 @@
 
 A part of `rules.Gateway`, which has the state.
 """
+
 from itertools import islice
 from statistics import fmean
 
 from cobaltpond.decisions.figures import SECOND, lot
 
-IN_SIGHT = 18                # instances compared for a hit
+IN_SIGHT = 18  # instances compared for a hit
 # Ratios to figures of the runsheet: to the longest warm-up, to the target latency, to what a rule allows.
-BENCH_COLD_TIMES = 0.25      # first time out of the rotation; doubles up to eight times as long
-USEFUL_SHARE = 0.9           # no further forward past this
-COLD_CAUTION = 0.6           # of what a cold instance could be sent, our guess of its capacity being rough
-BRISK_SHARE, LIMIT_CUT = 0.3, 0.7      # limit in flight: grows by one, cut where slower
-ADMIT_STEP, ADMIT_CUT = 0.1, 0.7       # a thin gateway's share of hits let in: grows, is cut
-SHY, BLAMED = 0.3, 0.4       # share of dials or probes that fail; of a customer's hits, against the others'
-TRIAL_LEAN, TRUST_LEAN, COLD_LEAN, CONDEMNED_LEAN = 3, 2, 1, 100      # hits: counts as emptier, or fuller
+BENCH_COLD_TIMES = 0.25  # first time out of the rotation; doubles up to eight times as long
+USEFUL_SHARE = 0.9  # no further forward past this
+COLD_CAUTION = 0.6  # of what a cold instance could be sent, our guess of its capacity being rough
+BRISK_SHARE, LIMIT_CUT = 0.3, 0.7  # limit in flight: grows by one, cut where slower
+ADMIT_STEP, ADMIT_CUT = 0.1, 0.7  # a thin gateway's share of hits let in: grows, is cut
+SHY, BLAMED = 0.3, 0.4  # share of dials or probes that fail; of a customer's hits, against the others'
+TRIAL_LEAN, TRUST_LEAN, COLD_LEAN, CONDEMNED_LEAN = 3, 2, 1, 100  # hits: counts as emptier, or fuller
 
 
 class Choosing:
@@ -28,7 +29,7 @@
             instance.tokens = saved + part * instance.warmth(now)
 
     def reported(self, instance, inflight):
-        instance.others = max(0.0, inflight - instance.out)    # of other gateways; its mean by zone
+        instance.others = max(0.0, inflight - instance.out)  # of other gateways; its mean by zone
         mean = self.load.get(instance.zone, instance.others)
         self.load[instance.zone] = mean + (instance.others - mean) * 0.1
 
@@ -52,7 +53,7 @@
         self.late += ((lag >= USEFUL_SHARE) - self.late) * 0.05
         if lag < USEFUL_SHARE:
             self.admitted = min(1.0, self.admitted + ADMIT_STEP)
-        elif ending in ("ok", "timeout", "full"):      # a failing instance or a lost dial is no jam
+        elif ending in ("ok", "timeout", "full"):  # a failing instance or a lost dial is no jam
             self.jammed(now - took, now)
         instance.faults += ((ending not in ("ok", "timeout")) - instance.faults) * 0.3  # full: it may drain
         if ending == "ok" and instance.faults < 0.3:
@@ -134,7 +135,7 @@
         if instance.build.condemned:
             lean += CONDEMNED_LEAN
         elif self.cap_of(instance.build) is not None:
-            pace = 1.0                                 # a slow build must not hide by getting no hits
+            pace = 1.0  # a slow build must not hide by getting no hits
             lean -= (TRIAL_LEAN + TRIAL_LEAN * TRUST_LEAN * self.trusted) / max(TRIAL_LEAN, self.gateways)
         warmth = instance.warmth(now)
         lean, pace = (lean - COLD_LEAN * (warmth < 1), pace) if self.thin else (lean, pace / warmth)
--- a/cobaltpond/decisions/figures.py
+++ b/cobaltpond/decisions/figures.py
@@ -1,10 +1,11 @@
 """Textbook statistics that the rules call; nothing is decided here."""
+
 from bisect import bisect_left, bisect_right
 from math import comb, exp, factorial, sqrt
 from statistics import fmean
 from zlib import crc32
 
-SECOND = 1_000_000                                     # microseconds
+SECOND = 1_000_000  # microseconds
 
 
 def rank_z(strata):
@@ -29,7 +30,7 @@
 
 def chance_of(least, expected):
     """The chance of `least` or more rare events where so many are expected (Poisson)."""
-    return 1 - exp(-expected) * sum(expected ** n / factorial(n) for n in range(least))
+    return 1 - exp(-expected) * sum(expected**n / factorial(n) for n in range(least))
 
 
 def bearable(least, chance):
@@ -49,6 +50,6 @@
 
 
 def lot(name, number):
-    """Rendezvous hashing (Thaler, Ravishankar, 1998): the lot that a number draws for a name. Who is gone changes
-    nothing among the others. The product carries, which spares the checksum's being linear."""
-    return crc32(f"{number} {name}".encode()) * 0x9e3779b97f4a7c15 % 2**64 >> 16
+    """Rendezvous hashing (Thaler, Ravishankar, 1998): the lot that a number draws for a name. Who is gone
+    changes nothing among the others. The product carries, which spares the checksum's being linear."""
+    return crc32(f"{number} {name}".encode()) * 0x9E3779B97F4A7C15 % 2**64 >> 16
--- a/cobaltpond/decisions/interface.py
+++ b/cobaltpond/decisions/interface.py
@@ -3,6 +3,7 @@
 A host makes one `rules.Gateway(host, now, seed, runsheet)` for each start of a gateway and feeds it events
 through `Decisions`. The gateway acts only through the `Host` it was given, and only while handling an event.
 """
+
 from typing import Any, Literal, Protocol
 
 Ending = Literal["ok", "error", "full", "timeout", "unreachable", "reset", "cancelled", "moot"]
@@ -29,23 +30,43 @@
     def watch_list(self) -> None: ...
     def tell(self, peer: int | None, data: bytes) -> None: ...
     def note(self, text: str) -> None: ...
-    def reaches(self, instance: str) -> bool: ...      # asked only where the runsheet says "paced"
+    def reaches(self, instance: str) -> bool: ...  # asked only where the runsheet says "paced"
 
 
 class Decisions(Protocol):
     """What a host calls. Every call carries the time at which it happens."""
 
-    def on_hit(self, now: int, hit: int, group: str, customer: str | None, key: int | None, left: int,
-               cost: int | None, again: bool) -> None: ...
-    def on_outcome(self, now: int, hit: int, forward: int, ending: Ending, took: int, closed: bool,
-                   report: Report) -> None: ...
+    def on_hit(
+        self,
+        now: int,
+        hit: int,
+        group: str,
+        customer: str | None,
+        key: int | None,
+        left: int,
+        cost: int | None,
+        again: bool,
+    ) -> None: ...
+    def on_outcome(
+        self, now: int, hit: int, forward: int, ending: Ending, took: int, closed: bool, report: Report
+    ) -> None: ...
     def on_gone(self, now: int, hit: int) -> None: ...
     def on_list(self, now: int, whole: bool, rows: list[Row]) -> None: ...
     def on_list_error(self, now: int) -> None: ...
-    def on_news(self, now: int, build: int, stage: int, phase: Phase, cap: float, age: int, reply: bool,
-                answer: Answer) -> None: ...
-    def on_tally(self, now: int, build: int, group: str, count: int, errored: int, mean: int,
-                 age: int) -> None: ...
+    def on_news(
+        self,
+        now: int,
+        build: int,
+        stage: int,
+        phase: Phase,
+        cap: float,
+        age: int,
+        reply: bool,
+        answer: Answer,
+    ) -> None: ...
+    def on_tally(
+        self, now: int, build: int, group: str, count: int, errored: int, mean: int, age: int
+    ) -> None: ...
     def on_wrong(self, now: int, instance: str, group: str, age: int) -> None: ...
     def on_probed(self, now: int, instance: str, ending: Ending, took: int, report: Report) -> None: ...
     def on_peer(self, now: int, peer: int, data: bytes) -> None: ...
