--- a/cobaltpond/__init__.py
+++ b/cobaltpond/__init__.py
@@ -1,1 +1,1 @@
-"""cobaltpond: a gateway's own judge of staged releases."""
+"""Release controller and router that move traffic between builds in stages."""
--- a/cobaltpond/__main__.py
+++ b/cobaltpond/__main__.py
@@ -1,4 +1,4 @@
-"""python -m cobaltpond"""
+"""Entry point of `python -m cobaltpond`."""
 
 from cobaltpond.cli.main import main
 
--- a/cobaltpond/cli/__init__.py
+++ b/cobaltpond/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command `cobaltpond`: arguments, output, exit codes."""
+"""Command line interface `cobaltpond`: arguments, output and exit codes."""
--- a/cobaltpond/cli/main.py
+++ b/cobaltpond/cli/main.py
@@ -1,4 +1,7 @@
-"""Exit codes: 0 fine, 1 a rule was broken or a part failed, 2 the input is wrong."""
+"""Command group `cobaltpond` and all commands but those of `sim`.
+
+Exit codes: 0 success, 1 a rule was broken or a component failed, 2 invalid input.
+"""
 
 import json
 import logging
@@ -15,8 +18,11 @@
 from cobaltpond.settings.sections import split_address
 
 
-def logger(part: str):
-    """One JSON object a line on standard error, with the time of day and what part says it."""
+def create_logger(component: str):
+    """Configures structlog and returns a logger that writes one JSON object per line to standard error.
+
+    Each line carries the time of day, the level, and `component` as the field `part`.
+    """
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -27,15 +33,19 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.WriteLoggerFactory(sys.stderr),
     )
-    return structlog.get_logger().bind(part=part)
+    return structlog.get_logger().bind(part=component)
 
 
-def sheet_of(path: str):
+def load_settings(path: str):
+    """Returns the `DeploymentSettings` of a settings file.
+
+    Prints the error and exits with code 2 where the file is invalid.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             return read_settings(path, file.read())
-    except SettingsError as trouble:
-        click.echo(str(trouble), err=True)
+    except SettingsError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
 
 
@@ -48,77 +58,87 @@
 @main.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def check(file):
-    """Reads a sheet and says what it holds, or what is wrong with it and where."""
-    sheet = sheet_of(file)
+    """Validates a settings file and prints a summary of it, or the error and its line."""
+    settings = load_settings(file)
     click.echo(
-        f"{file}: {len(sheet.gateways)} gateways in {len(sheet.zones)} zones, {len(sheet.path_groups)} path "
-        f"groups, {len(sheet.routes)} routes, {len(sheet.release.shares)} stages, {len(sheet.limits)} limits"
+        f"{file}: {len(settings.gateways)} gateways in {len(settings.zones)} zones, "
+        f"{len(settings.path_groups)} path groups, {len(settings.routes)} routes, "
+        f"{len(settings.release.shares)} stages, {len(settings.limits)} limits"
     )
 
 
 @main.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--number", type=int, required=True, help="Which gateway of the sheet this one is.")
+@click.option("--number", type=int, required=True, help="Number of this gateway in the settings file.")
 @click.option(
-    "--decisions", default=None, hidden=True, help="module:class to decide in place of the project's own"
+    "--decisions",
+    default=None,
+    hidden=True,
+    help="module:class of the decisions to use in place of the built-in ones",
 )
 def gateway(file, number, decisions):
-    """Runs one gateway until it is told to stop (TERM): then hits under way are answered first."""
+    """Runs one gateway until SIGTERM; hits in progress are answered before it exits."""
     from cobaltpond.gateway.main import run_gateway
 
-    sheet = sheet_of(file)
-    if not 0 <= number < len(sheet.gateways):
+    settings = load_settings(file)
+    if not 0 <= number < len(settings.gateways):
         raise click.BadParameter(
-            f"the sheet has gateways 0 to {len(sheet.gateways) - 1}", param_hint="--number"
+            f"the settings file has gateways 0 to {len(settings.gateways) - 1}", param_hint="--number"
         )
-    kind = None
+    decisions_class = None
     if decisions is not None:
         import importlib
 
         module, _, name = decisions.partition(":")
-        kind = getattr(importlib.import_module(module), name)
-    sys.exit(run_gateway(EpollKernel(), sheet, number, logger(f"gateway-{number}"), kind) or 0)
+        decisions_class = getattr(importlib.import_module(module), name)
+    sys.exit(
+        run_gateway(EpollKernel(), settings, number, create_logger(f"gateway-{number}"), decisions_class) or 0
+    )
 
 
 @main.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def desk(file):
-    """Runs the release desk."""
+    """Runs the release desk, which moves a build through the stages by the votes of the gateways."""
     from cobaltpond.desk.service import run_desk
 
-    sheet = sheet_of(file)
-    if sheet.desk.platform is None and not sheet.hosts:
-        click.echo(f"{file}: desk(...): a platform, or host(...) calls, are needed to run a desk", err=True)
+    settings = load_settings(file)
+    if settings.desk.platform is None and not settings.hosts:
+        click.echo(f"{file}: the desk needs desk(platform = ...) or host(...) calls to run", err=True)
         sys.exit(2)
-    run_desk(EpollKernel(), sheet, logger("desk"))
+    run_desk(EpollKernel(), settings, create_logger("desk"))
 
 
 @main.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--place", required=True, help="Which place of the sheet this host is.")
+@click.option("--place", required=True, help="Place of this host in the settings file.")
 def agent(file, place):
-    """Runs the agent of one host. Its instances go on when it ends, and are taken on by the next start."""
+    """Runs the agent of one host. Its instances keep running when it ends; its next start adopts them."""
     from cobaltpond.agent.main import run_agent
 
-    sheet = sheet_of(file)
-    host = next((h for h in sheet.hosts if h.place == place), None)
+    settings = load_settings(file)
+    host = next((h for h in settings.hosts if h.place == place), None)
     if host is None:
-        raise click.BadParameter(f"the sheet has no host(place = {place!r})", param_hint="--place")
-    run_agent(EpollKernel(), sheet, host, logger(f"agent-{place}"))
+        raise click.BadParameter(f"the settings file has no host(place = {place!r})", param_hint="--place")
+    run_agent(EpollKernel(), settings, host, create_logger(f"agent-{place}"))
 
 
-def ask(file, method, target, body=None, raw=b""):
-    """One call to the desk of a sheet; `body` goes as JSON, `raw` as it is."""
+def call_desk(file, method, target, body=None, raw=b""):
+    """Sends one HTTP call to the desk of a settings file and returns the decoded JSON response.
+
+    `body` is sent as JSON, `raw` unchanged where there is no `body`. The call times out after 3 s. Prints the
+    error and exits with code 1 where the desk does not answer or refuses the call.
+    """
     from cobaltpond.rpc import CALL_ERRORS, call
 
-    sheet, loop = sheet_of(file), Loop(EpollKernel())
+    settings, loop = load_settings(file), Loop(EpollKernel())
 
-    def go():
+    def request():
         with Deadline(loop, 3_000_000):
             return (
                 yield from call(
                     loop,
-                    split_address(sheet.desk.address),
+                    split_address(settings.desk.address),
                     method,
                     target,
                     json.dumps(body).encode() if body else raw,
@@ -127,78 +147,80 @@
             )
 
     try:
-        status, text = loop.run(loop.spawn(go(), "ask"))
-    except (*CALL_ERRORS, DeadlineExceededError) as trouble:
-        click.echo(f"no answer from the desk at {sheet.desk.address}: {trouble}", err=True)
+        status, text = loop.run(loop.spawn(request(), "ask"))
+    except (*CALL_ERRORS, DeadlineExceededError) as error:
+        click.echo(f"no answer from the desk at {settings.desk.address}: {error}", err=True)
         sys.exit(1)
     answer = json.loads(text)
     if status >= 300:
-        click.echo(f"the desk says no: {answer.get('error', status)}", err=True)
+        click.echo(f"the desk refused the call: {answer.get('error', status)}", err=True)
         sys.exit(1)
     return answer
 
 
 @main.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--at", type=int, default=None, help="The table of this gateway only.")
-@click.option("--watch", is_flag=True, help="Goes on, and says what has changed.")
+@click.option("--at", type=int, default=None, help="Shows the table of this gateway only.")
+@click.option("--watch", is_flag=True, help="Keeps running and prints the tables at each change.")
 @click.option("--as-json", is_flag=True)
 def members(file, at, watch, as_json):
-    """Which gateways are there, in whose eyes. Exit code 0 only if all answered and agree."""
+    """Compares the membership tables of the gateways. Exit code 0 only if all answered and agree."""
     from cobaltpond.cli.members import show
 
-    sheet = sheet_of(file)
-    if sheet.members is None:
-        click.echo(f"{file}: no call of members(...): its gateways do not know each other", err=True)
+    settings = load_settings(file)
+    if settings.members is None:
+        click.echo(f"{file}: no members(...) call: the gateways run without membership", err=True)
         sys.exit(2)
-    if at is not None and not 0 <= at < len(sheet.gateways):
-        raise click.BadParameter(f"the sheet has gateways 0 to {len(sheet.gateways) - 1}", param_hint="--at")
-    sys.exit(show(EpollKernel(), sheet, at, watch, as_json, click.echo))
+    if at is not None and not 0 <= at < len(settings.gateways):
+        raise click.BadParameter(
+            f"the settings file has gateways 0 to {len(settings.gateways) - 1}", param_hint="--at"
+        )
+    sys.exit(show(EpollKernel(), settings, at, watch, as_json, click.echo))
 
 
 @main.group()
 def release():
-    """Speaks to the release desk."""
+    """Sends commands to the release desk."""
 
 
 @release.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.argument("build", type=int)
 def offer(file, build):
-    """Offers a build: it goes out in stages."""
-    click.echo(json.dumps(ask(file, "POST", "/v1/builds", {"build": build})["news"]))
+    """Offers a build to the desk, which releases it in stages."""
+    click.echo(json.dumps(call_desk(file, "POST", "/v1/builds", {"build": build})["news"]))
 
 
 @release.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def status(file):
-    """Where the newest build stands, as JSON."""
-    click.echo(json.dumps(ask(file, "GET", "/v1/status"), indent=2))
+    """Prints the state of the newest build as JSON."""
+    click.echo(json.dumps(call_desk(file, "GET", "/v1/status"), indent=2))
 
 
 @release.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.argument("build", type=int)
-@click.option("--why", default="", help="Kept in the history.")
+@click.option("--why", default="", help="Reason that the history keeps.")
 def back(file, build, why):
-    """Sends a build back, on trial or released: the earlier one takes its place."""
-    click.echo(json.dumps(ask(file, "POST", "/v1/back", {"build": build, "why": why})["news"]))
+    """Rolls a build back, on trial or released, to the one before it."""
+    click.echo(json.dumps(call_desk(file, "POST", "/v1/back", {"build": build, "why": why})["news"]))
 
 
 @release.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.argument("ring", type=click.File("rb"))
 def keys(file, ring):
-    """Hands a signed key ring to the desk, which keeps it and hands it to every host."""
-    click.echo(json.dumps(ask(file, "POST", "/v1/keys", raw=ring.read())))
+    """Uploads a signed key ring to the desk, which stores it and distributes it to every host."""
+    click.echo(json.dumps(call_desk(file, "POST", "/v1/keys", raw=ring.read())))
 
 
 @release.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--as-json", is_flag=True)
 def history(file, as_json):
-    """What became of the last builds, and why."""
-    rows = ask(file, "GET", "/v1/history")["history"]
+    """Lists the phase changes of the last builds with their reasons."""
+    rows = call_desk(file, "GET", "/v1/history")["history"]
     for row in rows:
         click.echo(
             json.dumps(row)
@@ -210,36 +232,36 @@
 
 @release.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--as-json", is_flag=True, help="One JSON object at each change.")
-@click.option("--seconds", type=int, default=600, help="Give up watching after so long.")
+@click.option("--as-json", is_flag=True, help="Prints one JSON object at each change.")
+@click.option("--seconds", type=int, default=600, help="Stops watching after this many seconds.")
 def watch(file, as_json, seconds):
-    """Follows the newest build until it is released or withdrawn. Exit code 0 only if it was released."""
-    loop, last, news = Loop(EpollKernel()), None, {}
+    """Watches the newest build until it is released or withdrawn. Exit code 0 only if it was released."""
+    loop, previous, news = Loop(EpollKernel()), None, {}
 
     def pause():
         yield Sleep(300_000)
 
-    end = loop.kernel.now() + seconds * 1_000_000
-    while loop.kernel.now() < end:
-        state = ask(file, "GET", "/v1/status")
+    deadline = loop.kernel.now() + seconds * 1_000_000
+    while loop.kernel.now() < deadline:
+        state = call_desk(file, "GET", "/v1/status")
         news = state["news"]
-        up = sum(m["build"] == news["build"] and m["state"] == "up" for m in state["machines"])
-        shown = {
+        up_count = sum(m["build"] == news["build"] and m["state"] == "up" for m in state["machines"])
+        summary = {
             "build": news["build"],
             "stage": news["stage"],
             "phase": news["phase"],
             "cap": round(news["cap"], 3),
-            "up": up,
+            "up": up_count,
             "places": len({m["place"] for m in state["machines"]}),
             "votes": state["votes"],
             "missing": state["missing"],
         }
-        if shown != last:
-            last = shown
+        if summary != previous:
+            previous = summary
             if as_json:
-                click.echo(json.dumps(shown))
+                click.echo(json.dumps(summary))
             else:
-                bar = "#" * up + "." * (shown["places"] - up)
+                bar = "#" * up_count + "." * (summary["places"] - up_count)
                 click.echo(
                     f"build {news['build']} stage {news['stage']} {news['phase']:<11} [{bar}] "
                     f"cap {news['cap']:.2f}  votes {state['votes']}"
@@ -255,15 +277,17 @@
 @main.command()
 @click.argument("script", required=False, type=click.Path(exists=True, dir_okay=False))
 @click.option(
-    "--from", "bench", type=click.Path(exists=True, dir_okay=False), help="A day file of the bench."
+    "--from", "bench", type=click.Path(exists=True, dir_okay=False), help="A day file of the benchmark."
 )
-@click.option("--seed", type=int, default=None, help="Another seed than the script's.")
+@click.option("--seed", type=int, default=None, help="Seed to use in place of the script's own.")
 @click.option(
-    "--keep", type=click.Path(file_okay=False), help="Folder for records and logs (default: a new one)."
+    "--keep",
+    type=click.Path(file_okay=False),
+    help="Folder for records and logs (default: a new temporary folder).",
 )
-@click.option("--as-json", is_flag=True, help="Figures as JSON in place of the table.")
+@click.option("--as-json", is_flag=True, help="Prints the figures as JSON in place of the table.")
 def day(script, bench, seed, keep, as_json):
-    """Plays a day over real sockets and checks the five rules. Exit code 0 only if all held."""
+    """Runs a scenario over real sockets and checks the five rules. Exit code 0 only if all were kept."""
     from cobaltpond.scenario.bench_import import BenchFileError, import_bench_file
     from cobaltpond.scenario.plan import read_plan
     from cobaltpond.scenario.report import compute_figures, format_report
@@ -277,32 +301,32 @@
             plan = (
                 read_plan(script, file.read(), seed) if script else import_bench_file(json.load(file), bench)
             )
-    except (SettingsError, BenchFileError, ValueError) as trouble:
-        click.echo(str(trouble), err=True)
+    except (SettingsError, BenchFileError, ValueError) as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     folder = keep or tempfile.mkdtemp(prefix="cobaltpond-day-")
     try:
         result = run_component(
             EpollKernel(),
             lambda loop: ScenarioRun(loop, plan, folder, lambda text: click.echo(text, err=True)),
-            logger("day"),
+            create_logger("day"),
             "day",
         )
-    except (ScenarioError, SettingsError) as trouble:
-        click.echo(f"the day failed: {trouble}", err=True)
+    except (ScenarioError, SettingsError) as error:
+        click.echo(f"the scenario failed: {error}", err=True)
         sys.exit(1)
     if result is None:
         click.echo("stopped", err=True)
         sys.exit(1)
     if as_json:
-        found = result["found"]
+        findings = result["found"]
         click.echo(
             json.dumps(
                 {
                     **compute_figures(result),
                     "rules": {
-                        rule: {"checked": found.checked[rule], "broken": len(found.broken[rule])}
-                        for rule in found.checked
+                        rule: {"checked": findings.checked[rule], "broken": len(findings.broken[rule])}
+                        for rule in findings.checked
                     },
                 }
             )
@@ -312,7 +336,8 @@
         click.echo(f"records and logs: {folder}", err=True)
     if result["final"] is not None and not result["final"]["exact"]:
         click.echo(
-            f"meant: build {result['final']['meant']} in every place; running: {result['final']['running']}",
+            f"expected: build {result['final']['meant']} in every place; "
+            f"running: {result['final']['running']}",
             err=True,
         )
         sys.exit(1)
@@ -324,25 +349,27 @@
 
 @main.group(hidden=True)
 def standin():
-    """Stand-ins of a day; started by `cobaltpond day`."""
+    """Simulated clients, instances and build server of a scenario; `cobaltpond day` starts them."""
 
 
 @standin.command()
 @click.argument("plan", type=click.File())
 @click.argument("records", type=click.Path())
 def yard(plan, records):
+    """Runs the simulated instances of PLAN in one process and writes their records to RECORDS."""
     from cobaltpond.standins.instance_fleet import run_instance_fleet
 
-    run_instance_fleet(EpollKernel(), json.load(plan), records, logger("yard"))
+    run_instance_fleet(EpollKernel(), json.load(plan), records, create_logger("yard"))
 
 
 @standin.command()
 @click.argument("plan", type=click.File())
 @click.argument("port", type=int)
 def builds(plan, port):
+    """Serves the builds of PLAN to the agents on PORT."""
     from cobaltpond.standins.single_instance import run_build_server
 
-    run_build_server(EpollKernel(), json.load(plan), port, logger("builds"))
+    run_build_server(EpollKernel(), json.load(plan), port, create_logger("builds"))
 
 
 @standin.command()
@@ -352,15 +379,19 @@
 @click.argument("name")
 @click.argument("mark")
 def solo(plan, build, port, name, mark):
+    """Runs one simulated instance NAME of BUILD on PORT, started by an agent with process mark MARK."""
     from cobaltpond.standins.single_instance import run_single_instance
 
-    run_single_instance(EpollKernel(), json.load(plan), build, port, name, mark, logger(f"solo-{name}"))
+    run_single_instance(
+        EpollKernel(), json.load(plan), build, port, name, mark, create_logger(f"solo-{name}")
+    )
 
 
 @standin.command()
 @click.argument("plan", type=click.File())
 @click.argument("records", type=click.Path())
 def crowd(plan, records):
+    """Runs the simulated clients of PLAN and writes their records to RECORDS."""
     from cobaltpond.standins.clients import run_clients
 
-    run_clients(EpollKernel(), json.load(plan), records, logger("crowd"))
+    run_clients(EpollKernel(), json.load(plan), records, create_logger("crowd"))
--- a/cobaltpond/cli/members.py
+++ b/cobaltpond/cli/members.py
@@ -1,4 +1,4 @@
-"""`cobaltpond members`: asks the gateways of a sheet for their tables and lays them side by side."""
+"""Implements `cobaltpond members`: fetches the membership tables of the gateways and compares them."""
 
 import json
 
@@ -7,55 +7,72 @@
 from cobaltpond.rpc import CALL_ERRORS, call
 from cobaltpond.wire.address import split_address
 
-WAIT = 1_000_000  # for one gateway's answer
-AT_ONCE = 16
+GATEWAY_TIMEOUT_US = 1_000_000
+MAX_CONCURRENT_CALLS = 16
 
 
-def asked(kernel, sheet, numbers: list[int]) -> dict[int, dict | None]:
-    """Their tables; None from whoever gave none within the wait."""
-    loop, tables, left = Loop(kernel), {}, list(numbers)
+def fetch_tables(kernel, settings, numbers: list[int]) -> dict[int, dict | None]:
+    """Returns gateway number -> its decoded `/-/members` page.
 
-    def one(number):
+    None stands for a gateway that gave no valid answer within GATEWAY_TIMEOUT_US.
+    """
+    loop, tables, pending = Loop(kernel), {}, list(numbers)
+
+    def fetch_table(number):
         try:
-            with Deadline(loop, WAIT):
+            with Deadline(loop, GATEWAY_TIMEOUT_US):
                 status, body = yield from call(
-                    loop, split_address(sheet.gateways[number].door), "GET", "/-/members", b"", WAIT
+                    loop,
+                    split_address(settings.gateways[number].door),
+                    "GET",
+                    "/-/members",
+                    b"",
+                    GATEWAY_TIMEOUT_US,
                 )
             tables[number] = json.loads(body) if status == 200 else None
         except (*CALL_ERRORS, DeadlineExceededError, ValueError):
             tables[number] = None
 
     def worker():
-        while left:
-            yield from one(left.pop(0))
+        while pending:
+            yield from fetch_table(pending.pop(0))
 
-    def everybody():
-        for task in [loop.spawn(worker(), "ask") for _ in range(min(AT_ONCE, len(left)))]:
+    def run_workers():
+        for task in [loop.spawn(worker(), "ask") for _ in range(min(MAX_CONCURRENT_CALLS, len(pending)))]:
             yield from task.join()
 
-    loop.run(loop.spawn(everybody(), "all"))
+    loop.run(loop.spawn(run_workers(), "all"))
     return tables
 
 
-def show(kernel, sheet, at: int | None, watch: bool, as_json: bool, say) -> int:
-    """Exit code: 0 where all that were asked answered and agree, else 1."""
-    numbers, last = [at] if at is not None else list(range(len(sheet.gateways))), None
+def show(kernel, settings, at: int | None, watch: bool, as_json: bool, write) -> int:
+    """Prints the comparison of the tables and returns the exit code.
+
+    `at` is the only gateway to call; None calls all. `write` receives each text to print. With `watch` the
+    function polls twice a GATEWAY_TIMEOUT_US and never returns. The exit code is 0 where all gateways that
+    were called answered and agree, else 1.
+    """
+    numbers, previous = [at] if at is not None else list(range(len(settings.gateways))), None
     while True:
-        told = compare_tables(asked(kernel, sheet, numbers))
-        text = json.dumps(told) if as_json else "\n".join(format_comparison(told))
-        marks = (
-            [(row["number"], row["state"], sorted(row["otherwise"])) for row in told["members"]],
-            told["silent"],
+        comparison = compare_tables(fetch_tables(kernel, settings, numbers))
+        text = json.dumps(comparison) if as_json else "\n".join(format_comparison(comparison))
+        state = (
+            [(row["number"], row["state"], sorted(row["otherwise"])) for row in comparison["members"]],
+            comparison["silent"],
         )
-        if marks != last:  # with --watch: once at each change, not at each look
-            last = marks
-            say(text)
+        if state != previous:  # with --watch each change is printed once, not every poll
+            previous = state
+            write(text)
         if not watch:
-            differ = told["silent"] or told["apart"] or any(row["otherwise"] for row in told["members"])
-            return 1 if differ else 0
+            disagree = (
+                comparison["silent"]
+                or comparison["apart"]
+                or any(row["otherwise"] for row in comparison["members"])
+            )
+            return 1 if disagree else 0
         loop = Loop(kernel)
 
         def pause():
-            yield Sleep(WAIT // 2)
+            yield Sleep(GATEWAY_TIMEOUT_US // 2)
 
         loop.run(loop.spawn(pause(), "pause"))
